--- /dev/null
+++ b/internal/node/earlier_version_test.go
@@ -0,0 +1,266 @@
+package node_test
+
+import (
+	"archive/tar"
+	"bytes"
+	"compress/gzip"
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/sebdah/goldie/v2"
+	"google.golang.org/protobuf/proto"
+
+	"topazshed/internal/core"
+	"topazshed/internal/image"
+	"topazshed/internal/journal"
+	"topazshed/internal/schema"
+	"topazshed/internal/standing"
+)
+
+// earlierDiskBytes is the disk_bytes setting of the machines that wrote the archives; the sizes of their files follow from it.
+const earlierDiskBytes = 8 << 20
+
+// readBack is what a data folder holds. Its JSON names belong to the golden files, not to the program: they stay when the program's names change.
+type readBack struct {
+	Term                uint64          `json:"term"`
+	Vote                string          `json:"vote"`
+	ID                  string          `json:"id"`
+	System              string          `json:"system"`
+	Commit              uint64          `json:"commit"`
+	DiskVersion         uint32          `json:"disk_version"`
+	Torn                bool            `json:"torn"`
+	SnapshotIndex       uint64          `json:"snapshot_index"`
+	SnapshotTerm        uint64          `json:"snapshot_term"`
+	SnapshotDiskVersion uint32          `json:"snapshot_disk_version"`
+	SnapshotRows        rowsRead        `json:"snapshot_rows"`
+	LogFirstIndex       uint64          `json:"log_first_index"`
+	LogLastIndex        uint64          `json:"log_last_index"`
+	LogLastTerm         uint64          `json:"log_last_term"`
+	LogEntries          int             `json:"log_entries"`
+	LogMemberChanges    int             `json:"log_member_changes"`
+	LogRefused          []uint64        `json:"log_refused"`
+	RestartIndex        uint64          `json:"restart_index"`
+	RestartRows         rowsRead        `json:"restart_rows"`
+	RestartVoters       []string        `json:"restart_voters"`
+	RestartLearners     []string        `json:"restart_learners"`
+	FinalIndex          uint64          `json:"final_index"`
+	FinalRows           rowsRead        `json:"final_rows"`
+	Configuration       uint64          `json:"configuration"`
+	DocumentDigest      string          `json:"document_digest"`
+	FleetVersion        uint32          `json:"fleet_version"`
+	Zones               map[string]zone `json:"zones"`
+	Machines            map[string]bool `json:"machines_with_disk"`
+	Services            []string        `json:"services"`
+	Routes              []string        `json:"routes"`
+}
+
+// rowsRead tells rows in the order of their keys; the digest covers key, index and value of each.
+type rowsRead struct {
+	Count  int    `json:"count"`
+	SHA256 string `json:"sha256"`
+}
+
+type zone struct {
+	Region string `json:"region"`
+	Empty  bool   `json:"empty"`
+	Reason string `json:"reason,omitempty"`
+}
+
+func digestRows(rows []*schema.Row) rowsRead {
+	hash := sha256.New()
+	for _, row := range rows {
+		for _, field := range [][]byte{[]byte(row.Key), binary.BigEndian.AppendUint64(nil, row.Index), row.Value} {
+			hash.Write(binary.BigEndian.AppendUint64(nil, uint64(len(field))))
+			hash.Write(field)
+		}
+	}
+	return rowsRead{len(rows), fmt.Sprintf("%x", hash.Sum(nil))}
+}
+
+// unpackFolder unpacks a gzipped tar of a data folder's files.
+func unpackFolder(t *testing.T, archive string) string {
+	t.Helper()
+	packed, err := os.Open(archive)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer packed.Close()
+	plain, err := gzip.NewReader(packed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	folder := t.TempDir()
+	for files := tar.NewReader(plain); ; {
+		head, err := files.Next()
+		if errors.Is(err, io.EOF) {
+			return folder
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		content, err := io.ReadAll(files)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(filepath.Join(folder, filepath.Base(head.Name)), content, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// withJournal opens a data folder as a machine does that starts, and closes it after use.
+func withJournal(t *testing.T, path string, use func(*journal.Journal, *journal.State)) {
+	t.Helper()
+	folder, err := journal.OpenFolder(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	opened, state, err := journal.Open(folder, journal.Sized(earlierDiskBytes))
+	if err != nil {
+		t.Fatal(err)
+	}
+	use(opened, state)
+	if err := folder.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// restart gives the whole state of a machine that has just started from what its journal held.
+func restart(t *testing.T, state *journal.State, routed *core.Routed) *schema.Image {
+	t.Helper()
+	restarted := core.New(time.Hour, core.Options{Self: &schema.Node{Id: state.Hard.Id, Address: "here", Disk: true}, System: state.Hard.System, Restart: true,
+		Hard: state.Hard, Image: state.Image, Items: state.Items, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.DiscardHandler), Routed: routed})
+	if err := restarted.Refused(); err != nil {
+		t.Fatal(err)
+	}
+	return restarted.Whole()
+}
+
+func ids(members []*schema.Member) []string {
+	given := []string{}
+	for _, member := range members {
+		given = append(given, member.Id+" "+member.District)
+	}
+	return given
+}
+
+func describe(t *testing.T, state *journal.State, routed *core.Routed) readBack {
+	t.Helper()
+	if state.Image == nil || len(state.Items) == 0 {
+		t.Fatal("the data folder has no snapshot or no log after it")
+	}
+	last := state.Items[len(state.Items)-1]
+	whole := restart(t, state, routed)
+	found := readBack{
+		Term: state.Hard.Term, Vote: state.Hard.Vote, ID: state.Hard.Id, System: state.Hard.System, Commit: state.Hard.Commit, DiskVersion: state.Hard.Version, Torn: state.Torn,
+		SnapshotIndex: state.Image.Index, SnapshotTerm: state.Image.Term, SnapshotDiskVersion: state.Image.Version, SnapshotRows: digestRows(state.Image.Rows),
+		LogFirstIndex: state.Items[0].Index, LogLastIndex: last.Index, LogLastTerm: last.Term, LogEntries: len(state.Items), LogRefused: []uint64{},
+		RestartIndex: whole.Index, RestartRows: digestRows(whole.Rows), RestartVoters: ids(whole.Members.Voters), RestartLearners: ids(whole.Members.Learners),
+		Zones: map[string]zone{}, Machines: map[string]bool{}, Services: []string{}, Routes: []string{},
+	}
+	table := image.NewTable()
+	table.Restore(state.Image)
+	for _, item := range state.Items {
+		if _, err := table.Apply(item.Index, item.Record, standing.Check); err != nil {
+			found.LogRefused = append(found.LogRefused, item.Index)
+		}
+		if item.Record.Kind == schema.RecordKind_RECORD_MEMBERS {
+			found.LogMemberChanges++
+		}
+	}
+	found.FinalIndex = table.Version()
+	found.FinalRows = digestRows(table.Rows(image.All))
+	describeTable(&found, table)
+	return found
+}
+
+// describeTable adds what an operator would know again.
+func describeTable(found *readBack, table *image.Table) {
+	view := image.Compile(table)
+	found.Configuration = view.Head.Version
+	found.FleetVersion = view.Fleet
+	if document := image.Decode[schema.CatalogDocument](table.Get(image.DocumentKey)); document != nil {
+		found.DocumentDigest = fmt.Sprintf("%x", sha256.Sum256(document.Document))
+	}
+	for name, district := range view.Districts {
+		found.Zones[name] = zone{district.Region, district.Emptied, district.Reason}
+	}
+	for id, machine := range view.Nodes {
+		found.Machines[id+" "+machine.District] = machine.Disk
+	}
+	previous := ""
+	table.Each("s/", func(row *schema.Row) {
+		service := string(bytes.SplitN([]byte(row.Key), []byte("/"), 3)[1])
+		if service != previous {
+			found.Services = append(found.Services, service)
+		}
+		previous = service
+	})
+	table.Each("route/", func(row *schema.Row) { found.Routes = append(found.Routes, row.Key) })
+}
+
+// Data folders written by the program of December 2026 must still give the state that this program read from them, and must take new records.
+// The archives hold the files of one follower of each kind of fleet, taken after the whole fleet was killed. The golden files tell what the writer's
+// own version read: never update them to make a changed program pass.
+func TestReadsDataWrittenByAnEarlierVersion(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		routed *core.Routed
+	}{
+		{"entries", nil},
+		{"routes", &core.Routed{HoldMost: time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			path := unpackFolder(t, filepath.Join("testdata", "earlier-"+c.name+".tar.gz"))
+			var before readBack
+			withJournal(t, path, func(_ *journal.Journal, state *journal.State) { before = describe(t, state, c.routed) })
+			text, err := json.MarshalIndent(before, "", "  ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			goldie.New(t).Assert(t, "earlier-"+c.name, append(text, '\n'))
+			checkGoesOn(t, path, before, c.routed)
+		})
+	}
+}
+
+// checkGoesOn appends to the folder's log, opens it again, writes a snapshot and opens it once more.
+func checkGoesOn(t *testing.T, path string, before readBack, routed *core.Routed) {
+	t.Helper()
+	added := &schema.LogItem{Index: before.LogLastIndex + 1, Term: before.Term + 1, Record: &schema.Record{Kind: schema.RecordKind_RECORD_NOTHING}}
+	withJournal(t, path, func(opened *journal.Journal, state *journal.State) {
+		hard := proto.Clone(state.Hard).(*schema.HardState)
+		hard.Term, hard.Vote, hard.Commit = added.Term, "another", added.Index
+		if err := opened.Append(hard, []*schema.LogItem{added}); err != nil {
+			t.Fatal(err)
+		}
+	})
+	var whole *schema.Image
+	withJournal(t, path, func(opened *journal.Journal, state *journal.State) {
+		after := describe(t, state, routed)
+		if after.Term != added.Term || after.Vote != "another" || after.ID != before.ID || after.Commit != added.Index || after.LogLastIndex != added.Index || after.LogEntries != before.LogEntries+1 || after.Torn {
+			t.Errorf("after an append the folder gives %+v, before it %+v", after, before)
+		}
+		if after.FinalIndex != added.Index || after.FinalRows != before.FinalRows || after.SnapshotRows != before.SnapshotRows {
+			t.Errorf("after an append the rows are %+v at %d, before it %+v at %d", after.FinalRows, after.FinalIndex, before.FinalRows, before.FinalIndex)
+		}
+		whole = restart(t, state, routed)
+		if err := opened.PutImage(whole); err != nil {
+			t.Fatal(err)
+		}
+	})
+	withJournal(t, path, func(_ *journal.Journal, state *journal.State) {
+		if state.Image.Index != whole.Index || digestRows(state.Image.Rows) != digestRows(whole.Rows) {
+			t.Errorf("the snapshot written at %d is read back as one at %d", whole.Index, state.Image.Index)
+		}
+	})
+}
