--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -356,7 +356,6 @@
 	subcommands.Register(&machineCommand{}, "")
 	subcommands.Register(&routedCommand{}, "")
 	subcommands.Register(&simCommand{}, "")
-	subcommands.Register(&scaleCommand{}, "")
 	subcommands.Register(&failoverCommand{}, "")
 	flag.Parse()
 	os.Exit(int(subcommands.Execute(context.Background())))
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -115,8 +115,6 @@
 	freezeLeg time.Duration
 	staleFrom time.Duration
 	Effect    []time.Duration
-	Bytes     map[string]int
-	Frames    map[string]int
 	queue     events
 	order     uint64
 	random    *rand.Rand
@@ -134,7 +132,6 @@
 	stale     map[string]*core.Local
 	shown     map[string]string
 	log       *slog.Logger
-	sentTo    map[string]int
 	listFault string
 }
 
@@ -151,8 +148,7 @@
 		writer = io.Discard
 	}
 	f := &Fleet{Options: o, random: rand.New(rand.NewSource(o.Seed)), cuts: map[[2]string]bool{}, lastAt: map[[2]string]time.Duration{}, Counts: map[string]int{}, Lost: map[string]int{}, Back: map[string]time.Duration{},
-		leaders: map[uint64]string{}, applied: map[uint64][32]byte{}, numbers: map[string]uint64{}, trails: map[string]standing.Trail{}, matches: map[string]*found{}, cutAt: map[string]time.Duration{}, votes: map[string]string{}, stale: map[string]*core.Local{}, shown: map[string]string{}, accepts: map[uint64]time.Duration{},
-		Bytes: map[string]int{}, Frames: map[string]int{}, sentTo: map[string]int{}}
+		leaders: map[uint64]string{}, applied: map[uint64][32]byte{}, numbers: map[string]uint64{}, trails: map[string]standing.Trail{}, matches: map[string]*found{}, cutAt: map[string]time.Duration{}, votes: map[string]string{}, stale: map[string]*core.Local{}, shown: map[string]string{}, accepts: map[uint64]time.Duration{}}
 	f.History = judge.NewHistory(func() time.Duration { return f.Now }, regionOf)
 	f.log = slog.New(slog.NewTextHandler(writer, nil))
 	var districts []string
@@ -449,10 +445,6 @@
 		}
 		f.votes[ballot] = raft.To
 	}
-	kind := fmt.Sprintf("%T", frame.Body)
-	f.Frames[kind]++
-	f.Bytes[kind] += proto.Size(frame)
-	f.sentTo[target.Name]++
 	if f.cuts[link] || f.random.Intn(100) < f.Options.LossPercent {
 		f.Counts["frames lost"]++
 		return
@@ -853,6 +845,3 @@
 
 // View gives a machine's compiled image.
 func (f *Fleet) View(n *Node) *image.View { return n.core.Local().View }
-
-// Rows counts the rows that a machine holds.
-func (f *Fleet) Rows(n *Node) int { return n.core.Local().Rows }
