--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -88,7 +88,6 @@
 	ListAt     time.Duration
 	ListFault  string
 	Suspects   []string
-	Known      int
 	Rows       int
 	IsStopping bool
 	First      uint64
@@ -730,7 +729,7 @@
 // Local gives what the hot path may rely on now.
 func (c *Core) Local() *Local {
 	l := &Local{View: c.view, Held: c.held, IsFull: c.isFull(), FreshAt: c.freshAt, GrantUntil: c.grantUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
-		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.near.Suspects(), Known: c.near.Size(), Rows: c.table.Size(),
+		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.near.Suspects(), Rows: c.table.Size(),
 		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", Strays: c.strays}
 	if c.quorum != nil {
 		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), c.quorum.Term(), c.quorum.Commit(), c.quorum.Members(), c.quorum.First()
