--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -2,7 +2,6 @@
 package keys
 
 import (
-	"errors"
 	"maps"
 	"slices"
 	"strings"
@@ -92,37 +91,6 @@
 	Calls   []Call
 }
 
-// LayoutError tells that a service's spans do not cover its keys once.
-type LayoutError struct {
-	Service string
-	Key     uint32
-}
-
-func (e *LayoutError) Error() string {
-	return "spans of service " + e.Service + " leave a gap or overlap; put rows that cover the keys 0 to 65535 once"
-}
-
-// ErrNotKeyed tells that a service has no spans.
-var ErrNotKeyed = errors.New("service has no key spans; mark it keyed in its policy and list a back end")
-
-// Check tells whether a service's spans cover its keys once.
-func Check(service *image.Service) error {
-	if len(service.Spans) == 0 {
-		return ErrNotKeyed
-	}
-	next := uint32(0)
-	for _, span := range service.Spans {
-		if span.First != next || span.Last < span.First || span.Last > constants.LastKey {
-			return &LayoutError{Service: service.Name, Key: next}
-		}
-		next = span.Last + 1
-	}
-	if next != constants.LastKey+1 {
-		return &LayoutError{Service: service.Name, Key: next}
-	}
-	return nil
-}
-
 // identity is a span as it was when a call on it was made.
 type identity struct {
 	first, last uint32
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -240,7 +240,7 @@
 		{[]*schema.KeySpan{span(0, 9), span(9, constants.LastKey)}, false},
 		{[]*schema.KeySpan{span(0, 9)}, false},
 	} {
-		if err := Check(&image.Service{Spans: c.spans}); (err == nil) != c.isWhole {
+		if err := checkLayout(&image.Service{Spans: c.spans}); (err == nil) != c.isWhole {
 			t.Fatalf("%v: %v", c.spans, err)
 		}
 	}
--- a/internal/keys/world_test.go
+++ b/internal/keys/world_test.go
@@ -112,7 +112,7 @@
 	}
 	w.view = w.view.With(w.table, changed)
 	for name, spans := range w.spans() {
-		if err := Check(w.view.Services[name]); err != nil && (len(before[name]) > 0 || !errors.Is(err, ErrNotKeyed)) {
+		if err := checkLayout(w.view.Services[name]); err != nil && (len(before[name]) > 0 || !errors.Is(err, errNotKeyed)) {
 			w.t.Fatalf("%v: %v", w.now, err)
 		}
 		old := &image.Service{Spans: before[name]}
--- a/internal/sim/scenarios.go
+++ b/internal/sim/scenarios.go
@@ -717,16 +717,6 @@
 	{"keys", "nodes do not tell of their running keyed legs", "release", "rule keys"},
 }
 
-// Find gives the scenario of that name, or nil.
-func Find(name string) *Scenario {
-	for i := range Scenarios {
-		if Scenarios[i].Name == name {
-			return &Scenarios[i]
-		}
-	}
-	return nil
-}
-
 // Play runs one scenario with one seed under load and gives the fleet with its breaches.
 func Play(s Scenario, seed int64, breach string) (*Fleet, error) {
 	shape := s.Shape
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -8,9 +8,7 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"maps"
 	"math/rand"
-	"slices"
 	"strings"
 	"time"
 
@@ -821,27 +819,5 @@
 	return wasOut && f.Now-at < 2500*time.Millisecond
 }
 
-// Digest sums up the history so that two runs of one seed can be compared.
-func (f *Fleet) Digest() string {
-	sum := sha256.New()
-	for _, a := range f.History.Arrivals {
-		fmt.Fprintln(sum, *a)
-	}
-	for _, r := range f.History.Replies {
-		fmt.Fprintln(sum, *r)
-	}
-	for _, name := range slices.Sorted(maps.Keys(f.Counts)) {
-		fmt.Fprintln(sum, name, f.Counts[name])
-	}
-	fmt.Fprintln(sum, f.order, f.Now)
-	return fmt.Sprintf("%x", sum.Sum(nil)[:8])
-}
-
-// Holds tells whether every running machine has the rows of a service's entries and of the newest configuration.
-func (f *Fleet) Holds(n *Node, service, path string) bool {
-	view := n.core.Local().View
-	return view.Services[service] != nil && view.Services[service].Entry(path) != nil
-}
-
 // View gives a machine's compiled image.
 func (f *Fleet) View(n *Node) *image.View { return n.core.Local().View }
