--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -106,7 +106,7 @@
 		}
 		entries = append(entries, &schema.Entry{Service: given.Service, Path: given.Path, Methods: given.Methods, SafeMethods: given.RepeatSafe,
 			HomeRegions: given.HomeRegions, Keyed: given.Keyed, BodyLimit: or(given.BodyLimit, constants.BodyLimit),
-			OutcomeLimit: or(given.OutcomeLimit, constants.OutcomeLimit), Bearable: uint32(or(uint64(given.Bearable), constants.Bearable))})
+			ResponseLimit: or(given.OutcomeLimit, constants.OutcomeLimit), ColdRate: uint32(or(uint64(given.Bearable), constants.Bearable))})
 	}
 	if len(faults) > 0 {
 		return nil, faults
@@ -136,7 +136,7 @@
 		return true
 	}
 	return slices.ContainsFunc(known.Backends, func(b *schema.Backend) bool {
-		district := view.Districts[b.District]
+		district := view.Districts[b.Zone]
 		return district != nil && district.Region == region
 	})
 }
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -34,7 +34,7 @@
 type Keeper struct {
 	id         string
 	lock       sync.RWMutex
-	set        *schema.Keepers
+	set        *schema.ReplicaSet
 	isMember   bool
 	isReady    bool
 	copied     map[string]bool
@@ -60,7 +60,7 @@
 }
 
 // Match chooses the keepers of an attempt id by rendezvous, never all in one district where there are two.
-func Match(set *schema.Keepers, attempt string) []*schema.Member {
+func Match(set *schema.ReplicaSet, attempt string) []*schema.Member {
 	members := slices.Clone(set.Members)
 	slices.SortFunc(members, func(a, b *schema.Member) int {
 		return cmp.Compare(image.Weigh(b.Id, attempt), image.Weigh(a.Id, attempt))
@@ -69,7 +69,7 @@
 	if count < constants.ClaimReplicas {
 		return members[:count]
 	}
-	isAlike := func(m *schema.Member) bool { return m.District == members[0].District }
+	isAlike := func(m *schema.Member) bool { return m.Zone == members[0].Zone }
 	if isAlike(members[1]) && isAlike(members[2]) {
 		if other := slices.IndexFunc(members, func(m *schema.Member) bool { return !isAlike(m) }); other > 2 {
 			members[2] = members[other]
@@ -82,7 +82,7 @@
 func Majority(count int) int { return min(count, constants.ClaimReplicas)/2 + 1 }
 
 // Adopt takes the region's newest keeper set; a changed set makes the keeper silent until it has copied or waited.
-func (k *Keeper) Adopt(now time.Duration, set *schema.Keepers) {
+func (k *Keeper) Adopt(now time.Duration, set *schema.ReplicaSet) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	if set == nil {
@@ -130,7 +130,7 @@
 // Asking is one keeper to be asked for its claims, and the query for it.
 type Asking struct {
 	Member *schema.Member
-	Query  *schema.ClaimCopy
+	Query  *schema.ReservationCopyRequest
 }
 
 // Ask gives the keepers that must still be asked for their claims.
@@ -146,7 +146,7 @@
 	seen := map[string]bool{k.id: true}
 	for _, m := range slices.Concat(k.set.Former, k.set.Members) {
 		if !seen[m.Id] && !k.copied[m.Id] {
-			list = append(list, Asking{m, &schema.ClaimCopy{Region: k.set.Region, Keepers: k.set.Number, Page: k.pages[m.Id]}})
+			list = append(list, Asking{m, &schema.ReservationCopyRequest{Region: k.set.Region, ReplicaSet: k.set.Number, Page: k.pages[m.Id]}})
 		}
 		seen[m.Id] = true
 	}
@@ -154,16 +154,16 @@
 }
 
 // Copy answers a keeper of the set that this one has adopted too, a page at a time; from then on older sets are declined here.
-func (k *Keeper) Copy(now time.Duration, query *schema.ClaimCopy) *schema.ClaimCopyOutcome {
+func (k *Keeper) Copy(now time.Duration, query *schema.ReservationCopyRequest) *schema.ReservationCopyResponse {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
-	if k.set == nil || k.set.Number != query.Keepers || k.set.Region != query.Region || query.Page >= shards {
-		return &schema.ClaimCopyOutcome{Keepers: k.set.GetNumber()}
+	if k.set == nil || k.set.Number != query.ReplicaSet || k.set.Region != query.Region || query.Page >= shards {
+		return &schema.ReservationCopyResponse{ReplicaSet: k.set.GetNumber()}
 	}
 	if !k.copied[k.id] && !k.isReady {
-		return &schema.ClaimCopyOutcome{Keepers: k.set.Number}
+		return &schema.ReservationCopyResponse{ReplicaSet: k.set.Number}
 	}
-	outcome := &schema.ClaimCopyOutcome{Ready: true, Full: k.isReady && k.isMember, Keepers: k.set.Number}
+	outcome := &schema.ReservationCopyResponse{Ready: true, Full: k.isReady && k.isMember, ReplicaSet: k.set.Number}
 	since := k.since
 	for i := range k.shards {
 		s := &k.shards[i]
@@ -172,10 +172,10 @@
 		if i >= int(query.Page) && outcome.Next == 0 {
 			for attempt, h := range s.claims {
 				if h.until > now {
-					outcome.Claims = append(outcome.Claims, &schema.HeldClaim{Attempt: attempt, Digest: h.digest, Holder: h.holder, Number: h.number, Round: h.round, LeftMs: uint32((h.until - now).Milliseconds())})
+					outcome.Reservations = append(outcome.Reservations, &schema.Reservation{Attempt: attempt, Digest: h.digest, Owner: h.holder, Number: h.number, Round: h.round, LeftMs: uint32((h.until - now).Milliseconds())})
 				}
 			}
-			if len(outcome.Claims) >= constants.ClaimPage && i+1 < shards {
+			if len(outcome.Reservations) >= constants.ClaimPage && i+1 < shards {
 				outcome.Next = uint32(i + 1)
 			}
 		}
@@ -188,17 +188,17 @@
 }
 
 // Copied takes a former keeper's claims.
-func (k *Keeper) Copied(now time.Duration, from string, outcome *schema.ClaimCopyOutcome) {
+func (k *Keeper) Copied(now time.Duration, from string, outcome *schema.ReservationCopyResponse) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
-	if !outcome.Ready || k.set == nil || outcome.Keepers != k.set.Number {
+	if !outcome.Ready || k.set == nil || outcome.ReplicaSet != k.set.Number {
 		return
 	}
-	for _, c := range outcome.Claims {
+	for _, c := range outcome.Reservations {
 		s := &k.shards[image.Weigh(c.Attempt)%shards]
 		s.lock.Lock()
 		if s.claims[c.Attempt] == nil {
-			s.claims[c.Attempt] = &held{c.Digest, c.Holder, c.Number, c.Round, now + time.Duration(c.LeftMs)*time.Millisecond}
+			s.claims[c.Attempt] = &held{c.Digest, c.Owner, c.Number, c.Round, now + time.Duration(c.LeftMs)*time.Millisecond}
 		}
 		s.lock.Unlock()
 	}
@@ -230,25 +230,25 @@
 }
 
 // Take decides one claim; isGranted is false when this node has no live grant.
-func (k *Keeper) Take(now time.Duration, c *schema.Claim, isGranted bool) *schema.ClaimOutcome {
+func (k *Keeper) Take(now time.Duration, c *schema.ReservationRequest, isGranted bool) *schema.ReservationResponse {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
-	outcome := &schema.ClaimOutcome{Keepers: k.set.GetNumber()}
+	outcome := &schema.ReservationResponse{ReplicaSet: k.set.GetNumber()}
 	if c.Ended {
 		k.end(c)
-		outcome.State = schema.ClaimState_CLAIM_ENDED
+		outcome.State = schema.ReservationState_RESERVATION_ENDED
 		return outcome
 	}
 	switch {
 	case k.set == nil || !k.isMember || !isGranted:
-		outcome.State = schema.ClaimState_CLAIM_SILENT
+		outcome.State = schema.ReservationState_RESERVATION_UNAVAILABLE
 		return outcome
-	case k.set.Number != c.Keepers || k.set.Region != c.Region:
-		outcome.State = schema.ClaimState_CLAIM_STALE
+	case k.set.Number != c.ReplicaSet || k.set.Region != c.Region:
+		outcome.State = schema.ReservationState_RESERVATION_STALE
 		return outcome
 	case !k.isReady:
 		if k.clearAt == 0 || now < k.clearAt {
-			outcome.State = schema.ClaimState_CLAIM_SILENT
+			outcome.State = schema.ReservationState_RESERVATION_UNAVAILABLE
 			outcome.LeftMs = uint32(k.left(now).Milliseconds())
 			return outcome
 		}
@@ -264,25 +264,25 @@
 		s.sweep(now, kept)
 	}
 	if h := s.claims[c.Attempt]; h != nil && h.until > now {
-		outcome.Holder = h.holder
-		outcome.State = schema.ClaimState_CLAIM_HELD
-		if h.holder == c.Holder && c.Round >= h.round && bytes.Equal(h.digest, c.Digest) {
+		outcome.Owner = h.holder
+		outcome.State = schema.ReservationState_RESERVATION_HELD
+		if h.holder == c.Owner && c.Round >= h.round && bytes.Equal(h.digest, c.Digest) {
 			h.round = c.Round
-			outcome.State = schema.ClaimState_CLAIM_TAKEN
+			outcome.State = schema.ReservationState_RESERVATION_TAKEN
 		}
 		return outcome
 	}
 	if c.AgeMs > 0 && now-time.Duration(c.AgeMs)*time.Millisecond < max(k.since, s.forgot) {
-		outcome.State = schema.ClaimState_CLAIM_HELD
+		outcome.State = schema.ReservationState_RESERVATION_HELD
 		return outcome
 	}
 	if len(s.claims) >= constants.ClaimsMost/shards {
-		outcome.State, outcome.LeftMs = schema.ClaimState_CLAIM_SILENT, uint32(constants.RetryAfter.Milliseconds())
+		outcome.State, outcome.LeftMs = schema.ReservationState_RESERVATION_UNAVAILABLE, uint32(constants.RetryAfter.Milliseconds())
 		return outcome
 	}
-	s.claims[c.Attempt] = &held{c.Digest, c.Holder, c.Number, c.Round, now + constants.ClaimKept}
-	outcome.State = schema.ClaimState_CLAIM_TAKEN
-	outcome.Holder = c.Holder
+	s.claims[c.Attempt] = &held{c.Digest, c.Owner, c.Number, c.Round, now + constants.ClaimKept}
+	outcome.State = schema.ReservationState_RESERVATION_TAKEN
+	outcome.Owner = c.Owner
 	return outcome
 }
 
@@ -300,11 +300,11 @@
 	}
 }
 
-func (k *Keeper) end(c *schema.Claim) {
+func (k *Keeper) end(c *schema.ReservationRequest) {
 	s := &k.shards[image.Weigh(c.Attempt)%shards]
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if h := s.claims[c.Attempt]; h != nil && h.holder == c.Holder && c.Round >= h.round {
+	if h := s.claims[c.Attempt]; h != nil && h.holder == c.Owner && c.Round >= h.round {
 		delete(s.claims, c.Attempt)
 	}
 }
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -14,25 +14,25 @@
 func members(names ...string) []*schema.Member {
 	var list []*schema.Member
 	for i, name := range names {
-		list = append(list, &schema.Member{Id: name, Address: name, District: fmt.Sprint(i % 2)})
+		list = append(list, &schema.Member{Id: name, Address: name, Zone: fmt.Sprint(i % 2)})
 	}
 	return list
 }
 
-func old(c *schema.Claim, age time.Duration) *schema.Claim {
+func old(c *schema.ReservationRequest, age time.Duration) *schema.ReservationRequest {
 	c.AgeMs = uint64(age.Milliseconds())
 	return c
 }
 
 func TestManyClaimsAreCopiedInPagesAndBounded(t *testing.T) {
-	first := &schema.Keepers{Region: "r", Number: 1, Members: members("a", "b", "c"), First: true}
-	second := &schema.Keepers{Region: "r", Number: 2, Members: members("a", "b", "d"), Former: first.Members, Fenced: true}
+	first := &schema.ReplicaSet{Region: "r", Number: 1, Members: members("a", "b", "c"), First: true}
+	second := &schema.ReplicaSet{Region: "r", Number: 2, Members: members("a", "b", "d"), Former: first.Members, Fenced: true}
 	source, other, fresh := NewKeeper("a", false), NewKeeper("b", false), NewKeeper("d", false)
 	for _, k := range []*Keeper{source, other, fresh} {
 		k.Adopt(0, first)
 	}
-	claimOf := func(i int, holder string, keepers uint64) *schema.Claim {
-		return &schema.Claim{Attempt: fmt.Sprintf("attempt-%06d", i), Digest: make([]byte, 16), Holder: holder, Keepers: keepers, Region: "r"}
+	claimOf := func(i int, holder string, keepers uint64) *schema.ReservationRequest {
+		return &schema.ReservationRequest{Attempt: fmt.Sprintf("attempt-%06d", i), Digest: make([]byte, 16), Owner: holder, ReplicaSet: keepers, Region: "r"}
 	}
 	const rate = 300
 	total := rate * int(constants.ClaimKept.Seconds())
@@ -40,7 +40,7 @@
 	for i := range total {
 		now = time.Duration(i) * time.Second / rate
 		for _, k := range []*Keeper{source, other} {
-			if state := k.Take(now, claimOf(i, "p/1", 1), true).State; state != schema.ClaimState_CLAIM_TAKEN {
+			if state := k.Take(now, claimOf(i, "p/1", 1), true).State; state != schema.ReservationState_RESERVATION_TAKEN {
 				t.Fatalf("claim %d is %v", i, state)
 			}
 		}
@@ -63,7 +63,7 @@
 		t.Errorf("%d pages, the largest of %d bytes", pages, largest)
 	}
 	for i := range total {
-		if state := fresh.Take(now, claimOf(i, "p/2", 2), true).State; state != schema.ClaimState_CLAIM_HELD {
+		if state := fresh.Take(now, claimOf(i, "p/2", 2), true).State; state != schema.ReservationState_RESERVATION_HELD {
 			t.Fatalf("claim %d is %v after the copy", i, state)
 		}
 	}
@@ -75,16 +75,16 @@
 	if held > constants.ClaimsMost {
 		t.Errorf("%d claims are held", held)
 	}
-	if state := source.Take(now, old(claimOf(-1, "p/4", 2), constants.ClaimKept), true).State; state == schema.ClaimState_CLAIM_TAKEN {
+	if state := source.Take(now, old(claimOf(-1, "p/4", 2), constants.ClaimKept), true).State; state == schema.ReservationState_RESERVATION_TAKEN {
 		t.Error("a keeper that had to forget takes an id that it may have forgotten")
 	}
 }
 
 func TestAFullKeeperLooksForRoomOnceASecond(t *testing.T) {
 	k := NewKeeper("a", false)
-	k.Adopt(0, &schema.Keepers{Region: "r", Number: 1, Members: members("a"), First: true})
-	claimOf := func(i int) *schema.Claim {
-		return &schema.Claim{Attempt: fmt.Sprintf("attempt-%07d", i), Holder: "p/1", Keepers: 1, Region: "r"}
+	k.Adopt(0, &schema.ReplicaSet{Region: "r", Number: 1, Members: members("a"), First: true})
+	claimOf := func(i int) *schema.ReservationRequest {
+		return &schema.ReservationRequest{Attempt: fmt.Sprintf("attempt-%07d", i), Owner: "p/1", ReplicaSet: 1, Region: "r"}
 	}
 	for i := range 2 * constants.ClaimsMost {
 		k.Take(0, claimOf(i), true)
@@ -98,30 +98,30 @@
 		}
 		return count
 	}
-	if state := k.Take(time.Second/2, claimOf(-1), true).State; state != schema.ClaimState_CLAIM_SILENT || sweeps() != 0 {
+	if state := k.Take(time.Second/2, claimOf(-1), true).State; state != schema.ReservationState_RESERVATION_UNAVAILABLE || sweeps() != 0 {
 		t.Errorf("half a second later it is %v after %d sweeps", state, sweeps())
 	}
-	if state := k.Take(constants.ClaimKeptLeast, claimOf(-1), true).State; state != schema.ClaimState_CLAIM_TAKEN || sweeps() != 1 {
+	if state := k.Take(constants.ClaimKeptLeast, claimOf(-1), true).State; state != schema.ReservationState_RESERVATION_TAKEN || sweeps() != 1 {
 		t.Errorf("when the oldest may go it is %v after %d sweeps", state, sweeps())
 	}
 }
 
 func TestKeeper(t *testing.T) {
-	first := &schema.Keepers{Region: "r", Number: 1, Members: members("a", "b", "c"), First: true}
-	second := &schema.Keepers{Region: "r", Number: 2, Members: members("a", "b", "d"), Former: first.Members, Fenced: true}
-	claimOf := func(attempt, holder string, keepers uint64) *schema.Claim {
-		return &schema.Claim{Attempt: attempt, Holder: holder, Keepers: keepers, Region: "r"}
+	first := &schema.ReplicaSet{Region: "r", Number: 1, Members: members("a", "b", "c"), First: true}
+	second := &schema.ReplicaSet{Region: "r", Number: 2, Members: members("a", "b", "d"), Former: first.Members, Fenced: true}
+	claimOf := func(attempt, holder string, keepers uint64) *schema.ReservationRequest {
+		return &schema.ReservationRequest{Attempt: attempt, Owner: holder, ReplicaSet: keepers, Region: "r"}
 	}
-	taken, held, silent, stale := schema.ClaimState_CLAIM_TAKEN, schema.ClaimState_CLAIM_HELD, schema.ClaimState_CLAIM_SILENT, schema.ClaimState_CLAIM_STALE
+	taken, held, silent, stale := schema.ReservationState_RESERVATION_TAKEN, schema.ReservationState_RESERVATION_HELD, schema.ReservationState_RESERVATION_UNAVAILABLE, schema.ReservationState_RESERVATION_STALE
 	for _, c := range []struct {
 		name     string
 		id       string
 		hasLived bool
 		prepare  func(*Keeper)
 		at       time.Duration
-		claim    *schema.Claim
+		claim    *schema.ReservationRequest
 		isLapsed bool
-		want     schema.ClaimState
+		want     schema.ReservationState
 	}{
 		{"a first set's keeper is ready", "a", false, nil, 0, claimOf("x", "p/1", 1), false, taken},
 		{"one that has lived before is not", "a", true, nil, 0, claimOf("x", "p/1", 1), false, silent},
@@ -132,69 +132,69 @@
 		{"the same holder may ask again", "a", false, func(k *Keeper) { k.Take(0, claimOf("x", "p/1", 1), true) }, time.Second, claimOf("x", "p/1", 1), false, taken},
 		{"a stranger can't end a claim", "a", false, func(k *Keeper) {
 			k.Take(0, claimOf("x", "p/1", 1), true)
-			k.Take(0, &schema.Claim{Attempt: "x", Holder: "p/2", Keepers: 1, Region: "r", Ended: true}, true)
+			k.Take(0, &schema.ReservationRequest{Attempt: "x", Owner: "p/2", ReplicaSet: 1, Region: "r", Ended: true}, true)
 		}, time.Second, claimOf("x", "p/3", 1), false, held},
 		{"its holder can", "a", false, func(k *Keeper) {
 			k.Take(0, claimOf("x", "p/1", 1), true)
-			k.Take(0, &schema.Claim{Attempt: "x", Holder: "p/1", Keepers: 1, Region: "r", Ended: true}, true)
+			k.Take(0, &schema.ReservationRequest{Attempt: "x", Owner: "p/1", ReplicaSet: 1, Region: "r", Ended: true}, true)
 		}, time.Second, claimOf("x", "p/3", 1), false, taken},
 		{"also when its set has changed since", "a", false, func(k *Keeper) {
 			k.Take(0, claimOf("x", "p/1", 1), true)
 			k.Adopt(0, second)
-			k.Take(0, &schema.Claim{Attempt: "x", Holder: "p/1", Keepers: 1, Region: "r", Ended: true}, true)
-			k.Copied(0, "b", &schema.ClaimCopyOutcome{Ready: true, Keepers: 2})
+			k.Take(0, &schema.ReservationRequest{Attempt: "x", Owner: "p/1", ReplicaSet: 1, Region: "r", Ended: true}, true)
+			k.Copied(0, "b", &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 2})
 		}, time.Second, claimOf("x", "p/3", 2), false, taken},
 		{"a late end of an earlier round ends nothing", "a", false, func(k *Keeper) {
 			k.Take(0, claimOf("x", "p/1", 1), true)
-			k.Take(0, &schema.Claim{Attempt: "x", Holder: "p/1", Keepers: 1, Region: "r", Round: 2}, true)
-			k.Take(0, &schema.Claim{Attempt: "x", Holder: "p/1", Keepers: 1, Region: "r", Round: 1, Ended: true}, true)
+			k.Take(0, &schema.ReservationRequest{Attempt: "x", Owner: "p/1", ReplicaSet: 1, Region: "r", Round: 2}, true)
+			k.Take(0, &schema.ReservationRequest{Attempt: "x", Owner: "p/1", ReplicaSet: 1, Region: "r", Round: 1, Ended: true}, true)
 		}, time.Second, claimOf("x", "p/3", 1), false, held},
 		{"after a change a keeper is silent", "a", false, func(k *Keeper) { k.Adopt(0, second) }, constants.ClaimWindow * 3, claimOf("x", "p/1", 2), false, silent},
 		{"until all but one former keeper gave theirs", "a", false, func(k *Keeper) {
 			k.Adopt(0, second)
-			k.Copied(0, "b", &schema.ClaimCopyOutcome{Ready: true, Keepers: 2, Claims: []*schema.HeldClaim{{Attempt: "x", Holder: "p/9", LeftMs: 5000}}})
+			k.Copied(0, "b", &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 2, Reservations: []*schema.Reservation{{Attempt: "x", Owner: "p/9", LeftMs: 5000}}})
 		}, time.Second, claimOf("x", "p/1", 2), false, held},
 		{"or the fence is cleared and a window is over", "d", false, func(k *Keeper) {
 			k.Adopt(0, second)
-			k.Adopt(0, &schema.Keepers{Region: "r", Number: 2, Members: second.Members, Former: second.Former})
+			k.Adopt(0, &schema.ReplicaSet{Region: "r", Number: 2, Members: second.Members, Former: second.Former})
 		}, constants.ClaimWindow, claimOf("x", "p/1", 2), false, taken},
 		{"but not before", "d", false, func(k *Keeper) {
 			k.Adopt(0, second)
-			k.Adopt(0, &schema.Keepers{Region: "r", Number: 2, Members: second.Members, Former: second.Former})
+			k.Adopt(0, &schema.ReplicaSet{Region: "r", Number: 2, Members: second.Members, Former: second.Former})
 		}, constants.ClaimWindow - time.Millisecond, claimOf("x", "p/1", 2), false, silent},
 		{"an id is still held off two minutes later", "a", false, func(k *Keeper) { k.Take(0, claimOf("x", "p/1", 1), true) }, 2 * time.Minute, claimOf("x", "p/2", 1), false, held},
 		{"also after its keepers have changed twice", "d", false, func(k *Keeper) {
 			k.Adopt(0, second)
 			for _, id := range []string{"a", "b"} {
-				k.Copied(0, id, &schema.ClaimCopyOutcome{Ready: true, Keepers: 2, Claims: []*schema.HeldClaim{{Attempt: "x", Holder: "p/9", LeftMs: 140000}}})
+				k.Copied(0, id, &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 2, Reservations: []*schema.Reservation{{Attempt: "x", Owner: "p/9", LeftMs: 140000}}})
 			}
 		}, 2 * time.Minute, claimOf("x", "p/1", 2), false, held},
 		{"one first sent before a keeper's memory begins is held off", "d", false, func(k *Keeper) {
 			k.Adopt(0, second)
-			k.Adopt(0, &schema.Keepers{Region: "r", Number: 2, Members: second.Members, Former: second.Former})
+			k.Adopt(0, &schema.ReplicaSet{Region: "r", Number: 2, Members: second.Members, Former: second.Former})
 		}, constants.ClaimWindow, old(claimOf("x", "p/1", 2), constants.ClaimWindow+time.Millisecond), false, held},
 		{"one first sent since is taken", "d", false, func(k *Keeper) {
 			k.Adopt(0, second)
-			k.Adopt(0, &schema.Keepers{Region: "r", Number: 2, Members: second.Members, Former: second.Former})
+			k.Adopt(0, &schema.ReplicaSet{Region: "r", Number: 2, Members: second.Members, Former: second.Former})
 		}, constants.ClaimWindow, old(claimOf("x", "p/1", 2), constants.ClaimWindow-time.Millisecond), false, taken},
 		{"a copied memory reaches as far back as its sources'", "d", false, func(k *Keeper) {
 			k.Adopt(time.Minute, second)
-			k.Copied(time.Minute, "a", &schema.ClaimCopyOutcome{Ready: true, Keepers: 2, ReachMs: 5000})
-			k.Copied(time.Minute, "b", &schema.ClaimCopyOutcome{Ready: true, Keepers: 2})
+			k.Copied(time.Minute, "a", &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 2, ReachMs: 5000})
+			k.Copied(time.Minute, "b", &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 2})
 		}, time.Minute, old(claimOf("x", "p/1", 2), 6*time.Second), false, held},
 		{"a keeper is silent until the last page came", "d", false, func(k *Keeper) {
 			k.Adopt(0, second)
 			for _, id := range []string{"a", "b"} {
-				k.Copied(0, id, &schema.ClaimCopyOutcome{Ready: true, Keepers: 2, Next: 7})
+				k.Copied(0, id, &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 2, Next: 7})
 			}
 		}, time.Second, claimOf("x", "p/1", 2), false, silent},
 		{"a keeper that missed a set knows too little, though it is all that is left", "a", false, func(k *Keeper) {
-			k.Adopt(0, &schema.Keepers{Region: "r", Number: 3, Members: members("a"), Former: members("a"), Fenced: true})
+			k.Adopt(0, &schema.ReplicaSet{Region: "r", Number: 3, Members: members("a"), Former: members("a"), Fenced: true})
 		}, time.Second, claimOf("x", "p/1", 3), false, silent},
 		{"a copy for another set counts for nothing", "d", false, func(k *Keeper) {
 			k.Adopt(0, second)
 			for _, id := range []string{"a", "b", "c"} {
-				k.Copied(0, id, &schema.ClaimCopyOutcome{Ready: true, Keepers: 1})
+				k.Copied(0, id, &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 1})
 			}
 		}, time.Second, claimOf("x", "p/1", 2), false, silent},
 	} {
@@ -212,7 +212,7 @@
 }
 
 func TestMatchIsStableAndSpread(t *testing.T) {
-	set := &schema.Keepers{Members: members("a", "b", "c", "d", "e")}
+	set := &schema.ReplicaSet{Members: members("a", "b", "c", "d", "e")}
 	counts := map[string]int{}
 	for i := range 3000 {
 		attempt := fmt.Sprintf("attempt-%d", i)
@@ -221,7 +221,7 @@
 		districts := map[string]bool{}
 		for j, m := range chosen {
 			counts[m.Id]++
-			districts[m.District] = true
+			districts[m.Zone] = true
 			if again[j].Id != m.Id {
 				t.Fatalf("%s is matched differently the second time", attempt)
 			}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -27,7 +27,7 @@
 	Self    *schema.Node
 	Now     func() time.Duration
 	Local   func() *core.Local
-	Operate func(ctx context.Context, query *schema.OperatorQuery) (*schema.OperatorOutcome, error)
+	Operate func(ctx context.Context, query *schema.OperatorRequest) (*schema.OperatorResponse, error)
 	Stats   func() map[string]uint64
 	Keeper  func() (number uint64, isMember, isReady bool, claims int)
 	Disk    func() Disk
@@ -202,14 +202,14 @@
 	json.NewEncoder(w).Encode(body)
 }
 
-var statuses = map[schema.DeclineKind]int{
-	schema.DeclineKind_DECLINE_NONE: http.StatusOK, schema.DeclineKind_DECLINE_INVALID: http.StatusUnprocessableEntity,
-	schema.DeclineKind_DECLINE_CONFLICT: http.StatusConflict, schema.DeclineKind_DECLINE_UNKNOWN: http.StatusNotFound,
-	schema.DeclineKind_DECLINE_NO_LEADER: http.StatusServiceUnavailable, schema.DeclineKind_DECLINE_DOUBTFUL: http.StatusGatewayTimeout,
-	schema.DeclineKind_DECLINE_OVERSIZE: http.StatusRequestEntityTooLarge,
+var statuses = map[schema.RefusalKind]int{
+	schema.RefusalKind_REFUSAL_NONE: http.StatusOK, schema.RefusalKind_REFUSAL_INVALID: http.StatusUnprocessableEntity,
+	schema.RefusalKind_REFUSAL_CONFLICT: http.StatusConflict, schema.RefusalKind_REFUSAL_UNKNOWN: http.StatusNotFound,
+	schema.RefusalKind_REFUSAL_NO_LEADER: http.StatusServiceUnavailable, schema.RefusalKind_REFUSAL_AMBIGUOUS: http.StatusGatewayTimeout,
+	schema.RefusalKind_REFUSAL_OVERSIZE: http.StatusRequestEntityTooLarge,
 }
 
-func (d *Door) operate(w http.ResponseWriter, r *http.Request, query *schema.OperatorQuery) *schema.OperatorOutcome {
+func (d *Door) operate(w http.ResponseWriter, r *http.Request, query *schema.OperatorRequest) *schema.OperatorResponse {
 	ctx, cancel := context.WithTimeout(r.Context(), constants.ProposalWait+time.Second)
 	defer cancel()
 	outcome, err := d.options.Operate(ctx, query)
@@ -217,19 +217,19 @@
 		write(w, http.StatusGatewayTimeout, Reply{Kind: "doubtful", Message: fmt.Sprintf("%v; the query may still be taken, read back before repeating", err)})
 		return nil
 	}
-	if outcome.Decline != schema.DeclineKind_DECLINE_NONE {
+	if outcome.Refusal != schema.RefusalKind_REFUSAL_NONE {
 		decline(w, outcome)
 		return nil
 	}
 	return outcome
 }
 
-func decline(w http.ResponseWriter, outcome *schema.OperatorOutcome) {
-	reply := Reply{Version: outcome.Version, Message: outcome.Message, Kind: strings.ToLower(strings.TrimPrefix(outcome.Decline.String(), "DECLINE_"))}
+func decline(w http.ResponseWriter, outcome *schema.OperatorResponse) {
+	reply := Reply{Version: outcome.Version, Message: outcome.Message, Kind: strings.ToLower(strings.TrimPrefix(outcome.Refusal.String(), "DECLINE_"))}
 	for _, fault := range outcome.Faults {
 		reply.Faults = append(reply.Faults, Fault{fault.Path, fault.Message})
 	}
-	write(w, statuses[outcome.Decline], reply)
+	write(w, statuses[outcome.Refusal], reply)
 }
 
 func (d *Door) put(w http.ResponseWriter, r *http.Request) {
@@ -251,14 +251,14 @@
 		write(w, http.StatusRequestEntityTooLarge, Reply{Kind: "oversize", Message: fmt.Sprintf("the document is above %d bytes; send less", limit)})
 		return
 	}
-	query := &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_PUT, Document: document, Base: base, Key: r.Header.Get("Topazshed-Operator-Key")}
+	query := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: document, Base: base, Key: r.Header.Get("Topazshed-Operator-Key")}
 	if d.options.Routed != nil {
 		config, faults := routes.Read(document, base)
 		if len(faults) > 0 {
-			decline(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_INVALID, Message: "the configuration is declined whole; nothing changed", Faults: faults})
+			decline(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_INVALID, Message: "the configuration is declined whole; nothing changed", Faults: faults})
 			return
 		}
-		query = &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: config}
+		query = &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: config}
 	}
 	if outcome := d.operate(w, r, query); outcome != nil {
 		write(w, http.StatusOK, Reply{Version: outcome.Version, Index: outcome.Index, Unconfirmed: outcome.Unconfirmed})
@@ -266,7 +266,7 @@
 }
 
 func (d *Door) show(w http.ResponseWriter, r *http.Request) {
-	outcome := d.operate(w, r, &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_SHOW})
+	outcome := d.operate(w, r, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
 	if outcome == nil {
 		return
 	}
@@ -286,14 +286,14 @@
 		write(w, http.StatusNotFound, Reply{Kind: "unknown", Message: "this fleet keeps no operator keys; put the same document on the same base again: it is taken once"})
 		return
 	}
-	if outcome := d.operate(w, r, &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_ASK, Key: r.URL.Query().Get("key")}); outcome != nil {
+	if outcome := d.operate(w, r, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_ASK, Key: r.URL.Query().Get("key")}); outcome != nil {
 		write(w, http.StatusOK, Reply{Version: outcome.Version, Index: outcome.Index})
 	}
 }
 
 func (d *Door) district(kind schema.OperatorKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		query := &schema.OperatorQuery{Kind: kind, District: chi.URLParam(r, "district"), Reason: r.URL.Query().Get("reason")}
+		query := &schema.OperatorRequest{Kind: kind, Zone: chi.URLParam(r, "district"), Reason: r.URL.Query().Get("reason")}
 		if query.Reason == "" {
 			query.Reason = "operator"
 		}
@@ -343,7 +343,7 @@
 		if err != nil {
 			speaks = versions.Span{Low: versions.First, High: versions.First}
 		}
-		s.Nodes = append(s.Nodes, NodeStatus{SpeaksLow: speaks.Low, SpeaksHigh: speaks.High, ID: node.Id, Peer: node.Address, Proxy: node.Proxy, Door: node.Door, District: node.District, Region: node.Region, Disk: node.Disk,
+		s.Nodes = append(s.Nodes, NodeStatus{SpeaksLow: speaks.Low, SpeaksHigh: speaks.High, ID: node.Id, Peer: node.Address, Proxy: node.Proxy, Door: node.Admin, District: node.Zone, Region: node.Region, Disk: node.Disk,
 			State: strings.ToLower(strings.TrimPrefix(node.State.String(), "NODE_"))})
 	}
 	slices.SortFunc(s.Nodes, func(a, b NodeStatus) int { return strings.Compare(a.ID, b.ID) })
@@ -372,7 +372,7 @@
 			if b.Cold && d.options.Routed != nil {
 				state += ", cold"
 			}
-			s.Backends = append(s.Backends, BackendStatus{b.Service, b.Instance, b.Address, b.District, state})
+			s.Backends = append(s.Backends, BackendStatus{b.Service, b.Instance, b.Address, b.Zone, state})
 		}
 	}
 	slices.Sort(s.Entries)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -16,19 +16,19 @@
 	"topazshed/internal/schema"
 )
 
-func door(outcome *schema.OperatorOutcome, fault error, seen *schema.OperatorQuery) http.Handler {
+func door(outcome *schema.OperatorResponse, fault error, seen *schema.OperatorRequest) http.Handler {
 	table := image.NewTable()
 	table.Apply(9, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
 		image.Put(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}),
-		image.Put(image.DistrictKey("north-b"), &schema.District{Name: "north-b", Region: "north", Residue: 2}),
+		image.Put(image.DistrictKey("north-b"), &schema.Zone{Name: "north-b", Region: "north", Residue: 2}),
 		image.Put(image.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
-		image.Put(image.StandingKey("ledger", "/b", "north"), &schema.Standing{Service: "ledger", Path: "/b", Region: "north", Number: 202, Reason: "all proxies of district north-a are lost or stopping"}),
+		image.Put(image.StandingKey("ledger", "/b", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/b", Region: "north", Number: 202, Reason: "all proxies of district north-a are lost or stopping"}),
 	}}, nil)
 	view := image.Compile(table)
 	return New(Options{Self: &schema.Node{Id: "n1"}, Now: func() time.Duration { return time.Hour }, Local: func() *core.Local { return &core.Local{View: view, FreshAt: time.Hour, TickAt: time.Hour} },
-		Operate: func(_ context.Context, q *schema.OperatorQuery) (*schema.OperatorOutcome, error) {
+		Operate: func(_ context.Context, q *schema.OperatorRequest) (*schema.OperatorResponse, error) {
 			if seen != nil {
-				*seen = schema.OperatorQuery{Kind: q.Kind, Base: q.Base, Key: q.Key, District: q.District, Reason: q.Reason}
+				*seen = schema.OperatorRequest{Kind: q.Kind, Base: q.Base, Key: q.Key, Zone: q.Zone, Reason: q.Reason}
 			}
 			return outcome, fault
 		},
@@ -38,24 +38,24 @@
 func TestDoor(t *testing.T) {
 	for _, c := range []struct {
 		name, method, path, body string
-		outcome                  *schema.OperatorOutcome
+		outcome                  *schema.OperatorResponse
 		fault                    error
 		status                   int
 		want                     string
 	}{
-		{"a put is accepted", "PUT", "/v1/configuration?base=4", "{}", &schema.OperatorOutcome{Version: 5}, nil, 200, `"version":5`},
-		{"it tells who has not confirmed it", "PUT", "/v1/configuration?base=4", "{}", &schema.OperatorOutcome{Version: 5, Unconfirmed: []string{"north-b"}}, nil, 200, `"unconfirmed":["north-b"]`},
-		{"so does an emptying", "POST", "/v1/districts/north-b/empty", "", &schema.OperatorOutcome{Index: 5, Unconfirmed: []string{"north-a", "north-b"}}, nil, 200, `"unconfirmed":["north-a","north-b"]`},
-		{"and status, by the leader's word", "GET", "/v1/status", "", &schema.OperatorOutcome{Unconfirmed: []string{"north-b"}}, nil, 200, `"unconfirmed":["north-b"]`},
+		{"a put is accepted", "PUT", "/v1/configuration?base=4", "{}", &schema.OperatorResponse{Version: 5}, nil, 200, `"version":5`},
+		{"it tells who has not confirmed it", "PUT", "/v1/configuration?base=4", "{}", &schema.OperatorResponse{Version: 5, Unconfirmed: []string{"north-b"}}, nil, 200, `"unconfirmed":["north-b"]`},
+		{"so does an emptying", "POST", "/v1/districts/north-b/empty", "", &schema.OperatorResponse{Index: 5, Unconfirmed: []string{"north-a", "north-b"}}, nil, 200, `"unconfirmed":["north-a","north-b"]`},
+		{"and status, by the leader's word", "GET", "/v1/status", "", &schema.OperatorResponse{Unconfirmed: []string{"north-b"}}, nil, 200, `"unconfirmed":["north-b"]`},
 		{"without a base", "PUT", "/v1/configuration", "{}", nil, nil, 400, "?base=N"},
 		{"oversize", "PUT", "/v1/configuration?base=0", strings.Repeat(" ", constants.DocumentLimit+1), nil, nil, 413, "oversize"},
-		{"a lost race names the newest version", "PUT", "/v1/configuration?base=4", "{}", &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_CONFLICT, Version: 7, Message: "m"}, nil, 409, `"version":7`},
-		{"every fault has its path", "PUT", "/v1/configuration?base=4", "{}", &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_INVALID, Faults: []*schema.Fault{{Path: "entries[0].path", Message: "p"}, {Path: "entries[1].service", Message: "s"}}}, nil, 422, "entries[1].service"},
-		{"no leader", "GET", "/v1/configuration", "", &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_NO_LEADER}, nil, 503, "no_leader"},
+		{"a lost race names the newest version", "PUT", "/v1/configuration?base=4", "{}", &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Version: 7, Message: "m"}, nil, 409, `"version":7`},
+		{"every fault has its path", "PUT", "/v1/configuration?base=4", "{}", &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_INVALID, Faults: []*schema.Fault{{Path: "entries[0].path", Message: "p"}, {Path: "entries[1].service", Message: "s"}}}, nil, 422, "entries[1].service"},
+		{"no leader", "GET", "/v1/configuration", "", &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER}, nil, 503, "no_leader"},
 		{"a lost answer is doubtful", "PUT", "/v1/configuration?base=4", "{}", nil, errors.New("timed out"), 504, "doubtful"},
-		{"an unknown district", "POST", "/v1/districts/moon/empty", "", &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_UNKNOWN}, nil, 404, "unknown"},
-		{"the empty configuration", "GET", "/v1/configuration", "", &schema.OperatorOutcome{}, nil, 200, `{"entries":[]}`},
-		{"the document as it was put", "GET", "/v1/configuration", "", &schema.OperatorOutcome{Version: 3, Document: []byte(`{"entries": [ ]}`)}, nil, 200, `{"entries": [ ]}`},
+		{"an unknown district", "POST", "/v1/districts/moon/empty", "", &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN}, nil, 404, "unknown"},
+		{"the empty configuration", "GET", "/v1/configuration", "", &schema.OperatorResponse{}, nil, 200, `{"entries":[]}`},
+		{"the document as it was put", "GET", "/v1/configuration", "", &schema.OperatorResponse{Version: 3, Document: []byte(`{"entries": [ ]}`)}, nil, 200, `{"entries": [ ]}`},
 		{"an unknown call", "GET", "/v2/everything", "", nil, nil, 404, "docs/operators.md"},
 		{"status tells why a standing is what it is", "GET", "/v1/status", "", nil, nil, 200, `"active":"north-b","number":202,"fenced":false,"reason":"all proxies of district north-a are lost or stopping"`},
 	} {
@@ -76,10 +76,10 @@
 }
 
 func TestDoorPassesOnWhatWasAsked(t *testing.T) {
-	var seen schema.OperatorQuery
-	handler := door(&schema.OperatorOutcome{}, nil, &seen)
+	var seen schema.OperatorRequest
+	handler := door(&schema.OperatorResponse{}, nil, &seen)
 	handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("POST", "/v1/districts/north-b/restore?reason=mended", nil))
-	if seen.Kind != schema.OperatorKind_OPERATOR_RESTORE || seen.District != "north-b" || seen.Reason != "mended" {
+	if seen.Kind != schema.OperatorKind_OPERATOR_RESTORE || seen.Zone != "north-b" || seen.Reason != "mended" {
 		t.Errorf("restore became %v", &seen)
 	}
 	r := httptest.NewRequest("PUT", "/v1/configuration?base=6", strings.NewReader("{}"))
--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -12,8 +12,8 @@
 var metricForm = regexp.MustCompile(`^[a-z_]+(\{[A-Za-z]+="[^"]*"(, ?[A-Za-z]+="[^"]*")*\})? [0-9.]+(e[+-][0-9]+)?$`)
 
 func TestMetrics(t *testing.T) {
-	var seen *schema.OperatorQuery
-	routed := NewInsight(ground{outcome: &schema.OperatorOutcome{}}.options(&seen))
+	var seen *schema.OperatorRequest
+	routed := NewInsight(ground{outcome: &schema.OperatorResponse{}}.options(&seen))
 	for _, c := range []struct {
 		name string
 		door func() *httptest.ResponseRecorder
--- a/internal/control/routed.go
+++ b/internal/control/routed.go
@@ -92,36 +92,36 @@
 	return proxy.IsFit(now, local)
 }
 
-func (d *Door) leaderWord(ctx context.Context) (*schema.OperatorOutcome, error) {
+func (d *Door) leaderWord(ctx context.Context) (*schema.OperatorResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, constants.ConfirmWait)
 	defer cancel()
-	outcome, err := d.options.Operate(ctx, &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_STATUS})
+	outcome, err := d.options.Operate(ctx, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS})
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("the leader did not answer in time (%w); run doctor if it lasts", err)
 	case outcome == nil:
-		return &schema.OperatorOutcome{}, nil
-	case outcome.Decline != schema.DeclineKind_DECLINE_NONE:
+		return &schema.OperatorResponse{}, nil
+	case outcome.Refusal != schema.RefusalKind_REFUSAL_NONE:
 		return nil, fmt.Errorf("%s", outcome.Message)
 	}
 	return outcome, nil
 }
 
 // hear adds what the leader told.
-func (s *Status) hear(outcome *schema.OperatorOutcome, err error, name func(number uint64) string) {
+func (s *Status) hear(outcome *schema.OperatorResponse, err error, name func(number uint64) string) {
 	if err != nil {
 		s.LeaderSilent = err.Error()
 		return
 	}
 	s.Unconfirmed = outcome.Unconfirmed
-	s.LossesBorne, s.SilentVoters = outcome.LossesBorne, outcome.SilentVoters
+	s.LossesBorne, s.SilentVoters = outcome.ToleratedLosses, outcome.UnresponsiveVoters
 	for _, report := range outcome.Reports {
 		for i := range s.Nodes {
 			if s.Nodes[i].ID != report.Id {
 				continue
 			}
 			s.Nodes[i].Index, s.Nodes[i].HeardMs, s.Nodes[i].InForce = report.Index, int64(report.HeardMs), report.InForce
-			if report.Silent {
+			if report.NeverHeard {
 				s.Nodes[i].HeardMs = -1
 			}
 		}
@@ -129,7 +129,7 @@
 	s.Changes = changesOf(outcome.Changes, name)
 }
 
-func changesOf(told []*schema.StandingChange, name func(number uint64) string) []Change {
+func changesOf(told []*schema.FailoverChange, name func(number uint64) string) []Change {
 	var changes []Change
 	for _, c := range told {
 		change := Change{Service: c.Service, Path: c.Path, Region: c.Region, From: c.From, To: c.To, Was: name(c.From), Is: name(c.To), Cause: c.Cause, Evidence: c.Evidence,
@@ -178,7 +178,7 @@
 			}
 		}
 	}
-	row := func(r *schema.Standing, kind string) {
+	row := func(r *schema.FailoverAssignment, kind string) {
 		s.Standings = append(s.Standings, Standing{Service: r.Service, Path: r.Path, Kind: kind, Region: r.Region, Active: name(r.Number), Number: r.Number, Reason: r.Reason})
 	}
 	for _, r := range view.Defaults {
@@ -209,7 +209,7 @@
 		s.Routed.Services = append(s.Routed.Services, of)
 	}
 	for _, group := range view.Groups {
-		s.Routed.Groups = append(s.Routed.Groups, GroupStatus{group.Name, group.Region, group.Districts, group.Residue})
+		s.Routed.Groups = append(s.Routed.Groups, GroupStatus{group.Name, group.Region, group.Zones, group.Residue})
 	}
 	slices.SortFunc(s.Routed.Services, func(a, b ServiceStatus) int { return strings.Compare(a.Name, b.Name) })
 	slices.SortFunc(s.Routed.Groups, func(a, b GroupStatus) int { return int(a.Residue) - int(b.Residue) })
--- a/internal/control/routed_test.go
+++ b/internal/control/routed_test.go
@@ -16,34 +16,34 @@
 )
 
 type ground struct {
-	outcome *schema.OperatorOutcome
+	outcome *schema.OperatorResponse
 	fault   error
 	isReady bool
 	proxies []string
 }
 
-func (g ground) options(seen **schema.OperatorQuery) Options {
+func (g ground) options(seen **schema.OperatorRequest) Options {
 	table := image.NewTable()
 	table.Apply(9, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
 		image.Put(image.HeadKey, &schema.CatalogHead{Version: 4}),
-		image.Put(image.NodeKey("n1"), &schema.Node{Id: "n1", District: "mu-b", Region: "mu", Disk: true, State: schema.NodeState_NODE_READY}),
-		image.Put(image.NodeKey("n2"), &schema.Node{Id: "n2", District: "mu-a", Region: "mu", State: schema.NodeState_NODE_READY}),
+		image.Put(image.NodeKey("n1"), &schema.Node{Id: "n1", Zone: "mu-b", Region: "mu", Disk: true, State: schema.NodeState_NODE_READY}),
+		image.Put(image.NodeKey("n2"), &schema.Node{Id: "n2", Zone: "mu-a", Region: "mu", State: schema.NodeState_NODE_READY}),
 		image.Put(image.RegionKey("mu"), &schema.Region{Name: "mu", Residue: 1}), image.Put(image.RegionKey("xi"), &schema.Region{Name: "xi", Residue: 3}),
-		image.Put(image.DistrictKey("mu-a"), &schema.District{Name: "mu-a", Region: "mu", Emptied: true, Reason: "new racks"}),
-		image.Put(image.DistrictKey("mu-b"), &schema.District{Name: "mu-b", Region: "mu", Residue: 2}),
-		image.Put(image.GroupKey("mu"), &schema.Group{Name: "mu", Region: "mu", Districts: []string{"mu-a", "mu-b"}, Residue: 0}),
-		image.Put(image.GroupKey("mu:mu-b"), &schema.Group{Name: "mu:mu-b", Region: "mu", Districts: []string{"mu-b"}, Residue: 2}),
-		image.Put(image.DefaultKey("mu"), &schema.Standing{Region: "mu", Number: 20002, Reason: "its open districts"}),
-		image.Put(image.StandingKey("nickel", "", "mu"), &schema.Standing{Service: "nickel", Region: "mu", Number: 20003, Reason: "no open district with back ends; work goes to xi"}),
+		image.Put(image.DistrictKey("mu-a"), &schema.Zone{Name: "mu-a", Region: "mu", Emptied: true, Reason: "new racks"}),
+		image.Put(image.DistrictKey("mu-b"), &schema.Zone{Name: "mu-b", Region: "mu", Residue: 2}),
+		image.Put(image.GroupKey("mu"), &schema.Group{Name: "mu", Region: "mu", Zones: []string{"mu-a", "mu-b"}, Residue: 0}),
+		image.Put(image.GroupKey("mu:mu-b"), &schema.Group{Name: "mu:mu-b", Region: "mu", Zones: []string{"mu-b"}, Residue: 2}),
+		image.Put(image.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: 20002, Reason: "its open districts"}),
+		image.Put(image.StandingKey("nickel", "", "mu"), &schema.FailoverAssignment{Service: "nickel", Region: "mu", Number: 20003, Reason: "no open district with back ends; work goes to xi"}),
 		image.Put(image.PolicyKey("nickel"), &schema.ServicePolicy{Service: "nickel", Keyed: true}),
-		image.Put(image.SpanKey("nickel", 0), &schema.KeySpan{Service: "nickel", First: 0, Last: 32767, Instance: "i-1", Fence: 7}),
-		image.Put(image.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1", District: "mu-b", State: schema.BackendState_BACKEND_READY, Cold: true}),
-		image.Put(image.BackendKey("copper", "c-2"), &schema.Backend{Service: "copper", Instance: "c-2", District: "mu-b", State: schema.BackendState_BACKEND_DRAINING}),
+		image.Put(image.SpanKey("nickel", 0), &schema.ShardRange{Service: "nickel", First: 0, Last: 32767, Instance: "i-1", Fence: 7}),
+		image.Put(image.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1", Zone: "mu-b", State: schema.BackendState_BACKEND_READY, Cold: true}),
+		image.Put(image.BackendKey("copper", "c-2"), &schema.Backend{Service: "copper", Instance: "c-2", Zone: "mu-b", State: schema.BackendState_BACKEND_DRAINING}),
 		image.Put(image.RouteKey("one.example", "/c/"), &schema.Route{Host: "one.example", Prefix: "/c/", Targets: []*schema.Target{{Service: "copper", Weight: 1}}}),
 	}}, nil)
 	view := image.Compile(table)
 	return Options{Self: &schema.Node{Id: "n1", Region: "mu", Disk: true}, Now: func() time.Duration { return time.Hour }, Local: func() *core.Local { return &core.Local{View: view, Role: "leader", Rows: 15} },
-		Operate: func(_ context.Context, q *schema.OperatorQuery) (*schema.OperatorOutcome, error) {
+		Operate: func(_ context.Context, q *schema.OperatorRequest) (*schema.OperatorResponse, error) {
 			if seen != nil {
 				*seen = q
 			}
@@ -55,8 +55,8 @@
 }
 
 func TestRoutedDoor(t *testing.T) {
-	told := &schema.OperatorOutcome{Unconfirmed: []string{"mu-a"}, Reports: []*schema.NodeReport{{Id: "n1", Index: 9, InForce: true}, {Id: "n2", Silent: true}},
-		Changes: []*schema.StandingChange{{Region: "mu", From: 10000, To: 20002, Cause: "its open districts", Evidence: "mu-a is emptied (new racks)", Leader: "n1", Index: 8, Term: 3, AtMs: 1777896000123},
+	told := &schema.OperatorResponse{Unconfirmed: []string{"mu-a"}, Reports: []*schema.NodeReport{{Id: "n1", Index: 9, InForce: true}, {Id: "n2", NeverHeard: true}},
+		Changes: []*schema.FailoverChange{{Region: "mu", From: 10000, To: 20002, Cause: "its open districts", Evidence: "mu-a is emptied (new racks)", Leader: "n1", Index: 8, Term: 3, AtMs: 1777896000123},
 			{Service: "nickel", Region: "mu", From: 20002, To: 20003, Cause: "work goes to xi", Index: 9, Term: 3}}}
 	for _, c := range []struct {
 		name, method, path, body string
@@ -64,11 +64,11 @@
 		status                   int
 		wants                    []string
 	}{
-		{"a put is accepted", "PUT", "/v1/configuration?base=4", `{"routes":[]}`, ground{outcome: &schema.OperatorOutcome{Version: 5}}, 200, []string{`"version":5`}},
+		{"a put is accepted", "PUT", "/v1/configuration?base=4", `{"routes":[]}`, ground{outcome: &schema.OperatorResponse{Version: 5}}, 200, []string{`"version":5`}},
 		{"a put of a wrong shape is not asked about", "PUT", "/v1/configuration?base=4", `{"entries":[],"routes":{}}`, ground{fault: errors.New("not to be asked")}, 422, []string{`"path":"entries"`, `"path":"routes"`, "declined whole"}},
 		{"above the limit", "PUT", "/v1/configuration?base=4", strings.Repeat(" ", constants.RoutesDocumentLimit+1), ground{}, 413, []string{"send less"}},
-		{"a lost race", "PUT", "/v1/configuration?base=4", `{"routes":[]}`, ground{outcome: &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_CONFLICT, Version: 7, Message: "m"}}, 409, []string{`"version":7`}},
-		{"nothing was put yet", "GET", "/v1/configuration", "", ground{outcome: &schema.OperatorOutcome{}}, 200, []string{`{"routes":[]}`}},
+		{"a lost race", "PUT", "/v1/configuration?base=4", `{"routes":[]}`, ground{outcome: &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Version: 7, Message: "m"}}, 409, []string{`"version":7`}},
+		{"nothing was put yet", "GET", "/v1/configuration", "", ground{outcome: &schema.OperatorResponse{}}, 200, []string{`{"routes":[]}`}},
 		{"not ready", "GET", "/v1/ready", "", ground{}, 503, []string{"ask another node"}},
 		{"ready", "GET", "/v1/ready", "", ground{isReady: true}, 200, nil},
 		{"nobody to be named", "GET", "/v1/match?region=mu", "", ground{}, 503, []string{"ask another node"}},
@@ -80,7 +80,7 @@
 		{"status", "GET", "/v1/status", "", ground{outcome: told}, 200, []string{`"unconfirmed":["mu-a"]`, `"index":9,"in_force":true`, `"heard_ms":-1`, `"at":"2026-05-04T12:00:00.123Z"`, `"evidence":"mu-a is emptied (new racks)"`,
 			`"resting":["c-1","c-9"]`, `"routes":1`, `{"name":"copper","routes":1,"ready":1,"draining":1,"cold":1}`, `"name":"nickel","keyed":true,"routes":0,"ready":0,"draining":0,"cold":0,"unheld":32768`,
 			`"spans":[{"service":"nickel","first":0,"last":32767,"instance":"i-1","fence":7}]`, `"state":"ready, cold"`}},
-		{"status while no leader answers", "GET", "/v1/status", "", ground{outcome: &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_NO_LEADER, Message: "no leader is known; ask again"}}, 200, []string{`"leader_silent":"no leader is known; ask again"`}},
+		{"status while no leader answers", "GET", "/v1/status", "", ground{outcome: &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "no leader is known; ask again"}}, 200, []string{`"leader_silent":"no leader is known; ask again"`}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := httptest.NewRecorder()
@@ -98,17 +98,17 @@
 }
 
 func TestARoutedPutCarriesItsRoutes(t *testing.T) {
-	var seen *schema.OperatorQuery
+	var seen *schema.OperatorRequest
 	text := `{"routes":[{"host":"one.example","prefix":"/c/","timeout_ms":5,"targets":[{"service":"copper","weight":2}]}]}`
-	New(ground{outcome: &schema.OperatorOutcome{}}.options(&seen)).ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("PUT", "/v1/configuration?base=6", strings.NewReader(text)))
+	New(ground{outcome: &schema.OperatorResponse{}}.options(&seen)).ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("PUT", "/v1/configuration?base=6", strings.NewReader(text)))
 	if seen.GetKind() != schema.OperatorKind_OPERATOR_PUT_ROUTES || seen.Routes.Version != 7 || seen.Routes.Base != 6 || string(seen.Routes.Document) != text || seen.Routes.Routes[0].Targets[0].Weight != 2 {
 		t.Errorf("%v", seen)
 	}
 }
 
 func TestInsightOnlyReads(t *testing.T) {
-	var seen *schema.OperatorQuery
-	handler := NewInsight(ground{outcome: &schema.OperatorOutcome{}}.options(&seen))
+	var seen *schema.OperatorRequest
+	handler := NewInsight(ground{outcome: &schema.OperatorResponse{}}.options(&seen))
 	for _, c := range []struct {
 		method, path string
 		status       int
--- a/internal/core/beats.go
+++ b/internal/core/beats.go
@@ -69,7 +69,7 @@
 }
 
 // beatRouted reports to the relay, a disk machine of the own region; relays report to the leader what they were told since.
-func (c *Core) beatRouted(b *schema.Beat) {
+func (c *Core) beatRouted(b *schema.Heartbeat) {
 	r := c.routed
 	to := c.beatTarget()
 	if c.serial%constants.WholeBeats != 1 && r.beatTo == to && r.beatState == c.self.State {
@@ -83,8 +83,8 @@
 	for _, id := range slices.Sorted(maps.Keys(r.relayed)) {
 		b.Relayed = append(b.Relayed, r.relayed[id])
 	}
-	r.relayed = map[string]*schema.Beat{}
-	c.send(r.beatTo, &schema.Frame{Body: &schema.Frame_Beat{Beat: b}})
+	r.relayed = map[string]*schema.Heartbeat{}
+	c.send(r.beatTo, &schema.Frame{Body: &schema.Frame_Heartbeat{Heartbeat: b}})
 }
 
 func (c *Core) beatTarget() string {
@@ -100,7 +100,7 @@
 	return c.pick(func(node *schema.Node) bool { return node.Disk && node.Address != c.self.Address })
 }
 
-func (c *Core) takeBeatRouted(f *schema.Frame, b *schema.Beat) {
+func (c *Core) takeBeatRouted(f *schema.Frame, b *schema.Heartbeat) {
 	if c.IsLeading() {
 		for _, beat := range b.Relayed {
 			c.noteBeat(beat)
@@ -118,10 +118,10 @@
 			if beat.Node.Address == "" && was.Node.Address != "" && was.Node.State == beat.Node.State {
 				beat.Node = was.Node
 			}
-			if len(beat.Heat) == 0 {
-				beat.Heat = was.Heat
+			if len(beat.Load) == 0 {
+				beat.Load = was.Load
 			}
-			beat.Vitals = append(was.Vitals, beat.Vitals...)
+			beat.Health = append(was.Health, beat.Health...)
 		}
 		c.routed.relayed[beat.Node.GetId()] = beat
 		if beat.Node.State == schema.NodeState_NODE_STOPPING || beat.Node.Address != "" && c.view.Nodes[beat.Node.Id] == nil {
@@ -130,7 +130,7 @@
 	}
 }
 
-func (c *Core) noteBeat(b *schema.Beat) {
+func (c *Core) noteBeat(b *schema.Heartbeat) {
 	if b.Node == nil {
 		return
 	}
@@ -157,10 +157,10 @@
 		c.planAt = 0
 	}
 	g.heard, g.version, g.suspects, g.node = c.now, b.Version, b.Suspects, b.Node
-	if len(b.Heat) > 0 {
-		c.routed.noteHeat(c.now, b.Node.Id, b.Heat)
+	if len(b.Load) > 0 {
+		c.routed.noteHeat(c.now, b.Node.Id, b.Load)
 	}
-	c.routed.jury.Report(c.now, b.Node.Id, b.Node.District, b.Vitals)
+	c.routed.jury.Report(c.now, b.Node.Id, b.Node.Zone, b.Health)
 }
 
 // introduce gives some of the nodes that a node which asks should know: a sample of the views, and in a routed fleet the disk machines of its own region.
--- a/internal/core/catch_up_test.go
+++ b/internal/core/catch_up_test.go
@@ -13,7 +13,7 @@
 )
 
 // largeRoutesOf is a configuration whose document can't be packed.
-func largeRoutesOf(random *rand.Rand, version uint64, bytes int) *schema.OperatorQuery {
+func largeRoutesOf(random *rand.Rand, version uint64, bytes int) *schema.OperatorRequest {
 	query := routesOf(version, version-1, fmt.Sprint("of-", version))
 	query.Routes.Document = make([]byte, bytes)
 	random.Read(query.Routes.Document)
@@ -58,7 +58,7 @@
 		}, 0},
 		{"changes go on", (*machine).kill, (*machine).start, func(w *world, m *machine) {
 			if leader := w.leader(); leader != nil {
-				w.order(leader, largeRoutesOf(w.random, w.newest()+1, bytes), func(*schema.OperatorOutcome) {})
+				w.order(leader, largeRoutesOf(w.random, w.newest()+1, bytes), func(*schema.OperatorResponse) {})
 			}
 		}, 0},
 	} {
@@ -76,7 +76,7 @@
 				for version < changes {
 					version++
 					taken := false
-					w.order(w.leader(), largeRoutesOf(w.random, version, bytes), func(o *schema.OperatorOutcome) { taken = o.Decline == schema.DeclineKind_DECLINE_NONE })
+					w.order(w.leader(), largeRoutesOf(w.random, version, bytes), func(o *schema.OperatorResponse) { taken = o.Refusal == schema.RefusalKind_REFUSAL_NONE })
 					for until := w.now + 2*time.Second; w.now < until && !taken; {
 						w.run(10 * time.Millisecond)
 					}
@@ -127,10 +127,10 @@
 func TestAStateThatOutgrowsTheDiskIsRefused(t *testing.T) {
 	w := newSizedWorld(t, 1, 3, 0, journal.Options{Files: 4, FileBytes: 512 << 10, ImageBytes: 512 << 10})
 	w.put(w.leader(), routesOf(1, 0, "one"))
-	var refusal *schema.OperatorOutcome
-	w.order(w.leader(), largeRoutesOf(w.random, 2, 400<<10), func(o *schema.OperatorOutcome) { refusal = o })
+	var refusal *schema.OperatorResponse
+	w.order(w.leader(), largeRoutesOf(w.random, 2, 400<<10), func(o *schema.OperatorResponse) { refusal = o })
 	w.run(time.Second)
-	if refusal == nil || refusal.Decline != schema.DeclineKind_DECLINE_OVERSIZE {
+	if refusal == nil || refusal.Refusal != schema.RefusalKind_REFUSAL_OVERSIZE {
 		t.Fatalf("a document that fits the log but no snapshot: %v", refusal)
 	}
 	for version := uint64(2); version < 40; version++ {
--- a/internal/core/changes.go
+++ b/internal/core/changes.go
@@ -26,7 +26,7 @@
 			if numbers == nil {
 				numbers = map[string]uint64{}
 			}
-			numbers[row.Key] = image.Decode[schema.Standing](c.table.Get(row.Key)).GetNumber()
+			numbers[row.Key] = image.Decode[schema.FailoverAssignment](c.table.Get(row.Key)).GetNumber()
 		}
 	}
 	return numbers
@@ -39,11 +39,11 @@
 	}
 	for _, row := range rows {
 		from, isNoted := before[row.Key]
-		fresh := image.Decode[schema.Standing](row)
+		fresh := image.Decode[schema.FailoverAssignment](row)
 		if !isNoted || fresh == nil || fresh.Number == from {
 			continue
 		}
-		c.changes = append(c.changes, &schema.StandingChange{Service: fresh.Service, Path: fresh.Path, Region: fresh.Region, From: from, To: fresh.Number, Cause: fresh.Reason,
+		c.changes = append(c.changes, &schema.FailoverChange{Service: fresh.Service, Path: fresh.Path, Region: fresh.Region, From: from, To: fresh.Number, Cause: fresh.Reason,
 			Evidence: item.Record.Evidence, Index: item.Index, Term: item.Term, Leader: item.Record.Leader, AtMs: item.Record.AtMs})
 	}
 	if extra := len(c.changes) - constants.ChangesKept; extra > 0 {
@@ -64,11 +64,11 @@
 	head := c.table.Get(image.HeadKey).GetIndex()
 	var reports []*schema.NodeReport
 	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
-		report := &schema.NodeReport{Id: id, Silent: true}
+		report := &schema.NodeReport{Id: id, NeverHeard: true}
 		if id == c.self.Id {
-			report.Index, report.Silent = c.table.Version(), false
+			report.Index, report.NeverHeard = c.table.Version(), false
 		} else if g := c.nodes[id]; g != nil && g.heard > 0 {
-			report.Index, report.HeardMs, report.Silent = g.version, uint32((c.now - g.heard).Milliseconds()), false
+			report.Index, report.HeardMs, report.NeverHeard = g.version, uint32((c.now - g.heard).Milliseconds()), false
 		}
 		report.InForce = head > 0 && report.Index >= head
 		reports = append(reports, report)
--- a/internal/core/changes_test.go
+++ b/internal/core/changes_test.go
@@ -20,11 +20,11 @@
 	epoch   time.Time
 	items   []*schema.LogItem
 	hard    *schema.HardState
-	outcome *schema.OperatorOutcome
+	outcome *schema.OperatorResponse
 }
 
 func (s *solo) options() Options {
-	self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Door: "a", District: "mu-a", Region: "mu", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
+	self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Admin: "a", Zone: "mu-a", Region: "mu", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
 	return Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Epoch: s.epoch,
 		Routed: &Routed{HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}}
 }
@@ -35,7 +35,7 @@
 		s.core.Tick(s.now)
 		if s.core.IsLeading() {
 			for _, district := range districts {
-				s.core.noteBeat(&schema.Beat{Version: s.core.table.Version(), Node: &schema.Node{Id: "of-" + district, Address: district, Proxy: district, Door: district, District: district, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
+				s.core.noteBeat(&schema.Heartbeat{Version: s.core.table.Version(), Node: &schema.Node{Id: "of-" + district, Address: district, Proxy: district, Admin: district, Zone: district, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
 			}
 		}
 		for range 8 {
@@ -55,7 +55,7 @@
 	}
 }
 
-func (s *solo) ask(query *schema.OperatorQuery, districts ...string) *schema.OperatorOutcome {
+func (s *solo) ask(query *schema.OperatorRequest, districts ...string) *schema.OperatorResponse {
 	s.outcome = nil
 	s.core.Operate(s.now, 7, query)
 	s.run(400*time.Millisecond, districts...)
@@ -67,17 +67,17 @@
 	s.core = New(s.now, s.options())
 	s.run(5*time.Second, "mu-a", "mu-b")
 	begun := len(s.core.changes)
-	emptied := s.ask(&schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_EMPTY, District: "mu-b", Reason: "new racks"}, "mu-a", "mu-b")
-	if emptied.GetDecline() != schema.DeclineKind_DECLINE_NONE {
+	emptied := s.ask(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_EMPTY, Zone: "mu-b", Reason: "new racks"}, "mu-a", "mu-b")
+	if emptied.GetRefusal() != schema.RefusalKind_REFUSAL_NONE {
 		t.Fatal(emptied)
 	}
 	at := s.epoch.Add(s.now).UnixMilli()
-	status := s.ask(&schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_STATUS}, "mu-a", "mu-b")
+	status := s.ask(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}, "mu-a", "mu-b")
 	if len(status.Changes) != begun+1 {
 		t.Fatalf("%d changes, had %d", len(status.Changes), begun)
 	}
 	last := status.Changes[begun]
-	row := image.Decode[schema.Standing](s.core.table.Get(image.DefaultKey("mu")))
+	row := image.Decode[schema.FailoverAssignment](s.core.table.Get(image.DefaultKey("mu")))
 	if last.Region != "mu" || last.From >= last.To || last.To != row.Number || last.Cause != row.Reason || last.Evidence != "mu-b is emptied (new racks)" || last.Leader != "a" || last.Term == 0 ||
 		last.AtMs > at || last.AtMs < at-1000 {
 		t.Errorf("%v, row %v, at %d", last, row, at)
@@ -86,7 +86,7 @@
 	for _, report := range status.Reports {
 		reports[report.Id] = report
 	}
-	if r := reports["of-mu-b"]; r == nil || r.Silent || r.HeardMs > 100 || r.Index == 0 || r.InForce {
+	if r := reports["of-mu-b"]; r == nil || r.NeverHeard || r.HeardMs > 100 || r.Index == 0 || r.InForce {
 		t.Errorf("%v: no configuration was put", r)
 	}
 
@@ -99,7 +99,7 @@
 	}
 	restarted.core = New(restarted.now, options)
 	restarted.run(3*time.Second, "mu-a", "mu-b")
-	again := restarted.ask(&schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_STATUS}, "mu-a", "mu-b")
+	again := restarted.ask(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}, "mu-a", "mu-b")
 	if len(again.GetChanges()) < begun+1 || !proto.Equal(again.Changes[begun], last) {
 		t.Errorf("after a start %v, want %v", again.GetChanges(), last)
 	}
@@ -110,10 +110,10 @@
 	s.core = New(s.now, s.options())
 	s.run(5*time.Second, "mu-a", "mu-b")
 	config := &schema.RouteConfig{Version: 1, Document: []byte("{}")}
-	if outcome := s.ask(&schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: config}, "mu-a"); outcome.GetDecline() != schema.DeclineKind_DECLINE_NONE {
+	if outcome := s.ask(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: config}, "mu-a"); outcome.GetRefusal() != schema.RefusalKind_REFUSAL_NONE {
 		t.Fatal(outcome)
 	}
-	for _, report := range s.ask(&schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_STATUS}, "mu-a").Reports {
+	for _, report := range s.ask(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}, "mu-a").Reports {
 		if want := report.Id != "of-mu-b"; report.InForce != want {
 			t.Errorf("%v, want in force %v", report, want)
 		}
@@ -124,7 +124,7 @@
 	s := &solo{now: time.Hour}
 	s.core = New(s.now, s.options())
 	for i := range uint64(3 * constants.ChangesKept) {
-		record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.Put(image.DefaultKey("mu"), &schema.Standing{Region: "mu", Number: i + 1})}}
+		record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.Put(image.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: i + 1})}}
 		before := s.core.numbersOf(record)
 		rows, err := s.core.table.Apply(i+1, record, nil)
 		if err != nil {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -27,7 +27,7 @@
 	Seeds   []string
 	System  string
 	Hard    *schema.HardState
-	Image   *schema.Image
+	Image   *schema.Snapshot
 	Items   []*schema.LogItem
 	Draw    func(int64) int64
 	Log     *slog.Logger
@@ -53,7 +53,7 @@
 // Outcome answers a local operator's query.
 type Outcome struct {
 	Ticket  uint64
-	Outcome *schema.OperatorOutcome
+	Outcome *schema.OperatorResponse
 }
 
 // Effects are what the shell performs: sync, then send and answer.
@@ -101,7 +101,7 @@
 	ticket uint64
 	call   uint64
 	to     string
-	query  *schema.OperatorQuery
+	query  *schema.OperatorRequest
 	bornAt time.Duration
 	until  time.Duration
 	// index and term are the place in the log of the record that was proposed for it, version the configuration's.
@@ -200,7 +200,7 @@
 	listAt     time.Duration
 	listFault  string
 	sweep      *roster.Sweep
-	vitals     []*schema.Vital
+	vitals     []*schema.HealthReport
 	keepers    uint64
 	isKeeping  bool
 	floor      uint64
@@ -216,7 +216,7 @@
 	addresses  map[string]string
 	toldAt     time.Duration
 	routed     *routedState
-	changes    []*schema.StandingChange
+	changes    []*schema.FailoverChange
 	speaks     versions.Span
 	refused    error
 	risingTo   uint32
@@ -256,7 +256,7 @@
 func (c *Core) firstNumber() uint64 { return uint64(c.options.Draw(FirstNumberMost)) }
 
 // Whole gives the image at the applied index, for a follower or for the disk.
-func (c *Core) Whole() *schema.Image {
+func (c *Core) Whole() *schema.Snapshot {
 	whole := c.table.Whole()
 	c.quorum.Describe(whole)
 	whole.Version = c.shownFleet()
@@ -304,7 +304,7 @@
 }
 
 // SetVitals takes this node's probes of back ends.
-func (c *Core) SetVitals(vitals []*schema.Vital) { c.vitals = vitals }
+func (c *Core) SetVitals(vitals []*schema.HealthReport) { c.vitals = vitals }
 
 // SetKeeper takes this node's state as a keeper.
 func (c *Core) SetKeeper(number uint64, isReady bool) { c.keepers, c.isKeeping = number, isReady }
@@ -385,28 +385,28 @@
 				c.told, c.toldAt = body.Raft.Commit, now
 			}
 		}
-	case *schema.Frame_Who:
-		c.near.Learn(body.Who.Node)
-		c.send(f.Address, &schema.Frame{Body: &schema.Frame_WhoOutcome{WhoOutcome: &schema.WhoOutcome{System: c.system, Leader: c.leader,
-			Nodes: c.introduce(body.Who.Node), Founding: c.options.Restart, Disk: c.self.Disk, Founder: c.nominate(), FleetVersion: c.shownFleet()}}})
-	case *schema.Frame_WhoOutcome:
-		if c.guard(body.WhoOutcome.FleetVersion) != nil {
+	case *schema.Frame_DiscoverRequest:
+		c.near.Learn(body.DiscoverRequest.Node)
+		c.send(f.Address, &schema.Frame{Body: &schema.Frame_DiscoverResponse{DiscoverResponse: &schema.DiscoverResponse{System: c.system, Leader: c.leader,
+			Nodes: c.introduce(body.DiscoverRequest.Node), Founding: c.options.Restart, Disk: c.self.Disk, Founder: c.nominate(), FleetVersion: c.shownFleet()}}})
+	case *schema.Frame_DiscoverResponse:
+		if c.guard(body.DiscoverResponse.FleetVersion) != nil {
 			return
 		}
-		c.near.Learn(body.WhoOutcome.Nodes...)
+		c.near.Learn(body.DiscoverResponse.Nodes...)
 		c.seeds[f.Address] = now
-		c.empties[f.Address] = body.WhoOutcome.System == ""
+		c.empties[f.Address] = body.DiscoverResponse.System == ""
 		if c.routed != nil {
-			c.routed.disks[f.Address] = body.WhoOutcome.Disk
-			if body.WhoOutcome.Founder != "" && f.Address == slices.Min(c.options.Seeds) {
-				c.routed.founder = body.WhoOutcome.Founder
+			c.routed.disks[f.Address] = body.DiscoverResponse.Disk
+			if body.DiscoverResponse.Founder != "" && f.Address == slices.Min(c.options.Seeds) {
+				c.routed.founder = body.DiscoverResponse.Founder
 			}
 		}
-		if c.system == "" && body.WhoOutcome.System != "" {
-			c.adopt(body.WhoOutcome.System)
+		if c.system == "" && body.DiscoverResponse.System != "" {
+			c.adopt(body.DiscoverResponse.System)
 		}
 		if c.leader == "" {
-			c.leader = body.WhoOutcome.Leader
+			c.leader = body.DiscoverResponse.Leader
 		}
 	case *schema.Frame_Shuffle:
 		for _, s := range c.near.Shuffle(f.Address, body.Shuffle) {
@@ -420,43 +420,43 @@
 			c.leader = body.Shuffle.Leader
 		}
 	case *schema.Frame_Probe:
-		c.send(f.Address, &schema.Frame{Body: &schema.Frame_ProbeOutcome{ProbeOutcome: &schema.ProbeOutcome{Subject: c.self.Id, Serial: body.Probe.Serial, Incarnation: c.self.Incarnation}}})
-	case *schema.Frame_ProbeOutcome:
-	case *schema.Frame_Beat:
+		c.send(f.Address, &schema.Frame{Body: &schema.Frame_ProbeResponse{ProbeResponse: &schema.ProbeResponse{Subject: c.self.Id, Serial: body.Probe.Serial, Incarnation: c.self.Incarnation}}})
+	case *schema.Frame_ProbeResponse:
+	case *schema.Frame_Heartbeat:
 		if c.routed != nil {
-			c.takeBeatRouted(f, body.Beat)
+			c.takeBeatRouted(f, body.Heartbeat)
 			return
 		}
-		c.takeBeat(f, body.Beat)
-	case *schema.Frame_BeatOutcome:
-		c.takeGrant(f, body.BeatOutcome)
+		c.takeBeat(f, body.Heartbeat)
+	case *schema.Frame_HeartbeatResponse:
+		c.takeGrant(f, body.HeartbeatResponse)
 	case *schema.Frame_Subscribe:
 		c.takeSubscribe(f.Address, body.Subscribe)
 	case *schema.Frame_Delta:
 		c.takeDelta(f.Address, body.Delta)
-	case *schema.Frame_Digest:
-		if body.Digest.Version == c.table.Version() {
-			c.send(f.Address, &schema.Frame{Body: &schema.Frame_DigestOutcome{DigestOutcome: &schema.DigestOutcome{Version: body.Digest.Version, Differing: c.table.Differing(body.Digest.Ranges)}}})
-		}
-	case *schema.Frame_DigestOutcome:
-		if f.Address == c.source.address && len(body.DigestOutcome.Differing) > 0 {
-			c.log.Warn("ranges differ from the source and are fetched again", "ranges", body.DigestOutcome.Differing)
-			for _, prefix := range body.DigestOutcome.Differing {
+	case *schema.Frame_DigestRequest:
+		if body.DigestRequest.Version == c.table.Version() {
+			c.send(f.Address, &schema.Frame{Body: &schema.Frame_DigestResponse{DigestResponse: &schema.DigestResponse{Version: body.DigestRequest.Version, Differing: c.table.Differing(body.DigestRequest.Ranges)}}})
+		}
+	case *schema.Frame_DigestResponse:
+		if f.Address == c.source.address && len(body.DigestResponse.Differing) > 0 {
+			c.log.Warn("ranges differ from the source and are fetched again", "ranges", body.DigestResponse.Differing)
+			for _, prefix := range body.DigestResponse.Differing {
 				c.hold(prefix, false)
 			}
 			c.subscribe()
 		}
-	case *schema.Frame_OperatorQuery:
-		c.operate(&waiter{call: f.Call, to: f.Address, query: body.OperatorQuery})
-	case *schema.Frame_OperatorOutcome:
-		c.takeOutcome(f, body.OperatorOutcome)
+	case *schema.Frame_OperatorRequest:
+		c.operate(&waiter{call: f.Call, to: f.Address, query: body.OperatorRequest})
+	case *schema.Frame_OperatorResponse:
+		c.takeOutcome(f, body.OperatorResponse)
 	}
 }
 
 // isFromLeader tells whether only a leader sends messages of that kind.
 func isFromLeader(kind schema.RaftKind) bool {
 	switch kind {
-	case schema.RaftKind_RAFT_APPEND, schema.RaftKind_RAFT_IMAGE, schema.RaftKind_RAFT_SNAPSHOT_PART:
+	case schema.RaftKind_RAFT_APPEND, schema.RaftKind_RAFT_SNAPSHOT, schema.RaftKind_RAFT_SNAPSHOT_PART:
 		return true
 	}
 	return false
@@ -526,7 +526,7 @@
 	if c.now-c.whoAt >= constants.WhoEvery {
 		c.whoAt = c.now
 		for _, address := range c.asked() {
-			c.send(address, &schema.Frame{Body: &schema.Frame_Who{Who: &schema.Who{Node: c.near.Self()}}})
+			c.send(address, &schema.Frame{Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: c.near.Self()}}})
 		}
 	}
 	if c.quorum == nil || c.quorum.Last() > 0 || c.options.Rejoin || c.options.Hard.GetId() != "" && c.options.Restart {
@@ -551,7 +551,7 @@
 	c.system = fmt.Sprintf("%s-%08x", c.self.Id, c.options.Draw(1<<32))
 	c.log.Info("system founded", "system", c.system)
 	c.quorum.Found(c.now, &schema.Record{Kind: schema.RecordKind_RECORD_MEMBERS,
-		Members: &schema.Members{Voters: []*schema.Member{{Id: c.self.Id, Address: c.self.Address, District: c.self.District}}}, Reason: "founding"})
+		Members: &schema.Members{Voters: []*schema.Member{{Id: c.self.Id, Address: c.self.Address, Zone: c.self.Zone}}}, Reason: "founding"})
 }
 
 func (c *Core) beat() {
@@ -560,11 +560,11 @@
 	}
 	c.beatAt = c.now
 	c.serial++
-	b := &schema.Beat{Node: c.spoken(c.near.Self()), Version: c.table.Version(), Vitals: c.vitals, Suspects: c.near.Suspects(), Serial: c.serial, Keepers: c.keepers, KeeperReady: c.isKeeping, Floor: c.floor}
+	b := &schema.Heartbeat{Node: c.spoken(c.near.Self()), Version: c.table.Version(), Health: c.vitals, Suspects: c.near.Suspects(), Serial: c.serial, ReplicaSet: c.keepers, ReplicaReady: c.isKeeping, OldestIndex: c.floor}
 	if c.routed != nil {
-		b.Heat = c.routed.takeHeat(c.now)
+		b.Load = c.routed.takeHeat(c.now)
 		if vitals := c.routed.options.Vitals; vitals != nil {
-			b.Vitals = vitals()
+			b.Health = vitals()
 		}
 		c.beatRouted(b)
 		return
@@ -579,7 +579,7 @@
 		to = c.pick(func(node *schema.Node) bool { return node.Disk })
 	}
 	c.noteBeatSent(to)
-	c.send(to, &schema.Frame{Body: &schema.Frame_Beat{Beat: b}})
+	c.send(to, &schema.Frame{Body: &schema.Frame_Heartbeat{Heartbeat: b}})
 }
 
 func (c *Core) noteBeatSent(to string) {
@@ -612,8 +612,8 @@
 	return addresses
 }
 
-func (c *Core) takeBeat(f *schema.Frame, b *schema.Beat) {
-	outcome := &schema.BeatOutcome{Leader: c.leader, Serial: b.Serial, Version: c.table.Version()}
+func (c *Core) takeBeat(f *schema.Frame, b *schema.Heartbeat) {
+	outcome := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: c.table.Version()}
 	isLeader := c.IsLeading() && c.isFitNode(b.Node)
 	if isLeader {
 		outcome.Leader, outcome.Accepted = c.self.Address, true
@@ -623,20 +623,20 @@
 			c.nodes[b.Node.Id] = g
 		}
 		g.heard, g.version, g.suspects, g.node = c.now, b.Version, b.Suspects, b.Node
-		g.keepers, g.keeperReady = b.Keepers, b.KeeperReady
-		if g.floor = b.Version; b.Floor > 0 {
-			g.floor = min(b.Floor, b.Version)
+		g.keepers, g.keeperReady = b.ReplicaSet, b.ReplicaReady
+		if g.floor = b.Version; b.OldestIndex > 0 {
+			g.floor = min(b.OldestIndex, b.Version)
 		}
-		c.rost.Report(b.Node.Id, b.Vitals)
-		if c.routed != nil && len(b.Heat) > 0 {
-			c.routed.noteHeat(c.now, b.Node.Id, b.Heat)
+		c.rost.Report(b.Node.Id, b.Health)
+		if c.routed != nil && len(b.Load) > 0 {
+			c.routed.noteHeat(c.now, b.Node.Id, b.Load)
 		}
 		row := c.view.Nodes[b.Node.Id]
 		isKnown := row != nil && row.State != schema.NodeState_NODE_LOST && b.Node.State == row.State
 		if isKnown {
 			left := c.quorum.Contact() + constants.GrantTime - c.now
 			if left > 0 && b.Version >= c.newestFence() {
-				outcome.GrantMs = uint32(left.Milliseconds())
+				outcome.LeaseMs = uint32(left.Milliseconds())
 				g.until = c.now + left + constants.GrantMargin
 			}
 		} else {
@@ -647,10 +647,10 @@
 		c.takeGrant(f, outcome)
 		return
 	}
-	c.send(f.Address, &schema.Frame{Body: &schema.Frame_BeatOutcome{BeatOutcome: outcome}})
+	c.send(f.Address, &schema.Frame{Body: &schema.Frame_HeartbeatResponse{HeartbeatResponse: outcome}})
 }
 
-func (c *Core) takeGrant(f *schema.Frame, o *schema.BeatOutcome) {
+func (c *Core) takeGrant(f *schema.Frame, o *schema.HeartbeatResponse) {
 	if !o.Accepted {
 		if o.Leader != "" && o.Leader != c.leader && o.Leader != f.Address {
 			c.leader, c.leaderAt = o.Leader, c.now
@@ -664,8 +664,8 @@
 		c.strays++
 		return
 	}
-	if o.GrantMs > 0 {
-		c.grantUntil = max(c.grantUntil, beat.at+time.Duration(o.GrantMs)*time.Millisecond)
+	if o.LeaseMs > 0 {
+		c.grantUntil = max(c.grantUntil, beat.at+time.Duration(o.LeaseMs)*time.Millisecond)
 	}
 }
 
@@ -694,7 +694,7 @@
 		isFenced := false
 		switch {
 		case strings.Contains(row.Key, "/standing/"):
-			isFenced = image.Decode[schema.Standing](row).GetFenced()
+			isFenced = image.Decode[schema.FailoverAssignment](row).GetFenced()
 		case strings.Contains(row.Key, "/entity/"):
 			entity := image.Decode[schema.Entity](row)
 			isFenced = entity.GetFenced()
--- a/internal/core/cut_off_test.go
+++ b/internal/core/cut_off_test.go
@@ -8,19 +8,19 @@
 	"topazshed/internal/schema"
 )
 
-func routesOf(generation, base uint64, text string) *schema.OperatorQuery {
-	return &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: &schema.RouteConfig{Version: generation, Base: base, Document: []byte(text),
+func routesOf(generation, base uint64, text string) *schema.OperatorRequest {
+	return &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: &schema.RouteConfig{Version: generation, Base: base, Document: []byte(text),
 		Services: []*schema.ServicePolicy{{Service: "copper"}},
 		Routes:   []*schema.Route{{Name: text, Host: "h", Prefix: "/" + text + "/", TimeoutMs: 1000, Targets: []*schema.Target{{Service: "copper", Weight: 1}}}}}}
 }
 
 // put has a configuration taken by the machine that leads.
-func (w *world) put(m *machine, query *schema.OperatorQuery) {
+func (w *world) put(m *machine, query *schema.OperatorRequest) {
 	w.t.Helper()
-	var got *schema.OperatorOutcome
-	w.order(m, query, func(o *schema.OperatorOutcome) { got = o })
+	var got *schema.OperatorResponse
+	w.order(m, query, func(o *schema.OperatorResponse) { got = o })
 	w.run(time.Second)
-	if got == nil || got.Decline != schema.DeclineKind_DECLINE_NONE {
+	if got == nil || got.Refusal != schema.RefusalKind_REFUSAL_NONE {
 		w.t.Fatalf("%s: %v", query.Routes.GetDocument(), got)
 	}
 }
@@ -28,19 +28,19 @@
 // A leader that was cut off, or stood still, while the others elected another one must not answer from its own state: it neither refuses a
 // proper order because of an old configuration, nor confirms an order that changes nothing there.
 func TestAFormerLeaderAnswersNothingFromItsOwnState(t *testing.T) {
-	empty := &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_EMPTY, District: "z1", Reason: "operator"}
-	restore := &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_RESTORE, District: "z1", Reason: "operator"}
+	empty := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_EMPTY, Zone: "z1", Reason: "operator"}
+	restore := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_RESTORE, Zone: "z1", Reason: "operator"}
 	for _, c := range []struct {
 		name string
 		// change is what the new leader takes, and then the former one is asked.
-		change, ask *schema.OperatorQuery
+		change, ask *schema.OperatorRequest
 	}{
 		{"an order on the newest version", routesOf(2, 1, "two"), routesOf(3, 2, "three")},
 		{"an order on the version before", routesOf(2, 1, "two"), routesOf(2, 1, "too")},
 		{"an order that is taken, sent again", routesOf(2, 1, "two"), routesOf(2, 1, "two")},
 		{"an invalid order", routesOf(2, 1, "two"), routesOf(1, 1, "low")},
 		{"a zone that was emptied is restored", empty, restore},
-		{"the configuration is read", routesOf(2, 1, "two"), &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_SHOW}},
+		{"the configuration is read", routesOf(2, 1, "two"), &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW}},
 	} {
 		for _, isFrozen := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, frozen %v", c.name, isFrozen), func(t *testing.T) {
@@ -53,31 +53,31 @@
 					} else {
 						w.isolate(former, true)
 					}
-					var answered *schema.OperatorOutcome
+					var answered *schema.OperatorResponse
 					asks := 0
 					for step := 0; step < 600 && answered == nil; step++ {
 						w.run(10 * time.Millisecond)
 						for _, m := range w.machines {
 							if m != former && m.isUp && m.core.IsLeading() && asks == 0 {
 								asks++
-								w.order(m, c.change, func(o *schema.OperatorOutcome) { answered = o })
+								w.order(m, c.change, func(o *schema.OperatorResponse) { answered = o })
 							}
 						}
 					}
-					if answered == nil || answered.Decline != schema.DeclineKind_DECLINE_NONE {
+					if answered == nil || answered.Refusal != schema.RefusalKind_REFUSAL_NONE {
 						t.Fatalf("seed %d: the new leader says %v", seed, answered)
 					}
 					if isFrozen {
 						w.isolate(former, true)
 						w.run(former.frozenUntil - w.now - 10*time.Millisecond)
 					}
-					var got *schema.OperatorOutcome
-					w.order(former, c.ask, func(o *schema.OperatorOutcome) { got = o })
+					var got *schema.OperatorResponse
+					w.order(former, c.ask, func(o *schema.OperatorResponse) { got = o })
 					w.run(700 * time.Millisecond)
 					if got == nil {
 						continue
 					}
-					if got.Decline != schema.DeclineKind_DECLINE_NO_LEADER && got.Decline != schema.DeclineKind_DECLINE_DOUBTFUL {
+					if got.Refusal != schema.RefusalKind_REFUSAL_NO_LEADER && got.Refusal != schema.RefusalKind_REFUSAL_AMBIGUOUS {
 						t.Fatalf("seed %d: the former leader answers %v", seed, got)
 					}
 				}
--- a/internal/core/districts_test.go
+++ b/internal/core/districts_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestALeaderOfARoutedFleetTakesTheDistrictsOfTheSizeToDesignFor(t *testing.T) {
-	self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Door: "a", District: "d000", Region: "r00", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
+	self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Admin: "a", Zone: "d000", Region: "r00", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
 	core := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Routed: &Routed{HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
 	for now := time.Hour; now < time.Hour+6*time.Second; now += 20 * time.Millisecond {
@@ -19,7 +19,7 @@
 		if core.IsLeading() {
 			for i := range 182 {
 				name := fmt.Sprintf("n%03d", i)
-				core.noteBeat(&schema.Beat{Node: &schema.Node{Id: name, Address: name, Proxy: name, Door: name, District: fmt.Sprintf("d%03d", i), Region: fmt.Sprintf("r%02d", i%46), Incarnation: 1, State: schema.NodeState_NODE_READY}})
+				core.noteBeat(&schema.Heartbeat{Node: &schema.Node{Id: name, Address: name, Proxy: name, Admin: name, Zone: fmt.Sprintf("d%03d", i), Region: fmt.Sprintf("r%02d", i%46), Incarnation: 1, State: schema.NodeState_NODE_READY}})
 			}
 		}
 		for range 8 {
@@ -41,24 +41,24 @@
 		name      string
 		districts map[string]string
 		district  string
-		decline   schema.DeclineKind
+		decline   schema.RefusalKind
 		known     int
 	}{
-		{"its own", map[string]string{"d1": "r1"}, "d1", schema.DeclineKind_DECLINE_NONE, 1},
-		{"another in its region", map[string]string{"d1": "r1", "d2": "r1"}, "d2", schema.DeclineKind_DECLINE_NONE, 2},
-		{"another in a region without machines", map[string]string{"d1": "r1", "d9": "r9"}, "d9", schema.DeclineKind_DECLINE_NONE, 2},
-		{"one that the deployment has not", map[string]string{"d1": "r1", "d2": "r1"}, "d3", schema.DeclineKind_DECLINE_UNKNOWN, 2},
-		{"none told", nil, "d1", schema.DeclineKind_DECLINE_NONE, 1},
+		{"its own", map[string]string{"d1": "r1"}, "d1", schema.RefusalKind_REFUSAL_NONE, 1},
+		{"another in its region", map[string]string{"d1": "r1", "d2": "r1"}, "d2", schema.RefusalKind_REFUSAL_NONE, 2},
+		{"another in a region without machines", map[string]string{"d1": "r1", "d9": "r9"}, "d9", schema.RefusalKind_REFUSAL_NONE, 2},
+		{"one that the deployment has not", map[string]string{"d1": "r1", "d2": "r1"}, "d3", schema.RefusalKind_REFUSAL_UNKNOWN, 2},
+		{"none told", nil, "d1", schema.RefusalKind_REFUSAL_NONE, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Door: "a", District: "d1", Region: "r1", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
+			self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Admin: "a", Zone: "d1", Region: "r1", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
 			core := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 				Routed: &Routed{Districts: c.districts, HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
-			var outcome *schema.OperatorOutcome
+			var outcome *schema.OperatorResponse
 			for now := time.Hour; now < time.Hour+8*time.Second; now += 20 * time.Millisecond {
 				core.Tick(now)
 				if now == time.Hour+6*time.Second {
-					core.Operate(now, 1, &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_EMPTY, District: c.district})
+					core.Operate(now, 1, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_EMPTY, Zone: c.district})
 				}
 				for range 8 {
 					effects := core.Take()
@@ -71,10 +71,10 @@
 					core.Synced(now, effects)
 				}
 			}
-			if outcome == nil || outcome.Decline != c.decline || len(core.view.Districts) != c.known {
+			if outcome == nil || outcome.Refusal != c.decline || len(core.view.Districts) != c.known {
 				t.Fatalf("outcome %v, %d districts, want %v and %d", outcome, len(core.view.Districts), c.decline, c.known)
 			}
-			if got := core.view.Districts[c.district].GetEmptied(); got != (c.decline == schema.DeclineKind_DECLINE_NONE) {
+			if got := core.view.Districts[c.district].GetEmptied(); got != (c.decline == schema.RefusalKind_REFUSAL_NONE) {
 				t.Fatalf("emptied: %v", got)
 			}
 		})
--- a/internal/core/driver_test.go
+++ b/internal/core/driver_test.go
@@ -30,14 +30,14 @@
 				t.Fatal(err)
 			}
 			now := time.Hour
-			self := &schema.Node{Id: "a", Address: "a", District: "d", Region: "r", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
+			self := &schema.Node{Id: "a", Address: "a", Zone: "d", Region: "r", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
 			machine := core.New(now, core.Options{Self: self, Seeds: []string{"a", "b", "c"}, System: "s", Hard: state.Hard, Image: state.Image, Items: state.Items,
 				Draw: func(n int64) int64 { return n - 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 			var finish func(error)
 			votes, others := 0, 0
 			driver := &core.Driver{Core: machine, Journal: j, Now: func() time.Duration { return now }, Publish: func() {}, Answer: func(core.Outcome) {}, Synced: func(time.Duration, error) {},
 				Send: func(_ string, f *schema.Frame) {
-					if raft := f.GetRaft(); raft != nil && raft.Kind == schema.RaftKind_RAFT_VOTE_OUTCOME && !raft.Declined {
+					if raft := f.GetRaft(); raft != nil && raft.Kind == schema.RaftKind_RAFT_VOTE_RESPONSE && !raft.Rejected {
 						votes++
 					} else {
 						others++
--- a/internal/core/founding_test.go
+++ b/internal/core/founding_test.go
@@ -30,7 +30,7 @@
 			cores := map[string]*Core{}
 			names := []string{"a", "b", "c", "d", "e"}
 			for _, name := range names {
-				self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Door: name, District: "z", Region: "r"}
+				self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "r"}
 				for _, disk := range c.disks {
 					self.Disk = self.Disk || string(disk) == name
 				}
--- a/internal/core/frames_test.go
+++ b/internal/core/frames_test.go
@@ -13,7 +13,7 @@
 
 func TestFramesKeepWhatTheyWereSentWith(t *testing.T) {
 	ms := time.Millisecond
-	peer := &schema.Node{Id: "p", Address: "p", District: "z", Region: "r", State: schema.NodeState_NODE_READY}
+	peer := &schema.Node{Id: "p", Address: "p", Zone: "z", Region: "r", State: schema.NodeState_NODE_READY}
 	lostSelf := &schema.Node{Id: "n", Address: "n", State: schema.NodeState_NODE_LOST, Incarnation: 5}
 	for _, c := range []struct {
 		name   string
@@ -23,14 +23,14 @@
 	}{
 		{"shuffles before a stop", "x", nil, func(core *Core, now time.Duration) { core.Stop(now) }},
 		{"questions for a system before a stop", "", nil, func(core *Core, now time.Duration) { core.Stop(now) }},
-		{"an introduction before a stop", "x", &schema.Frame{System: "x", From: "p", Address: "p", Body: &schema.Frame_Who{Who: &schema.Who{Node: peer}}}, func(core *Core, now time.Duration) { core.Stop(now) }},
+		{"an introduction before a stop", "x", &schema.Frame{System: "x", From: "p", Address: "p", Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: peer}}}, func(core *Core, now time.Duration) { core.Stop(now) }},
 		{"shuffles before a refuted suspicion", "x", nil, func(core *Core, now time.Duration) {
 			core.Receive(now, &schema.Frame{System: "x", From: "p", Address: "p", Body: &schema.Frame_Shuffle{Shuffle: &schema.Shuffle{Nodes: []*schema.Node{lostSelf}, Reply: true}}})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Hour
-			core := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", District: "z", Region: "r", State: schema.NodeState_NODE_READY}, Seeds: []string{"s"}, System: c.system,
+			core := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r", State: schema.NodeState_NODE_READY}, Seeds: []string{"s"}, System: c.system,
 				Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
 			if c.heard != nil {
 				core.Receive(now, c.heard)
@@ -43,7 +43,7 @@
 			carriers := 0
 			for _, send := range sends {
 				before = append(before, proto.Clone(send.Frame).(*schema.Frame))
-				if send.Frame.GetShuffle() != nil || send.Frame.GetWho() != nil || len(send.Frame.GetWhoOutcome().GetNodes()) > 0 {
+				if send.Frame.GetShuffle() != nil || send.Frame.GetDiscoverRequest() != nil || len(send.Frame.GetDiscoverResponse().GetNodes()) > 0 {
 					carriers++
 				}
 			}
--- a/internal/core/history_test.go
+++ b/internal/core/history_test.go
@@ -81,7 +81,7 @@
 	o.open++
 	index := len(o.operations)
 	o.operations = append(o.operations, porcupine.Operation{ClientId: index, Input: op, Call: int64(w.now), Output: answer{isUnknown: true}, Return: int64(1 << 62)})
-	query := &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_SHOW}
+	query := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW}
 	if !op.isRead {
 		query = routesOf(op.generation, op.base, op.text)
 	}
@@ -120,16 +120,16 @@
 		if len(up) == 0 {
 			return
 		}
-		w.order(up[w.random.Intn(len(up))], query, func(outcome *schema.OperatorOutcome) {
+		w.order(up[w.random.Intn(len(up))], query, func(outcome *schema.OperatorResponse) {
 			switch {
 			case isDone || w.random.Float64() < o.ackLoss:
-			case outcome.Decline == schema.DeclineKind_DECLINE_NO_LEADER || outcome.Decline == schema.DeclineKind_DECLINE_DOUBTFUL:
+			case outcome.Refusal == schema.RefusalKind_REFUSAL_NO_LEADER || outcome.Refusal == schema.RefusalKind_REFUSAL_AMBIGUOUS:
 				if tries == number {
 					again(time.Duration(50*number) * time.Millisecond)
 				}
 			case op.isRead:
 				end(answer{version: outcome.Version, text: string(outcome.Document)})
-			case outcome.Decline == schema.DeclineKind_DECLINE_NONE:
+			case outcome.Refusal == schema.RefusalKind_REFUSAL_NONE:
 				o.taken++
 				end(answer{isTaken: true})
 			default:
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -156,7 +156,7 @@
 		}
 		if _, isKnown := districts[district]; !isKnown && nextDistrict < constants.Increment {
 			districts[district] = region
-			put(image.DistrictKey(district), image.Put(image.DistrictKey(district), &schema.District{Name: district, Region: region, Residue: nextDistrict}))
+			put(image.DistrictKey(district), image.Put(image.DistrictKey(district), &schema.Zone{Name: district, Region: region, Residue: nextDistrict}))
 			nextDistrict += 2
 		}
 	}
@@ -172,16 +172,16 @@
 		if c.now-g.heard > constants.NodeLostAfter || !c.isFitNode(g.node) {
 			continue
 		}
-		if region, isKnown := districts[g.node.District]; isKnown && region != g.node.Region {
-			c.log.Error("node names a district under another region and is declined; mend its settings", "node", id, "district", g.node.District, "region", g.node.Region, "known", region)
+		if region, isKnown := districts[g.node.Zone]; isKnown && region != g.node.Region {
+			c.log.Error("node names a district under another region and is declined; mend its settings", "node", id, "district", g.node.Zone, "region", g.node.Region, "known", region)
 			continue
 		}
-		admit(g.node.District, g.node.Region)
+		admit(g.node.Zone, g.node.Region)
 		if c.routed != nil && newest[g.node.Address] > g.node.Incarnation {
 			continue
 		}
 		fresh := proto.Clone(g.node).(*schema.Node)
-		if row == nil || row.State != fresh.State || row.Address != fresh.Address || row.Proxy != fresh.Proxy || row.Door != fresh.Door || row.SpeaksLow != fresh.SpeaksLow || row.SpeaksHigh != fresh.SpeaksHigh || row.Incarnation < fresh.Incarnation {
+		if row == nil || row.State != fresh.State || row.Address != fresh.Address || row.Proxy != fresh.Proxy || row.Admin != fresh.Admin || row.SpeaksLow != fresh.SpeaksLow || row.SpeaksHigh != fresh.SpeaksHigh || row.Incarnation < fresh.Incarnation {
 			put(image.NodeKey(id), image.Put(image.NodeKey(id), fresh))
 		}
 	}
@@ -264,7 +264,7 @@
 				isLate = true
 				continue
 			}
-			members = append(members, &schema.Member{Id: id, Address: node.Address, District: node.District})
+			members = append(members, &schema.Member{Id: id, Address: node.Address, Zone: node.Zone})
 		}
 		isSame := set != nil && slices.EqualFunc(set.Members, members, func(a, b *schema.Member) bool { return proto.Equal(a, b) })
 		isSmaller := set != nil && slices.ContainsFunc(set.Members, func(m *schema.Member) bool {
@@ -277,14 +277,14 @@
 			Guards: []*schema.Guard{{Key: key, Index: c.table.Get(key).GetIndex()}}}
 		switch {
 		case !isSame && (set == nil || isSmaller || !isUnready && !isLate):
-			fresh := &schema.Keepers{Region: region, Number: set.GetNumber() + 1, Members: members, Former: set.GetMembers(), Fenced: set != nil, First: set == nil}
+			fresh := &schema.ReplicaSet{Region: region, Number: set.GetNumber() + 1, Members: members, Former: set.GetMembers(), Fenced: set != nil, First: set == nil}
 			record.Rows = []*schema.Row{image.Put(key, fresh)}
 		case set.GetFenced():
 			isReleased, _ := c.released(c.table.Get(key).GetIndex())
 			if !isReleased {
 				continue
 			}
-			fresh := proto.Clone(set).(*schema.Keepers)
+			fresh := proto.Clone(set).(*schema.ReplicaSet)
 			fresh.Fenced = false
 			record.Rows = []*schema.Row{image.Put(key, fresh)}
 		}
@@ -308,7 +308,7 @@
 		share := map[string]int{}
 		isWarm := map[string]bool{}
 		for _, backend := range service.Backends {
-			district := c.view.Districts[backend.District]
+			district := c.view.Districts[backend.Zone]
 			if district != nil && district.Region == region && !district.Emptied && backend.State == schema.BackendState_BACKEND_READY && !backend.Failing {
 				share[backend.Instance] = 0
 				isWarm[backend.Instance] = !backend.Cold
@@ -339,7 +339,7 @@
 			return best
 		}
 		record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "keys of " + name}
-		put := func(slot uint32, fresh *schema.KeyRange) {
+		put := func(slot uint32, fresh *schema.ShardSlot) {
 			key := image.SlotKey(name, slot)
 			record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: c.table.Get(key).GetIndex()})
 			record.Rows = append(record.Rows, image.Put(key, fresh))
@@ -350,7 +350,7 @@
 			target := least()
 			switch {
 			case row == nil:
-				put(slot, &schema.KeyRange{Service: name, Slot: slot, Instance: target, Number: 1})
+				put(slot, &schema.ShardSlot{Service: name, Slot: slot, Instance: target, Number: 1})
 				share[target]++
 			case row.Next != "":
 				if c.isKeyFree(c.table.Get(image.SlotKey(name, slot)).GetIndex()) {
@@ -359,14 +359,14 @@
 						next = target
 						share[next]++
 					}
-					put(slot, &schema.KeyRange{Service: name, Slot: slot, Instance: next, Number: row.Number + 1})
+					put(slot, &schema.ShardSlot{Service: name, Slot: slot, Instance: next, Number: row.Number + 1})
 				}
 			case !isAble:
-				put(slot, &schema.KeyRange{Service: name, Slot: slot, Instance: row.Instance, Number: row.Number + 1, Next: target})
+				put(slot, &schema.ShardSlot{Service: name, Slot: slot, Instance: row.Instance, Number: row.Number + 1, Next: target})
 				share[target]++
 				moving++
 			case moving < constants.KeyMoves && isWarm[target] && share[row.Instance] > share[target]+2:
-				put(slot, &schema.KeyRange{Service: name, Slot: slot, Instance: row.Instance, Number: row.Number + 1, Next: target})
+				put(slot, &schema.ShardSlot{Service: name, Slot: slot, Instance: row.Instance, Number: row.Number + 1, Next: target})
 				share[row.Instance]--
 				share[target]++
 				moving++
--- a/internal/core/losses_test.go
+++ b/internal/core/losses_test.go
@@ -39,7 +39,7 @@
 // add starts a machine with an empty disk at another address in a zone.
 func (w *world) add(zone, region string) *machine {
 	w.added++
-	m := &machine{w: w, name: fmt.Sprintf("n%02d", w.added), zone: zone, region: region, isDisk: true, isFounded: true, disk: sim.NewDisk(), answers: map[uint64]func(*schema.OperatorOutcome){}}
+	m := &machine{w: w, name: fmt.Sprintf("n%02d", w.added), zone: zone, region: region, isDisk: true, isFounded: true, disk: sim.NewDisk(), answers: map[uint64]func(*schema.OperatorResponse){}}
 	w.machines = append(w.machines, m)
 	m.start()
 	return m
@@ -230,12 +230,12 @@
 // The leader tells how many more voters may be lost, and why no more.
 func TestTheLeaderTellsWhatIsBorne(t *testing.T) {
 	w := newWorld(t, 1, 6, 0)
-	ask := func() (outcome *schema.OperatorOutcome) {
-		w.order(w.leader(), &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_STATUS}, func(o *schema.OperatorOutcome) { outcome = o })
+	ask := func() (outcome *schema.OperatorResponse) {
+		w.order(w.leader(), &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}, func(o *schema.OperatorResponse) { outcome = o })
 		w.run(time.Second)
 		return outcome
 	}
-	if got := ask(); got.GetLossesBorne() != 2 || len(got.GetSilentVoters()) != 0 {
+	if got := ask(); got.GetToleratedLosses() != 2 || len(got.GetUnresponsiveVoters()) != 0 {
 		t.Fatalf("of six voters: %v", got)
 	}
 	lost := 0
@@ -246,7 +246,7 @@
 		}
 	}
 	w.run(2200 * time.Millisecond)
-	if got := ask(); got.GetLossesBorne() != 1 {
+	if got := ask(); got.GetToleratedLosses() != 1 {
 		t.Fatalf("with two of six lost: %v", got)
 	}
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -80,7 +80,7 @@
 		}
 		i := memberAt(members.Learners, id)
 		if i < 0 {
-			members.Learners = append(members.Learners, &schema.Member{Id: id, Address: g.node.Address, District: g.node.District})
+			members.Learners = append(members.Learners, &schema.Member{Id: id, Address: g.node.Address, Zone: g.node.Zone})
 			return "disk machine " + id + " joins as learner"
 		}
 		if c.hasCaughtUp(id) {
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -18,7 +18,7 @@
 // Operators' orders: the leader decides them, the other nodes pass them on to it.
 
 // Operate takes a local operator's query.
-func (c *Core) Operate(now time.Duration, ticket uint64, query *schema.OperatorQuery) {
+func (c *Core) Operate(now time.Duration, ticket uint64, query *schema.OperatorRequest) {
 	c.now = now
 	c.operate(&waiter{ticket: ticket, query: query})
 }
@@ -41,13 +41,13 @@
 	case schema.OperatorKind_OPERATOR_EMPTY, schema.OperatorKind_OPERATOR_RESTORE:
 		c.operateDistrict(w)
 	default:
-		c.reply(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_UNKNOWN, Message: "unknown operator query"})
+		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Message: "unknown operator query"})
 	}
 }
 
-func (c *Core) reply(w *waiter, outcome *schema.OperatorOutcome) {
+func (c *Core) reply(w *waiter, outcome *schema.OperatorResponse) {
 	if w.to != "" {
-		c.send(w.to, &schema.Frame{Call: w.call, Body: &schema.Frame_OperatorOutcome{OperatorOutcome: outcome}})
+		c.send(w.to, &schema.Frame{Call: w.call, Body: &schema.Frame_OperatorResponse{OperatorResponse: outcome}})
 		return
 	}
 	c.effects.Outcomes = append(c.effects.Outcomes, Outcome{w.ticket, outcome})
@@ -56,11 +56,11 @@
 // operateElsewhere has another node decide an order, or refuses it to the node that passed it on.
 func (c *Core) operateElsewhere(w *waiter) {
 	if w.to != "" {
-		c.reply(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_NO_LEADER, Message: "the node asked does not lead; ask again shortly"})
+		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "the node asked does not lead; ask again shortly"})
 		return
 	}
 	if c.routed == nil && (c.leader == "" || c.leader == c.self.Address || c.now-c.leaderAt > constants.NodeLostAfter) {
-		c.reply(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_NO_LEADER, Message: "no leader is known; ask again shortly, and run doctor if it lasts"})
+		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "no leader is known; ask again shortly, and run doctor if it lasts"})
 		return
 	}
 	w.isSent, w.isConfirmed = true, false
@@ -74,14 +74,14 @@
 	c.reads[c.nextRead] = w
 	if err := c.quorum.Read(c.now, c.nextRead); err != nil {
 		delete(c.reads, c.nextRead)
-		c.reply(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_NO_LEADER, Message: err.Error()})
+		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: err.Error()})
 	}
 }
 
 // answer gives an answer that rests on this machine's state and not on a commit of its own: a refusal, or the word that an order changes nothing
 // or was taken before. A machine that leads no more, and does not know it yet, would give it by old state: so a majority must have confirmed,
 // after the order came, that this one leads. The order is then decided anew on the state of that moment.
-func (c *Core) answer(w *waiter, outcome *schema.OperatorOutcome) {
+func (c *Core) answer(w *waiter, outcome *schema.OperatorResponse) {
 	if w.isConfirmed {
 		c.reply(w, outcome)
 		return
@@ -91,26 +91,26 @@
 
 func (c *Core) operatePut(w *waiter) {
 	if len(c.view.Regions) == 0 || len(c.view.Services) == 0 {
-		c.reply(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_NO_LEADER, Message: "no back end is known from the platform's list yet; ask again shortly"})
+		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "no back end is known from the platform's list yet; ask again shortly"})
 		return
 	}
 	if c.pending[image.HeadKey] > c.table.Version() {
-		c.answer(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_CONFLICT, Version: image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey)).GetVersion() + 1,
+		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Version: image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey)).GetVersion() + 1,
 			Message: "another configuration is being accepted; read it, merge, and put again"})
 		return
 	}
 	if head := image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey)); w.query.Key != "" && head.GetOperatorKey() == w.query.Key {
-		c.answer(w, &schema.OperatorOutcome{Version: head.Version, Index: c.table.Get(image.HeadKey).Index})
+		c.answer(w, &schema.OperatorResponse{Version: head.Version, Index: c.table.Get(image.HeadKey).Index})
 		return
 	}
 	entries, faults := catalog.Read(w.query.Document, c.view)
 	if len(faults) > 0 {
-		c.answer(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_INVALID, Message: "the configuration is declined whole; nothing changed", Faults: faults})
+		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_INVALID, Message: "the configuration is declined whole; nothing changed", Faults: faults})
 		return
 	}
 	record, version, err := catalog.Plan(c.table, entries, w.query.Document, w.query.Base, w.query.Key)
 	if err != nil {
-		c.answer(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_CONFLICT, Message: err.Error(),
+		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Message: err.Error(),
 			Version: image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey)).GetVersion()})
 		return
 	}
@@ -121,7 +121,7 @@
 func (c *Core) submit(w *waiter, record *schema.Record, version uint64) {
 	index, term, err := c.quorum.Propose(c.now, record)
 	if err != nil {
-		c.reply(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_NO_LEADER, Message: err.Error()})
+		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: err.Error()})
 		return
 	}
 	for _, row := range record.Rows {
@@ -133,18 +133,18 @@
 
 func (c *Core) operateDistrict(w *waiter) {
 	isEmpty := w.query.Kind == schema.OperatorKind_OPERATOR_EMPTY
-	key := image.DistrictKey(w.query.District)
+	key := image.DistrictKey(w.query.Zone)
 	row := c.table.Get(key)
-	district := image.Decode[schema.District](row)
+	district := image.Decode[schema.Zone](row)
 	if district == nil {
-		c.answer(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_UNKNOWN, Message: "district " + w.query.District + " is not known; see status for the names"})
+		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Message: "district " + w.query.Zone + " is not known; see status for the names"})
 		return
 	}
 	if district.Emptied == isEmpty && c.pending[key] <= c.table.Version() {
-		c.answer(w, &schema.OperatorOutcome{Index: row.Index, Unconfirmed: c.unconfirmed(row.Index)})
+		c.answer(w, &schema.OperatorResponse{Index: row.Index, Unconfirmed: c.unconfirmed(row.Index)})
 		return
 	}
-	fresh := proto.Clone(district).(*schema.District)
+	fresh := proto.Clone(district).(*schema.Zone)
 	fresh.Emptied, fresh.Reason = isEmpty, w.query.Reason
 	fresh.Settling = c.routed != nil && !isEmpty
 	c.submit(w, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "district " + district.Name, Rows: []*schema.Row{image.Put(key, fresh)}}, 0)
@@ -163,13 +163,13 @@
 		i--
 		switch {
 		case w.term != item.Term:
-			c.reply(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_NO_LEADER, Message: "the leader changed before the query was accepted; it was not taken, ask again"})
+			c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "the leader changed before the query was accepted; it was not taken, ask again"})
 		case isVoid:
 			again = append(again, w)
 		default:
 			c.planAt = 0
 			if c.routed != nil {
-				c.reply(w, &schema.OperatorOutcome{Version: w.version, Index: w.index})
+				c.reply(w, &schema.OperatorResponse{Version: w.version, Index: w.index})
 				continue
 			}
 			w.until = c.now + constants.ConfirmWait
@@ -195,8 +195,8 @@
 func (c *Core) unconfirmed(index uint64) []string {
 	var districts []string
 	for id, node := range c.view.Nodes {
-		if g := c.nodes[id]; node.State != schema.NodeState_NODE_STOPPING && (g == nil || g.version < index) && !slices.Contains(districts, node.District) {
-			districts = append(districts, node.District)
+		if g := c.nodes[id]; node.State != schema.NodeState_NODE_STOPPING && (g == nil || g.version < index) && !slices.Contains(districts, node.Zone) {
+			districts = append(districts, node.Zone)
 		}
 	}
 	slices.Sort(districts)
@@ -213,7 +213,7 @@
 
 func (c *Core) confirm() {
 	c.confirming = slices.DeleteFunc(c.confirming, func(w *waiter) bool {
-		outcome := &schema.OperatorOutcome{Version: w.version, Index: w.index, Unconfirmed: c.unconfirmed(w.index)}
+		outcome := &schema.OperatorResponse{Version: w.version, Index: w.index, Unconfirmed: c.unconfirmed(w.index)}
 		isOver := len(outcome.Unconfirmed) == 0 || c.now >= w.until || !c.IsLeading()
 		if isOver {
 			c.reply(w, outcome)
@@ -234,15 +234,15 @@
 		return
 	}
 	document := image.Decode[schema.CatalogDocument](c.table.Get(image.DocumentKey))
-	outcome := &schema.OperatorOutcome{Version: document.GetVersion(), Document: document.GetDocument(), Index: c.table.Version()}
+	outcome := &schema.OperatorResponse{Version: document.GetVersion(), Document: document.GetDocument(), Index: c.table.Version()}
 	if w.query.Kind == schema.OperatorKind_OPERATOR_STATUS {
-		outcome = &schema.OperatorOutcome{Version: document.GetVersion(), Index: c.operated(), Unconfirmed: c.unconfirmed(c.operated()),
+		outcome = &schema.OperatorResponse{Version: document.GetVersion(), Index: c.operated(), Unconfirmed: c.unconfirmed(c.operated()),
 			Reports: c.reports(), Changes: c.changes}
-		outcome.LossesBorne, outcome.SilentVoters = c.lossesBorne()
+		outcome.ToleratedLosses, outcome.UnresponsiveVoters = c.lossesBorne()
 	}
 	head := image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey))
 	if w.query.Kind == schema.OperatorKind_OPERATOR_ASK && head.GetOperatorKey() != w.query.Key {
-		outcome = &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_UNKNOWN, Version: head.GetVersion(),
+		outcome = &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Version: head.GetVersion(),
 			Message: "the newest configuration was not put with that key; read it back and compare"}
 	}
 	c.reply(w, outcome)
@@ -268,7 +268,7 @@
 		c.operate(w)
 		return
 	}
-	c.reply(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_NO_LEADER, Message: "the leader changed while it answered; ask again"})
+	c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "the leader changed while it answered; ask again"})
 }
 
 func (c *Core) expire() {
@@ -279,13 +279,13 @@
 		if w := c.waiters[i]; c.now > w.until {
 			c.waiters = slices.Delete(c.waiters, i, i+1)
 			i--
-			c.reply(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_DOUBTFUL, Message: "no majority answered in time; the query may still be taken, ask with its key or read back"})
+			c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_AMBIGUOUS, Message: "no majority answered in time; the query may still be taken, ask with its key or read back"})
 		}
 	}
 	for ticket, w := range c.reads {
 		if c.now > w.until {
 			delete(c.reads, ticket)
-			c.reply(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_NO_LEADER, Message: "no majority answered in time; ask again"})
+			c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "no majority answered in time; ask again"})
 		}
 	}
 	for prefix, at := range c.wanted {
@@ -302,7 +302,7 @@
 
 func (c *Core) operatePutRoutes(w *waiter) {
 	if c.routed == nil {
-		c.reply(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_UNKNOWN, Message: "this fleet carries entries, not routes; put a configuration of entries"})
+		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Message: "this fleet carries entries, not routes; put a configuration of entries"})
 		return
 	}
 	if c.pending[image.HeadKey] > c.table.Version() {
@@ -314,24 +314,24 @@
 	digest := sha256.Sum256(config.GetDocument())
 	switch routes.Recall(c.table, config, digest[:]) {
 	case routes.Accepted:
-		c.answer(w, &schema.OperatorOutcome{Version: config.Version, Index: c.table.Get(image.HeadKey).Index})
+		c.answer(w, &schema.OperatorResponse{Version: config.Version, Index: c.table.Get(image.HeadKey).Index})
 		return
 	case routes.Forgotten:
-		c.answer(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_DOUBTFUL, Version: head.GetVersion(),
+		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_AMBIGUOUS, Version: head.GetVersion(),
 			Message: "this configuration is older than what is remembered of accepted ones; read the newest back and compare"})
 		return
 	}
 	if config.GetBase() != head.GetVersion() {
-		c.answer(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_CONFLICT, Version: head.GetVersion(), Message: "another configuration is in place; read it, merge, and put again on its version"})
+		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Version: head.GetVersion(), Message: "another configuration is in place; read it, merge, and put again on its version"})
 		return
 	}
 	if faults := routes.Check(config, head.GetVersion(), c.view); len(faults) > 0 {
-		c.answer(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_INVALID, Version: head.GetVersion(), Message: "the configuration is declined whole; nothing changed", Faults: faults})
+		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_INVALID, Version: head.GetVersion(), Message: "the configuration is declined whole; nothing changed", Faults: faults})
 		return
 	}
 	record := routes.Plan(c.table, config, digest[:])
 	if !c.fits(record) {
-		c.answer(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_OVERSIZE, Version: head.GetVersion(),
+		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_OVERSIZE, Version: head.GetVersion(),
 			Message: "the change, or the state with it, does not fit the disks of this system's voters; put it in several smaller changes, put fewer routes, or give them larger disks"})
 		return
 	}
@@ -369,7 +369,7 @@
 	c.routed.deferred = nil
 	for _, w := range deferred {
 		if c.now > w.until {
-			c.reply(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_NO_LEADER, Message: "another configuration was not settled in time; ask again"})
+			c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "another configuration was not settled in time; ask again"})
 			continue
 		}
 		c.operate(w)
@@ -384,13 +384,13 @@
 		if !slices.Contains(w.asked, c.leader) {
 			w.asked = append(w.asked, c.leader)
 		}
-		c.send(c.leader, &schema.Frame{Call: w.ticket, Body: &schema.Frame_OperatorQuery{OperatorQuery: w.query}})
+		c.send(c.leader, &schema.Frame{Call: w.ticket, Body: &schema.Frame_OperatorRequest{OperatorRequest: w.query}})
 	}
 }
 
 // takeOutcome takes another node's answer to an order that was passed on. Only an answer to an order of this life, from a node that it was
 // passed on to, is given to whoever waits for it.
-func (c *Core) takeOutcome(f *schema.Frame, outcome *schema.OperatorOutcome) {
+func (c *Core) takeOutcome(f *schema.Frame, outcome *schema.OperatorResponse) {
 	at := slices.IndexFunc(c.waiters, func(w *waiter) bool { return w.isSent && w.ticket == f.Call && slices.Contains(w.asked, f.Address) })
 	if at < 0 {
 		c.strays++
@@ -405,8 +405,8 @@
 }
 
 // mayAskAgain tells that an answer only says that another node must be asked, and there is time to: operators wait longer after each failure.
-func (c *Core) mayAskAgain(w *waiter, outcome *schema.OperatorOutcome) bool {
-	if c.routed == nil || outcome.Decline != schema.DeclineKind_DECLINE_NO_LEADER || c.now >= w.bornAt+constants.OperatorPatience {
+func (c *Core) mayAskAgain(w *waiter, outcome *schema.OperatorResponse) bool {
+	if c.routed == nil || outcome.Refusal != schema.RefusalKind_REFUSAL_NO_LEADER || c.now >= w.bornAt+constants.OperatorPatience {
 		return false
 	}
 	w.hasWay = false
@@ -433,7 +433,7 @@
 			c.passOn(w)
 		case !w.hasWay:
 			c.waiters = slices.DeleteFunc(c.waiters, func(other *waiter) bool { return other == w })
-			c.reply(w, &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_NO_LEADER, Message: "no leader is known; ask again shortly, and run doctor if it lasts"})
+			c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "no leader is known; ask again shortly, and run doctor if it lasts"})
 		}
 	}
 }
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -20,17 +20,17 @@
 	names    []string
 	cores    map[string]*Core
 	isDown   map[string]bool
-	outcomes map[uint64]*schema.OperatorOutcome
+	outcomes map[uint64]*schema.OperatorResponse
 	ticket   uint64
 }
 
 func newFleet(t *testing.T) *fleet { return newFleetOf(t) }
 
 func newFleetOf(t testing.TB) *fleet {
-	f := &fleet{t: t, now: time.Hour, names: []string{"a", "b", "c", "r"}, cores: map[string]*Core{}, isDown: map[string]bool{}, outcomes: map[uint64]*schema.OperatorOutcome{}}
+	f := &fleet{t: t, now: time.Hour, names: []string{"a", "b", "c", "r"}, cores: map[string]*Core{}, isDown: map[string]bool{}, outcomes: map[uint64]*schema.OperatorResponse{}}
 	random := rand.New(rand.NewSource(3))
 	for _, name := range f.names {
-		self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Door: name, District: "z", Region: "g", Disk: name != "r", Incarnation: 1, State: schema.NodeState_NODE_READY}
+		self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "g", Disk: name != "r", Incarnation: 1, State: schema.NodeState_NODE_READY}
 		f.cores[name] = New(f.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 			Routed: &Routed{HoldMost: 10 * time.Second, Districts: map[string]string{"z": "g", "y": "g"}, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
 	}
@@ -89,31 +89,31 @@
 }
 
 // order gives a query to a machine, and its ticket.
-func (f *fleet) order(at string, query *schema.OperatorQuery) uint64 {
+func (f *fleet) order(at string, query *schema.OperatorRequest) uint64 {
 	f.ticket++
 	f.cores[at].Operate(f.now, f.ticket, query)
 	return f.ticket
 }
 
-func (f *fleet) declined(ticket uint64) schema.DeclineKind {
+func (f *fleet) declined(ticket uint64) schema.RefusalKind {
 	f.t.Helper()
 	outcome := f.outcomes[ticket]
 	if outcome == nil {
 		f.t.Fatalf("order %d has no answer", ticket)
 	}
-	return outcome.Decline
+	return outcome.Refusal
 }
 
-func configOf(generation, base uint64, text string) *schema.OperatorQuery {
-	return &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: &schema.RouteConfig{Version: generation, Base: base, Document: []byte(text),
+func configOf(generation, base uint64, text string) *schema.OperatorRequest {
+	return &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: &schema.RouteConfig{Version: generation, Base: base, Document: []byte(text),
 		Services: []*schema.ServicePolicy{{Service: "copper"}},
 		Routes:   []*schema.Route{{Name: text, Host: "h", Prefix: "/" + text + "/", TimeoutMs: 1000, Targets: []*schema.Target{{Service: "copper", Weight: 1}}}}}}
 }
 
 const (
-	taken    = schema.DeclineKind_DECLINE_NONE
-	conflict = schema.DeclineKind_DECLINE_CONFLICT
-	invalid  = schema.DeclineKind_DECLINE_INVALID
+	taken    = schema.RefusalKind_REFUSAL_NONE
+	conflict = schema.RefusalKind_REFUSAL_CONFLICT
+	invalid  = schema.RefusalKind_REFUSAL_INVALID
 )
 
 func TestOrdersOfConfigurations(t *testing.T) {
@@ -122,7 +122,7 @@
 		text             string
 		// at is whom the order is given to: leader, or another by number.
 		at   int
-		want schema.DeclineKind
+		want schema.RefusalKind
 	}
 	const leader = -1
 	first := put{1, 0, "one", leader, taken}
@@ -236,7 +236,7 @@
 					if !isAtOnce && i%2 > 0 {
 						at = f.other(i)
 					}
-					tickets = append(tickets, f.order(at, &schema.OperatorQuery{Kind: kind, District: "y", Reason: "operator"}))
+					tickets = append(tickets, f.order(at, &schema.OperatorRequest{Kind: kind, Zone: "y", Reason: "operator"}))
 					if !isAtOnce {
 						f.run(time.Second)
 					}
@@ -254,7 +254,7 @@
 				}
 				f.isDown[f.leader()] = true
 				f.run(5 * time.Second)
-				again := f.order(f.other(0), &schema.OperatorQuery{Kind: c.orders[len(c.orders)-1], District: "y", Reason: "operator"})
+				again := f.order(f.other(0), &schema.OperatorRequest{Kind: c.orders[len(c.orders)-1], Zone: "y", Reason: "operator"})
 				f.run(time.Second)
 				if got := f.declined(again); got != taken {
 					t.Errorf("the last again, after the leader was lost: %v", got)
@@ -279,7 +279,7 @@
 				f.cores[leader].Stop(f.now)
 			}
 			f.run(3 * time.Second)
-			if f.declined(ticket) != taken && f.declined(ticket) != schema.DeclineKind_DECLINE_NO_LEADER {
+			if f.declined(ticket) != taken && f.declined(ticket) != schema.RefusalKind_REFUSAL_NO_LEADER {
 				t.Fatalf("%v", f.outcomes[ticket])
 			}
 			f.isDown[leader] = true
@@ -301,7 +301,7 @@
 // wipe brings a machine back without its disk, under another identity.
 func (f *fleet) wipe(name string) {
 	random := rand.New(rand.NewSource(int64(f.now)))
-	self := &schema.Node{Id: fmt.Sprintf("id-%s-%d", name, f.now), Address: name, Proxy: name, Door: name, District: "z", Region: "g", Disk: true, Incarnation: uint64(f.now.Milliseconds()), State: schema.NodeState_NODE_READY}
+	self := &schema.Node{Id: fmt.Sprintf("id-%s-%d", name, f.now), Address: name, Proxy: name, Admin: name, Zone: "z", Region: "g", Disk: true, Incarnation: uint64(f.now.Milliseconds()), State: schema.NodeState_NODE_READY}
 	f.cores[name] = New(f.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: random.Int63n, Rejoin: true, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Routed: &Routed{HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
 	f.isDown[name] = false
@@ -354,8 +354,8 @@
 func TestAnOrderWhoseRecordIsVoidIsDecidedAnew(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		order *schema.OperatorQuery
-		want  schema.DeclineKind
+		order *schema.OperatorRequest
+		want  schema.RefusalKind
 		head  uint64
 	}{
 		{"the same order", configOf(2, 1, "two"), taken, 2},
--- a/internal/core/pass_on_test.go
+++ b/internal/core/pass_on_test.go
@@ -13,36 +13,36 @@
 	type step struct {
 		after   time.Duration
 		leader  string
-		answer  *schema.OperatorOutcome
+		answer  *schema.OperatorResponse
 		sends   int
-		decline schema.DeclineKind
+		decline schema.RefusalKind
 		isDone  bool
 	}
 	ms := time.Millisecond
-	noLeader := &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_NO_LEADER}
+	noLeader := &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER}
 	for _, c := range []struct {
 		name  string
 		steps []step
 	}{
-		{"the leader answers", []step{{leader: "l", sends: 0}, {after: 420 * ms, sends: 1}, {answer: &schema.OperatorOutcome{Version: 7}, isDone: true}}},
-		{"a leader is known after a while", []step{{after: 420 * ms}, {after: 200 * ms, leader: "l"}, {after: 220 * ms, sends: 1}, {answer: &schema.OperatorOutcome{}, isDone: true}}},
-		{"the former leader was asked", []step{{leader: "old"}, {after: 420 * ms, sends: 1}, {answer: noLeader}, {after: 20 * ms, leader: "new"}, {after: 100 * ms, sends: 1}, {answer: &schema.OperatorOutcome{}, isDone: true}}},
-		{"the query was lost on its way", []step{{leader: "l"}, {after: 420 * ms, sends: 1}, {after: 420 * ms, sends: 1}, {answer: &schema.OperatorOutcome{}, isDone: true}}},
-		{"there is no leader", []step{{after: 420 * ms}, {after: 420 * ms}, {after: 420 * ms, decline: schema.DeclineKind_DECLINE_NO_LEADER, isDone: true}}},
-		{"nobody leads to the end", []step{{leader: "l"}, {after: 420 * ms, sends: 1}, {after: 480 * ms, sends: 1}, {after: 100 * ms}, {answer: noLeader, decline: schema.DeclineKind_DECLINE_NO_LEADER, isDone: true}}},
+		{"the leader answers", []step{{leader: "l", sends: 0}, {after: 420 * ms, sends: 1}, {answer: &schema.OperatorResponse{Version: 7}, isDone: true}}},
+		{"a leader is known after a while", []step{{after: 420 * ms}, {after: 200 * ms, leader: "l"}, {after: 220 * ms, sends: 1}, {answer: &schema.OperatorResponse{}, isDone: true}}},
+		{"the former leader was asked", []step{{leader: "old"}, {after: 420 * ms, sends: 1}, {answer: noLeader}, {after: 20 * ms, leader: "new"}, {after: 100 * ms, sends: 1}, {answer: &schema.OperatorResponse{}, isDone: true}}},
+		{"the query was lost on its way", []step{{leader: "l"}, {after: 420 * ms, sends: 1}, {after: 420 * ms, sends: 1}, {answer: &schema.OperatorResponse{}, isDone: true}}},
+		{"there is no leader", []step{{after: 420 * ms}, {after: 420 * ms}, {after: 420 * ms, decline: schema.RefusalKind_REFUSAL_NO_LEADER, isDone: true}}},
+		{"nobody leads to the end", []step{{leader: "l"}, {after: 420 * ms, sends: 1}, {after: 480 * ms, sends: 1}, {after: 100 * ms}, {answer: noLeader, decline: schema.RefusalKind_REFUSAL_NO_LEADER, isDone: true}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Hour
-			core := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", District: "z", Region: "r"}, Seeds: []string{"s"}, System: "x", Draw: func(int64) int64 { return 0 },
+			core := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r"}, Seeds: []string{"s"}, System: "x", Draw: func(int64) int64 { return 0 },
 				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
-			core.Operate(now, 5, &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_SHOW})
+			core.Operate(now, 5, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
 			core.Take()
 			for i, s := range c.steps {
 				if s.leader != "" {
 					core.leader, core.leaderAt = s.leader, now
 				}
 				if s.answer != nil {
-					core.Receive(now, &schema.Frame{System: "x", From: core.leader, Address: core.leader, Call: 5, Outcome: true, Body: &schema.Frame_OperatorOutcome{OperatorOutcome: s.answer}})
+					core.Receive(now, &schema.Frame{System: "x", From: core.leader, Address: core.leader, Call: 5, Response: true, Body: &schema.Frame_OperatorResponse{OperatorResponse: s.answer}})
 				}
 				for until := now + s.after; now < until; {
 					now += 20 * ms
@@ -54,7 +54,7 @@
 				sends := 0
 				effects := core.Take()
 				for _, send := range effects.Sends {
-					if send.Frame.GetOperatorQuery() != nil {
+					if send.Frame.GetOperatorRequest() != nil {
 						sends++
 						if send.To != core.leader || send.Frame.Call != 5 {
 							t.Errorf("step %d: sent to %s as call %d", i, send.To, send.Frame.Call)
@@ -64,7 +64,7 @@
 				if sends != s.sends {
 					t.Fatalf("step %d: passed on %d times, want %d", i, sends, s.sends)
 				}
-				if isDone := len(effects.Outcomes) > 0; isDone != s.isDone || isDone && effects.Outcomes[0].Outcome.Decline != s.decline {
+				if isDone := len(effects.Outcomes) > 0; isDone != s.isDone || isDone && effects.Outcomes[0].Outcome.Refusal != s.decline {
 					t.Fatalf("step %d: outcomes %v", i, effects.Outcomes)
 				}
 			}
@@ -88,11 +88,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Hour
-			core := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", District: "z", Region: "r"}, Seeds: []string{"s"}, System: "x", Draw: func(int64) int64 { return 0 },
+			core := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r"}, Seeds: []string{"s"}, System: "x", Draw: func(int64) int64 { return 0 },
 				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
 			core.leader, core.leaderAt = "l", now
-			core.Operate(now, 5, &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_SHOW})
-			answer := &schema.Frame{System: "x", From: c.from, Address: c.from, Call: c.call, Outcome: true, Body: &schema.Frame_OperatorOutcome{OperatorOutcome: &schema.OperatorOutcome{Version: 7}}}
+			core.Operate(now, 5, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
+			answer := &schema.Frame{System: "x", From: c.from, Address: c.from, Call: c.call, Response: true, Body: &schema.Frame_OperatorResponse{OperatorResponse: &schema.OperatorResponse{Version: 7}}}
 			core.Receive(now, answer)
 			if got := len(core.Take().Outcomes) == 1; got != c.want {
 				t.Fatalf("given to the caller: %v, want %v", got, c.want)
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -27,16 +27,16 @@
 	// Fits tells whether a record can be logged; nil is always.
 	Fits func(*schema.Record) bool
 	// FitsWhole tells whether a snapshot of the whole state fits the disk; nil is always.
-	FitsWhole func(*schema.Image) bool
+	FitsWhole func(*schema.Snapshot) bool
 	// Heat gives the requests by key since it was last asked.
-	Heat func(since time.Duration) []*schema.KeyHeat
+	Heat func(since time.Duration) []*schema.ShardLoad
 	// Vitals give the back ends that failed this node's requests, or served it although they are failing, since it was last asked; nil is none.
-	Vitals func() []*schema.Vital
+	Vitals func() []*schema.HealthReport
 }
 
 type nodeHeat struct {
 	at    time.Duration
-	heats []*schema.KeyHeat
+	heats []*schema.ShardLoad
 }
 
 // GrantCall is a call to a back end, with the granter's life that made it.
@@ -57,7 +57,7 @@
 	dead     map[string]bool
 	deferred []*waiter
 	// relayed are the beats that this node took for the leader since it last told it.
-	relayed   map[string]*schema.Beat
+	relayed   map[string]*schema.Heartbeat
 	beatTo    string
 	beatState schema.NodeState
 	// disks are the seeds that answered, and whether they have one; founder is who shall found the system if none has.
@@ -67,7 +67,7 @@
 }
 
 func newRoutedState(options Options) *routedState {
-	r := &routedState{options: options.Routed, heats: map[string][]nodeHeat{}, dead: map[string]bool{}, relayed: map[string]*schema.Beat{}, disks: map[string]bool{}}
+	r := &routedState{options: options.Routed, heats: map[string][]nodeHeat{}, dead: map[string]bool{}, relayed: map[string]*schema.Heartbeat{}, disks: map[string]bool{}}
 	r.resign(options)
 	return r
 }
@@ -82,7 +82,7 @@
 	r.dead = map[string]bool{}
 }
 
-func (r *routedState) takeHeat(now time.Duration) []*schema.KeyHeat {
+func (r *routedState) takeHeat(now time.Duration) []*schema.ShardLoad {
 	if r.options.Heat == nil || now-r.heatAt < constants.HeatEvery {
 		return nil
 	}
@@ -91,7 +91,7 @@
 	return r.options.Heat(span)
 }
 
-func (r *routedState) noteHeat(now time.Duration, node string, heats []*schema.KeyHeat) {
+func (r *routedState) noteHeat(now time.Duration, node string, heats []*schema.ShardLoad) {
 	reports := append(r.heats[node], nodeHeat{now, heats})
 	r.heats[node] = reports[max(0, len(reports)-constants.HeatReports):]
 }
--- a/internal/core/seeds_test.go
+++ b/internal/core/seeds_test.go
@@ -27,7 +27,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			drawn := int64(0)
-			core := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", District: "z", Region: "r"}, Seeds: []string{"old-1", "old-2"}, System: c.system, Rejoin: true,
+			core := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r"}, Seeds: []string{"old-1", "old-2"}, System: c.system, Rejoin: true,
 				Draw: func(n int64) int64 { drawn++; return drawn % n }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 				Routed: &Routed{HoldMost: time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
 			now := time.Hour
--- a/internal/core/source_test.go
+++ b/internal/core/source_test.go
@@ -18,11 +18,11 @@
 	}{{"it never answers", 0}, {"it ends after a while", 2 * time.Second}, {"it ends soon after", 2*time.Second + 400*time.Millisecond}} {
 		t.Run(c.name, func(t *testing.T) {
 			drawn := int64(0)
-			core := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", District: "z", Region: "r"}, Seeds: []string{"a", "b"}, System: "x", Rejoin: true,
+			core := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r"}, Seeds: []string{"a", "b"}, System: "x", Rejoin: true,
 				Draw: func(n int64) int64 { drawn++; return drawn % n }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 				Routed: &Routed{HoldMost: time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
 			for _, id := range []string{"a", "b"} {
-				core.near.Learn(&schema.Node{Id: id, Address: id, District: "z", Region: "r", Disk: true})
+				core.near.Learn(&schema.Node{Id: id, Address: id, Zone: "z", Region: "r", Disk: true})
 			}
 			begun := time.Hour
 			first, heardAt, leftAt := "", begun, time.Duration(0)
@@ -30,7 +30,7 @@
 				core.Tick(now)
 				for _, send := range core.Take().Sends {
 					if probe := send.Frame.GetProbe(); probe != nil && (send.To != first || now < begun+c.speaks) {
-						core.Receive(now, &schema.Frame{System: "x", From: send.To, Address: send.To, Body: &schema.Frame_ProbeOutcome{ProbeOutcome: &schema.ProbeOutcome{Subject: send.To, Serial: probe.Serial}}})
+						core.Receive(now, &schema.Frame{System: "x", From: send.To, Address: send.To, Body: &schema.Frame_ProbeResponse{ProbeResponse: &schema.ProbeResponse{Subject: send.To, Serial: probe.Serial}}})
 					}
 					if send.Frame.GetSubscribe() == nil {
 						continue
--- a/internal/core/spread.go
+++ b/internal/core/spread.go
@@ -167,14 +167,14 @@
 		return
 	}
 	c.digestAt = c.now
-	digest := &schema.Digest{Version: c.table.Version()}
+	digest := &schema.DigestRequest{Version: c.table.Version()}
 	for _, prefix := range c.prefixes() {
 		if c.held[prefix] {
 			digest.Ranges = append(digest.Ranges, c.table.Digest(prefix))
 		}
 	}
 	if len(digest.Ranges) > 0 {
-		c.send(c.source.address, &schema.Frame{Body: &schema.Frame_Digest{Digest: digest}})
+		c.send(c.source.address, &schema.Frame{Body: &schema.Frame_DigestRequest{DigestRequest: digest}})
 	}
 }
 
@@ -312,5 +312,5 @@
 	if known := c.near.Known(); len(known) > 0 && c.options.Draw(2) == 0 {
 		to = known[c.options.Draw(int64(len(known)))].Address
 	}
-	c.send(to, &schema.Frame{Body: &schema.Frame_Who{Who: &schema.Who{Node: c.near.Self()}}})
+	c.send(to, &schema.Frame{Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: c.near.Self()}}})
 }
--- a/internal/core/startup_world_test.go
+++ b/internal/core/startup_world_test.go
@@ -93,7 +93,7 @@
 	}
 	for b := range startupBackends {
 		home := f.nodes[f.random.Intn(len(f.nodes))].self
-		f.listing = append(f.listing, roster.Listed{Service: startupService(b % startupServices), Instance: fmt.Sprintf("backend%06d", b), Address: fmt.Sprintf("10.100.0.%d:8080", b), District: home.District, Slots: 6})
+		f.listing = append(f.listing, roster.Listed{Service: startupService(b % startupServices), Instance: fmt.Sprintf("backend%06d", b), Address: fmt.Sprintf("10.100.0.%d:8080", b), District: home.Zone, Slots: 6})
 	}
 	for _, n := range f.nodes {
 		begins := time.Duration(f.random.Intn(1000)) * time.Millisecond
@@ -110,8 +110,8 @@
 	region := zone % startupRegions
 	n := &startupNode{index: index, links: map[int]*startupLink{}, random: rand.New(rand.NewSource(f.random.Int63()))}
 	address := func(port int) string { return fmt.Sprintf("10.%d.0.%d:%d", region, index, port) }
-	n.self = &schema.Node{Id: fmt.Sprintf("%012x", f.random.Int63()&0xffffffffffff), Address: address(7001), Proxy: address(7002), Door: address(7003),
-		District: fmt.Sprintf("region%02d-zone%d", region, zone/startupRegions), Region: fmt.Sprintf("region%02d", region), Incarnation: 1, State: schema.NodeState_NODE_READY}
+	n.self = &schema.Node{Id: fmt.Sprintf("%012x", f.random.Int63()&0xffffffffffff), Address: address(7001), Proxy: address(7002), Admin: address(7003),
+		Zone: fmt.Sprintf("region%02d-zone%d", region, zone/startupRegions), Region: fmt.Sprintf("region%02d", region), Incarnation: 1, State: schema.NodeState_NODE_READY}
 	n.self.Disk = index < startupDiskNodes
 	return n
 }
@@ -203,12 +203,12 @@
 }
 
 // heat stands in for the work of the keyed service: a few buckets of it.
-func (n *startupNode) heat(span time.Duration) []*schema.KeyHeat {
-	h := &schema.KeyHeat{Service: startupService(0), SpanMs: uint32(span.Milliseconds())}
+func (n *startupNode) heat(span time.Duration) []*schema.ShardLoad {
+	h := &schema.ShardLoad{Service: startupService(0), SpanMs: uint32(span.Milliseconds())}
 	for bucket := n.random.Intn(64); bucket < constants.HeatBuckets; bucket += 64 + n.random.Intn(64) {
 		h.Buckets, h.BusyMs = append(h.Buckets, uint32(bucket)), append(h.BusyMs, uint32(1+n.random.Intn(20)))
 	}
-	return []*schema.KeyHeat{h}
+	return []*schema.ShardLoad{h}
 }
 
 func (f *startupFleet) seeds() []string {
@@ -230,7 +230,7 @@
 
 func (f *startupFleet) delay(a, b *startupNode) time.Duration {
 	switch {
-	case a.self.District == b.self.District:
+	case a.self.Zone == b.self.Zone:
 		return 200 * time.Microsecond
 	case a.self.Region == b.self.Region:
 		return time.Millisecond
@@ -300,7 +300,7 @@
 		f.t.Fatalf("no leader at %v", f.now)
 	}
 	f.putAt[version] = f.now
-	query := &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: startupConfig(version)}
+	query := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: startupConfig(version)}
 	f.step(leader, func() { leader.core.Operate(f.clock(leader), version, query) })
 }
 
--- a/internal/core/version_test.go
+++ b/internal/core/version_test.go
@@ -24,7 +24,7 @@
 }
 
 func (w *mixedWorld) add(name string, speaks versions.Span) {
-	self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Door: name, District: "z", Region: "r", Disk: name <= "c", Incarnation: 1, State: schema.NodeState_NODE_READY}
+	self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "r", Disk: name <= "c", Incarnation: 1, State: schema.NodeState_NODE_READY}
 	w.cores[name] = New(w.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: w.random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Speaks: speaks, RiseAfter: 4 * time.Second,
 		Routed: &Routed{HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
 	w.names = append(w.names, name)
@@ -121,11 +121,11 @@
 			t.Errorf("%s still works: %v", name, effects)
 		}
 	}
-	landed := &schema.Beat{Serial: 1, Node: &schema.Node{Id: "id-g", Address: "g", Proxy: "g", Door: "g", District: "z", Region: "r", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}}
+	landed := &schema.Heartbeat{Serial: 1, Node: &schema.Node{Id: "id-g", Address: "g", Proxy: "g", Admin: "g", Zone: "z", Region: "r", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}}
 	for range 20 {
 		for _, name := range []string{"a", "b", "c"} {
 			core := w.cores[name]
-			core.Receive(w.now, &schema.Frame{System: core.system, From: "id-g", Address: "g", Body: &schema.Frame_Beat{Beat: landed}})
+			core.Receive(w.now, &schema.Frame{System: core.system, From: "id-g", Address: "g", Body: &schema.Frame_Heartbeat{Heartbeat: landed}})
 		}
 		w.run(t, 400*time.Millisecond)
 	}
@@ -169,17 +169,17 @@
 	members := &schema.Members{Voters: []*schema.Member{{Id: "n", Address: "n"}}}
 	for _, c := range []struct {
 		name  string
-		image *schema.Image
+		image *schema.Snapshot
 		items []*schema.LogItem
 		want  string
 	}{
-		{"its own version", &schema.Image{Index: 3, Term: 1, Members: members, Rows: rows(2)}, nil, ""},
-		{"a newer image", &schema.Image{Index: 3, Term: 1, Members: members, Rows: rows(3)}, nil, "version 3"},
-		{"a newer record in the log", &schema.Image{Index: 3, Term: 1, Members: members}, []*schema.LogItem{{Index: 4, Term: 1, Record: &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows(3)}}}, "version 3"},
-		{"a kind of record that it doesn't know", &schema.Image{Index: 3, Term: 1, Members: members}, []*schema.LogItem{{Index: 4, Term: 1, Record: &schema.Record{Kind: 77}}}, "unknown kind 77"},
+		{"its own version", &schema.Snapshot{Index: 3, Term: 1, Members: members, Rows: rows(2)}, nil, ""},
+		{"a newer image", &schema.Snapshot{Index: 3, Term: 1, Members: members, Rows: rows(3)}, nil, "version 3"},
+		{"a newer record in the log", &schema.Snapshot{Index: 3, Term: 1, Members: members}, []*schema.LogItem{{Index: 4, Term: 1, Record: &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows(3)}}}, "version 3"},
+		{"a kind of record that it doesn't know", &schema.Snapshot{Index: 3, Term: 1, Members: members}, []*schema.LogItem{{Index: 4, Term: 1, Record: &schema.Record{Kind: 77}}}, "unknown kind 77"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			core := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", District: "z", Region: "r", Disk: true}, Seeds: []string{"n"}, System: "x", Draw: func(int64) int64 { return 0 },
+			core := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r", Disk: true}, Seeds: []string{"n"}, System: "x", Draw: func(int64) int64 { return 0 },
 				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }},
 				Hard: &schema.HardState{Term: 1, Id: "n", System: "x", Commit: 4}, Image: c.image, Items: c.items, Restart: true})
 			for now := time.Hour; now < time.Hour+5*time.Second; now += 20 * time.Millisecond {
--- a/internal/core/vitals_test.go
+++ b/internal/core/vitals_test.go
@@ -12,17 +12,17 @@
 )
 
 func TestNodesWordsMakeABackEndFailing(t *testing.T) {
-	vitals := func(ids ...string) []*schema.Vital {
-		var told []*schema.Vital
+	vitals := func(ids ...string) []*schema.HealthReport {
+		var told []*schema.HealthReport
 		for _, id := range ids {
-			told = append(told, &schema.Vital{Instance: id, Failing: true})
+			told = append(told, &schema.HealthReport{Instance: id, Failing: true})
 		}
 		return told
 	}
 	for _, c := range []struct {
 		name string
 		// told by the leader itself, straight to it, and through a relay in one beat.
-		own, straight, relayed []*schema.Vital
+		own, straight, relayed []*schema.HealthReport
 		want                   bool
 	}{
 		{"the leader's word alone", vitals("i-0"), nil, nil, false},
@@ -31,10 +31,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			node := func(id string) *schema.Node {
-				return &schema.Node{Id: id, Address: id, Proxy: id, Door: id, District: "d", Region: "r", Disk: id == "a", Incarnation: 1, State: schema.NodeState_NODE_READY}
+				return &schema.Node{Id: id, Address: id, Proxy: id, Admin: id, Zone: "d", Region: "r", Disk: id == "a", Incarnation: 1, State: schema.NodeState_NODE_READY}
 			}
 			core := New(time.Hour, Options{Self: node("a"), Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-				Routed: &Routed{HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }, Vitals: func() []*schema.Vital { return c.own }}})
+				Routed: &Routed{HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }, Vitals: func() []*schema.HealthReport { return c.own }}})
 			isFailing := false
 			for now := time.Hour; now < time.Hour+12*time.Second; now += 20 * time.Millisecond {
 				core.Tick(now)
@@ -46,9 +46,9 @@
 					}
 					core.SetListing(now, roster.Listing{Items: items, BegunAt: now, IsWhole: true})
 					for i := range 4 {
-						core.noteBeat(&schema.Beat{Node: node(fmt.Sprint("idle-", i))})
+						core.noteBeat(&schema.Heartbeat{Node: node(fmt.Sprint("idle-", i))})
 					}
-					core.takeBeatRouted(nil, &schema.Beat{Node: node("b"), Vitals: c.straight, Relayed: []*schema.Beat{{Node: node("c"), Vitals: c.relayed}}})
+					core.takeBeatRouted(nil, &schema.Heartbeat{Node: node("b"), Health: c.straight, Relayed: []*schema.Heartbeat{{Node: node("c"), Health: c.relayed}}})
 				}
 				for range 8 {
 					effects := core.Take()
@@ -74,14 +74,14 @@
 }
 
 func TestRelaysJoinTheWordsOfOneNode(t *testing.T) {
-	peer := &schema.Node{Id: "b", Address: "b", District: "d", Region: "r", State: schema.NodeState_NODE_READY}
-	core := New(time.Hour, Options{Self: &schema.Node{Id: "a", Address: "a", District: "d", Region: "r", Disk: true, State: schema.NodeState_NODE_READY}, Seeds: []string{"s"}, System: "x",
+	peer := &schema.Node{Id: "b", Address: "b", Zone: "d", Region: "r", State: schema.NodeState_NODE_READY}
+	core := New(time.Hour, Options{Self: &schema.Node{Id: "a", Address: "a", Zone: "d", Region: "r", Disk: true, State: schema.NodeState_NODE_READY}, Seeds: []string{"s"}, System: "x",
 		Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
 	for _, id := range []string{"i-1", "i-2"} {
-		core.takeBeatRouted(nil, &schema.Beat{Node: peer, Vitals: []*schema.Vital{{Instance: id, Failing: true}}})
+		core.takeBeatRouted(nil, &schema.Heartbeat{Node: peer, Health: []*schema.HealthReport{{Instance: id, Failing: true}}})
 	}
-	core.takeBeatRouted(nil, &schema.Beat{Node: peer})
-	if told := core.routed.relayed["b"].GetVitals(); len(told) != 2 {
+	core.takeBeatRouted(nil, &schema.Heartbeat{Node: peer})
+	if told := core.routed.relayed["b"].GetHealth(); len(told) != 2 {
 		t.Fatalf("the relay tells %v", told)
 	}
 }
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -57,7 +57,7 @@
 	writing     func() error
 	syncTime    time.Duration
 	frozenUntil time.Duration
-	answers     map[uint64]func(*schema.OperatorOutcome)
+	answers     map[uint64]func(*schema.OperatorResponse)
 	ticket      uint64
 	isFounded   bool
 }
@@ -116,7 +116,7 @@
 		log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 	for i := range voters + readers {
 		place := i % 6
-		m := &machine{w: w, name: fmt.Sprintf("m%02d", i), region: fmt.Sprint("r", place%3), zone: fmt.Sprint("z", place), isDisk: i < voters, disk: sim.NewDisk(), answers: map[uint64]func(*schema.OperatorOutcome){}}
+		m := &machine{w: w, name: fmt.Sprintf("m%02d", i), region: fmt.Sprint("r", place%3), zone: fmt.Sprint("z", place), isDisk: i < voters, disk: sim.NewDisk(), answers: map[uint64]func(*schema.OperatorResponse){}}
 		w.machines = append(w.machines, m)
 	}
 	for _, m := range w.machines {
@@ -187,7 +187,7 @@
 
 func (m *machine) start() {
 	w := m.w
-	self := &schema.Node{Id: fmt.Sprintf("%s-%d", m.name, m.life), Address: m.name, Proxy: m.name, Door: m.name, District: m.zone, Region: m.region, Disk: m.isDisk,
+	self := &schema.Node{Id: fmt.Sprintf("%s-%d", m.name, m.life), Address: m.name, Proxy: m.name, Admin: m.name, Zone: m.zone, Region: m.region, Disk: m.isDisk,
 		Incarnation: uint64(w.now.Milliseconds()), State: schema.NodeState_NODE_READY}
 	options := core.Options{Self: self, Seeds: w.seeds(), Draw: w.random.Int63n, Log: w.log.With("machine", m.name), Rejoin: m.isFounded,
 		Routed: &core.Routed{HoldMost: 10 * time.Second, Districts: w.districts(), Quiet: 4 * time.Second, Fits: w.sizes.Fits, FitsWhole: w.sizes.FitsImage, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}}
@@ -311,7 +311,7 @@
 func (m *machine) kill() {
 	m.isUp = false
 	m.life++
-	m.answers = map[uint64]func(*schema.OperatorOutcome){}
+	m.answers = map[uint64]func(*schema.OperatorResponse){}
 	m.disk.Flush()
 }
 
@@ -319,7 +319,7 @@
 func (m *machine) cutPower() {
 	m.isUp = false
 	m.life++
-	m.answers = map[uint64]func(*schema.OperatorOutcome){}
+	m.answers = map[uint64]func(*schema.OperatorResponse){}
 	if m.writing != nil {
 		m.disk.CutAfter(m.w.random.Intn(6))
 		_ = m.writing()
@@ -347,7 +347,7 @@
 }
 
 // order gives an order to a machine, which may answer later or never.
-func (w *world) order(m *machine, query *schema.OperatorQuery, take func(*schema.OperatorOutcome)) {
+func (w *world) order(m *machine, query *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
 	if !m.isUp {
 		return
 	}
@@ -355,7 +355,7 @@
 	ticket := m.ticket
 	m.answers[ticket] = take
 	w.on(m, time.Millisecond, func() {
-		m.core.Operate(w.now, ticket, proto.Clone(query).(*schema.OperatorQuery))
+		m.core.Operate(w.now, ticket, proto.Clone(query).(*schema.OperatorRequest))
 		m.performSoon()
 	})
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -75,7 +75,7 @@
 	match := &Match{Origin: origin.String(), Version: local.View.Head.Version, Number: owner.Number, LiveMilli: constants.MatchLife.Milliseconds()}
 	var nodes []*schema.Node
 	for _, node := range local.View.Nodes {
-		if node.District == owner.District && node.State == schema.NodeState_NODE_READY {
+		if node.Zone == owner.District && node.State == schema.NodeState_NODE_READY {
 			nodes = append(nodes, node)
 		}
 	}
@@ -86,7 +86,7 @@
 	first := int(draw(int64(len(nodes))))
 	for i := range min(len(nodes), constants.MatchProxies) {
 		node := nodes[(first+i)%len(nodes)]
-		match.Proxies = append(match.Proxies, Proxy{node.Proxy, node.District, node.Region})
+		match.Proxies = append(match.Proxies, Proxy{node.Proxy, node.Zone, node.Region})
 	}
 	return match, nil, ""
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -14,7 +14,7 @@
 	table := image.NewTable()
 	rows := []*schema.Row{
 		image.Put(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}), image.Put(image.RegionKey("south"), &schema.Region{Name: "south", Residue: 3}),
-		image.Put(image.DistrictKey("north-a"), &schema.District{Name: "north-a", Region: "north"}), image.Put(image.DistrictKey("south-a"), &schema.District{Name: "south-a", Region: "south", Residue: 2}),
+		image.Put(image.DistrictKey("north-a"), &schema.Zone{Name: "north-a", Region: "north"}), image.Put(image.DistrictKey("south-a"), &schema.Zone{Name: "south-a", Region: "south", Residue: 2}),
 		image.Put(image.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
 		image.Put(image.EntryKey("ledger", "/home"), &schema.Entry{Service: "ledger", Path: "/home", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, HomeRegions: []string{"south"}}),
 		image.Put(image.EntryKey("ledger", "/pay"), &schema.Entry{Service: "ledger", Path: "/pay", Methods: []string{"POST"}}),
@@ -22,12 +22,12 @@
 		image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "south", Number: 103}),
 	}
 	for _, path := range []string{"/b", "/home", "/pay"} {
-		rows = append(rows, image.Put(image.StandingKey("ledger", path, "south"), &schema.Standing{Service: "ledger", Path: path, Region: "south", Number: 102}),
-			image.Put(image.StandingKey("ledger", path, "north"), &schema.Standing{Service: "ledger", Path: path, Region: "north", Number: 100}))
+		rows = append(rows, image.Put(image.StandingKey("ledger", path, "south"), &schema.FailoverAssignment{Service: "ledger", Path: path, Region: "south", Number: 102}),
+			image.Put(image.StandingKey("ledger", path, "north"), &schema.FailoverAssignment{Service: "ledger", Path: path, Region: "north", Number: 100}))
 	}
 	for id, state := range map[string]schema.NodeState{"n1": schema.NodeState_NODE_READY, "n2": schema.NodeState_NODE_STOPPING, "n3": schema.NodeState_NODE_LOST} {
-		rows = append(rows, image.Put(image.NodeKey(id), &schema.Node{Id: id, District: "north-a", Region: "north", Proxy: id, State: state}),
-			image.Put(image.NodeKey("s"+id), &schema.Node{Id: "s" + id, District: "south-a", Region: "south", Proxy: "s" + id, State: state}))
+		rows = append(rows, image.Put(image.NodeKey(id), &schema.Node{Id: id, Zone: "north-a", Region: "north", Proxy: id, State: state}),
+			image.Put(image.NodeKey("s"+id), &schema.Node{Id: "s" + id, Zone: "south-a", Region: "south", Proxy: "s" + id, State: state}))
 	}
 	if _, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows}, nil); err != nil {
 		t.Fatal(err)
--- a/internal/frame/agree.go
+++ b/internal/frame/agree.go
@@ -62,7 +62,7 @@
 
 // Write sends one frame, which stays as it is.
 func (w *Writer) Write(frame *schema.Frame) error {
-	told := &schema.Frame{Call: frame.Call, Outcome: frame.Outcome, Body: frame.Body}
+	told := &schema.Frame{Call: frame.Call, Response: frame.Response, Body: frame.Body}
 	isKnown := frame.From != "" && isSameOrigin(frame, w.origin)
 	if !isKnown || !versions.Has(w.agreed.Load(), versions.SenderOnce) {
 		told.System, told.From, told.Address = frame.System, frame.From, frame.Address
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	if answer.Body != nil || answer.From != "" || answer.System != "" || answer.Address != "" || answer.Call != 0 || answer.Outcome {
+	if answer.Body != nil || answer.From != "" || answer.System != "" || answer.Address != "" || answer.Call != 0 || answer.Response {
 		return &AnswerError{}
 	}
 	peer, err := versions.Told(answer.SpeaksLow, answer.SpeaksHigh)
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -36,7 +36,7 @@
 		}
 		conn.Close()
 	}
-	good := &schema.Frame{From: "a", Body: &schema.Frame_Who{Who: &schema.Who{Node: &schema.Node{Id: "a"}}}}
+	good := &schema.Frame{From: "a", Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: &schema.Node{Id: "a"}}}}
 	n.Send("127.0.0.1:39217", proto.Clone(good).(*schema.Frame))
 	if got := <-taken; !proto.Equal(got, good) {
 		t.Fatalf("got %v", got)
@@ -58,7 +58,7 @@
 
 func TestOriginsAreToldOncePerConnection(t *testing.T) {
 	probe := func(system, from, address string) *schema.Frame {
-		return &schema.Frame{System: system, From: from, Address: address, Call: 7, Outcome: true, Body: &schema.Frame_Probe{Probe: &schema.Probe{Subject: "s", Serial: 3}}}
+		return &schema.Frame{System: system, From: from, Address: address, Call: 7, Response: true, Body: &schema.Frame_Probe{Probe: &schema.Probe{Subject: "s", Serial: 3}}}
 	}
 	bare := proto.Size(probe("", "", "")) + 4
 	for _, c := range []struct {
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -61,12 +61,12 @@
 }
 
 func isOpen(view *image.View, backend *schema.Backend) bool {
-	district := view.Districts[backend.District]
+	district := view.Districts[backend.Zone]
 	return district != nil && !district.Emptied && backend.State == schema.BackendState_BACKEND_READY
 }
 
 func isCold(view *image.View, backend *schema.Backend) bool {
-	return backend.Cold || view.Districts[backend.District].GetSettling()
+	return backend.Cold || view.Districts[backend.Zone].GetSettling()
 }
 
 // Choose picks the back end for the next attempt. The owner group of the origin comes first, near before far;
@@ -98,7 +98,7 @@
 	if backend == nil || !isOpen(s.View, backend) {
 		return Choice{Refusal: RefusalMoving}
 	}
-	region := s.View.Districts[backend.District].Region
+	region := s.View.Districts[backend.Zone].Region
 	at := slices.IndexFunc(places, func(p standing.Place) bool { return p.Region == region })
 	if at < 0 {
 		if len(s.Route.HomeRegions) > 0 && !slices.Contains(s.Route.HomeRegions, region) {
@@ -120,7 +120,7 @@
 func (s Situation) strain(c candidate) float64 {
 	sharers := 0
 	for _, node := range s.View.Nodes {
-		if node.District == s.Self.District && node.State == schema.NodeState_NODE_READY {
+		if node.Zone == s.Self.Zone && node.State == schema.NodeState_NODE_READY {
 			sharers++
 		}
 	}
@@ -136,7 +136,7 @@
 	open := 0
 	for rank, place := range places {
 		for _, backend := range service.Backends {
-			if !isOpen(s.View, backend) || !place.Holds(backend.District) || slices.Contains(s.Tried, backend.Instance) {
+			if !isOpen(s.View, backend) || !place.Holds(backend.Zone) || slices.Contains(s.Tried, backend.Instance) {
 				continue
 			}
 			c := candidate{backend: backend, place: place, reading: s.Loads.Read(s.Now, backend.Instance), isCold: isCold(s.View, backend)}
@@ -148,7 +148,7 @@
 			switch {
 			case rank > 0:
 				c.cost += aim * constants.RegionPenalty * float64(rank)
-			case backend.District != s.Self.District:
+			case backend.Zone != s.Self.Zone:
 				c.cost += aim * constants.DistrictPenalty
 			}
 			c.cost *= 1 + float64(s.Draw(1000))/1000*constants.CostJitter
@@ -157,7 +157,7 @@
 				resting = append(resting, c)
 				continue
 			}
-			if backend.Failing && !c.isCold && !slices.Contains(backend.Sponsors, s.Self.Id) {
+			if backend.Failing && !c.isCold && !slices.Contains(backend.SlowStartSenders, s.Self.Id) {
 				c.outTo = s.Now + constants.OutlierOutMost
 				out = append(out, c)
 				continue
@@ -168,14 +168,14 @@
 				continue
 			}
 			if c.isCold {
-				if len(backend.Sponsors) == 0 || !slices.Contains(backend.Sponsors, s.Self.Id) {
+				if len(backend.SlowStartSenders) == 0 || !slices.Contains(backend.SlowStartSenders, s.Self.Id) {
 					refusal = RefusalCold
 					continue
 				}
 				c.cost *= constants.ColdPenalty
 			}
 			if best == nil || c.cost < best.cost {
-				if c.isCold && !s.Loads.MayCold(s.Now, backend.Instance, service.Policy, len(backend.Sponsors)) {
+				if c.isCold && !s.Loads.MayCold(s.Now, backend.Instance, service.Policy, len(backend.SlowStartSenders)) {
 					refusal = RefusalCold
 					continue
 				}
--- a/internal/gateway/failing_test.go
+++ b/internal/gateway/failing_test.go
@@ -14,7 +14,7 @@
 
 func TestChoiceAmongFailing(t *testing.T) {
 	isFailing := func(sponsors ...string) func(*schema.Backend) {
-		return func(b *schema.Backend) { b.Failing, b.Sponsors = true, sponsors }
+		return func(b *schema.Backend) { b.Failing, b.SlowStartSenders = true, sponsors }
 	}
 	few := func(turn func(*schema.Backend)) func(*world) {
 		return func(w *world) {
@@ -42,7 +42,7 @@
 		{"the holder of a key is used all the same", func(w *world) {
 			few(isFailing())(w)
 			w.put(image.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", Keyed: true})
-			w.put(image.SpanKey("copper", 0), &schema.KeySpan{Service: "copper", Last: 65535, Instance: "bad", Fence: 1})
+			w.put(image.SpanKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: "bad", Fence: 1})
 		}, func(s *Situation) { s.Key, s.HasKey = 7, true }, "bad"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -110,7 +110,7 @@
 }
 
 // Vitals are the back ends that failed this node's requests, or served it although they are failing, since it was last asked.
-func (g *Gateway) Vitals() []*schema.Vital {
+func (g *Gateway) Vitals() []*schema.HealthReport {
 	failing := map[string]bool{}
 	for _, service := range g.options.Local().View.Services {
 		for _, backend := range service.Backends {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -32,7 +32,7 @@
 			order := p.course.Next(p.now, p.view, event)
 			switch order.Kind {
 			case OrderConnect:
-				region := p.view.Districts[order.Backend.District].Region
+				region := p.view.Districts[order.Backend.Zone].Region
 				if len(route.HomeRegions) > 0 && !slices.Contains(route.HomeRegions, region) {
 					t.Fatalf("seed %d: sent to %s, homes are %v", seed, region, route.HomeRegions)
 				}
@@ -94,7 +94,7 @@
 			w.backend(c.holder, c.district, "10.0.0.1:80", turn)
 			w.backend("i-other-kol", "kol-a", "10.0.0.2:80")
 			w.backend("i-other-tor", "tor-a", "10.0.0.3:80")
-			w.put(image.SpanKey("copper", 0), &schema.KeySpan{Service: "copper", Last: 65535, Instance: c.holder, Fence: 1})
+			w.put(image.SpanKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: c.holder, Fence: 1})
 			choice := Choose(Situation{Now: time.Hour, View: w.settle(), Self: self, Loads: NewLoads(0, bounds), Draw: func(int64) int64 { return 0 },
 				Route: &schema.Route{TargetMs: 400, HomeRegions: c.homes}, Service: "copper", Key: 77, HasKey: true, Token: "t"})
 			if choice.Refusal != c.want || c.want == RefusalNone && choice.Backend.Instance != c.holder {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -134,7 +134,7 @@
 }
 
 // TakeVitals gives the back ends that failed requests, or that served although they are failing, since it was last asked.
-func (l *Loads) TakeVitals(now time.Duration, isFailing func(id string) bool) []*schema.Vital {
+func (l *Loads) TakeVitals(now time.Duration, isFailing func(id string) bool) []*schema.HealthReport {
 	l.judged.lock.Lock()
 	defer l.judged.lock.Unlock()
 	return l.judged.Outliers.TakeVitals(now, isFailing)
@@ -282,13 +282,13 @@
 }
 
 // TakeHeat gives what was noted since it was last asked.
-func (l *Loads) TakeHeat(span time.Duration) []*schema.KeyHeat {
-	var heats []*schema.KeyHeat
+func (l *Loads) TakeHeat(span time.Duration) []*schema.ShardLoad {
+	var heats []*schema.ShardLoad
 	for n := range l.shards {
 		s := &l.shards[n]
 		s.lock.Lock()
 		for service, of := range s.heat {
-			heat := &schema.KeyHeat{Service: service, SpanMs: uint32(span.Milliseconds())}
+			heat := &schema.ShardLoad{Service: service, SpanMs: uint32(span.Milliseconds())}
 			for _, bucket := range slices.Sorted(maps.Keys(of)) {
 				heat.Buckets, heat.BusyMs = append(heat.Buckets, bucket), append(heat.BusyMs, of[bucket])
 			}
@@ -297,7 +297,7 @@
 		s.heat = map[string]map[uint32]uint32{}
 		s.lock.Unlock()
 	}
-	slices.SortFunc(heats, func(a, b *schema.KeyHeat) int { return strings.Compare(a.Service, b.Service) })
+	slices.SortFunc(heats, func(a, b *schema.ShardLoad) int { return strings.Compare(a.Service, b.Service) })
 	return heats
 }
 
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -26,9 +26,9 @@
 		w.put(image.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)})
 	}
 	for i, name := range []string{"kol-a", "kol-b", "tor-a"} {
-		w.put(image.DistrictKey(name), &schema.District{Name: name, Region: name[:3], Residue: uint32(2 * i)})
+		w.put(image.DistrictKey(name), &schema.Zone{Name: name, Region: name[:3], Residue: uint32(2 * i)})
 		id := fmt.Sprint("n", i+1)
-		w.put(image.NodeKey(id), &schema.Node{Id: id, District: name, Region: name[:3], State: schema.NodeState_NODE_READY})
+		w.put(image.NodeKey(id), &schema.Node{Id: id, Zone: name, Region: name[:3], State: schema.NodeState_NODE_READY})
 	}
 	w.put(image.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 16})
 	w.put(image.HeadKey, &schema.CatalogHead{Version: 1})
@@ -43,7 +43,7 @@
 }
 
 func (w *world) backend(instance, district, address string, turns ...func(*schema.Backend)) {
-	b := &schema.Backend{Service: "copper", Instance: instance, Address: address, District: district, Slots: 6, State: schema.BackendState_BACKEND_READY}
+	b := &schema.Backend{Service: "copper", Instance: instance, Address: address, Zone: district, Slots: 6, State: schema.BackendState_BACKEND_READY}
 	for _, turn := range turns {
 		turn(b)
 	}
@@ -68,7 +68,7 @@
 
 func isDraining(b *schema.Backend) { b.State = schema.BackendState_BACKEND_DRAINING }
 func isColdBy(sponsors ...string) func(*schema.Backend) {
-	return func(b *schema.Backend) { b.Cold, b.Sponsors = true, sponsors }
+	return func(b *schema.Backend) { b.Cold, b.SlowStartSenders = true, sponsors }
 }
 
-var self = &schema.Node{Id: "n1", District: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}
+var self = &schema.Node{Id: "n1", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}
--- a/internal/image/table.go
+++ b/internal/image/table.go
@@ -275,12 +275,12 @@
 }
 
 // Whole gives an image of everything.
-func (t *Table) Whole() *schema.Image {
-	return &schema.Image{Index: t.version, Rows: t.Rows(All)}
+func (t *Table) Whole() *schema.Snapshot {
+	return &schema.Snapshot{Index: t.version, Rows: t.Rows(All)}
 }
 
 // Restore replaces everything by an image.
-func (t *Table) Restore(image *schema.Image) {
+func (t *Table) Restore(image *schema.Snapshot) {
 	t.rows.Clear()
 	for _, row := range image.Rows {
 		t.rows.Put(row.Key, row)
--- a/internal/image/view.go
+++ b/internal/image/view.go
@@ -15,18 +15,18 @@
 type Service struct {
 	Name      string
 	Entries   []*schema.Entry
-	Standings map[string]map[string]*schema.Standing
+	Standings map[string]map[string]*schema.FailoverAssignment
 	Entities  map[string]*schema.Entity
 	Backends  []*schema.Backend
-	Slots     map[uint32]*schema.KeyRange
+	Slots     map[uint32]*schema.ShardSlot
 	Policy    *schema.ServicePolicy
-	Spans     []*schema.KeySpan
+	Spans     []*schema.ShardRange
 	// isSorted says that Backends stand in the order of their instances, as the table gives them.
 	isSorted bool
 }
 
 // Span gives the span that a key lies in, or nil.
-func (s *Service) Span(key uint32) *schema.KeySpan {
+func (s *Service) Span(key uint32) *schema.ShardRange {
 	i := sort.Search(len(s.Spans), func(i int) bool { return s.Spans[i].Last >= key })
 	if i < len(s.Spans) && s.Spans[i].First <= key {
 		return s.Spans[i]
@@ -58,13 +58,13 @@
 	Head      *schema.CatalogHead
 	Nodes     map[string]*schema.Node
 	Regions   map[string]*schema.Region
-	Districts map[string]*schema.District
-	Keepers   map[string]*schema.Keepers
+	Districts map[string]*schema.Zone
+	Keepers   map[string]*schema.ReplicaSet
 	Services  map[string]*Service
 	Groups    map[string]*schema.Group
 	Hosts     map[string][]*schema.Route
 	Limits    *schema.Limits
-	Defaults  map[string]*schema.Standing
+	Defaults  map[string]*schema.FailoverAssignment
 	// Fleet is the version that the fleet uses.
 	Fleet uint32
 }
@@ -82,8 +82,8 @@
 // NewView makes an empty view.
 func NewView() *View {
 	return &View{Head: &schema.CatalogHead{}, Nodes: map[string]*schema.Node{}, Regions: map[string]*schema.Region{},
-		Districts: map[string]*schema.District{}, Keepers: map[string]*schema.Keepers{}, Services: map[string]*Service{},
-		Groups: map[string]*schema.Group{}, Hosts: map[string][]*schema.Route{}, Limits: &schema.Limits{}, Defaults: map[string]*schema.Standing{}, Fleet: versions.First}
+		Districts: map[string]*schema.Zone{}, Keepers: map[string]*schema.ReplicaSet{}, Services: map[string]*Service{},
+		Groups: map[string]*schema.Group{}, Hosts: map[string][]*schema.Route{}, Limits: &schema.Limits{}, Defaults: map[string]*schema.FailoverAssignment{}, Fleet: versions.First}
 }
 
 // Entry matches a path to the service's entry with the longest fitting path.
@@ -124,9 +124,9 @@
 		case "region":
 			fresh.Regions = update(fresh.Regions, &regions, rest, Decode[schema.Region](row))
 		case "district":
-			fresh.Districts = update(fresh.Districts, &districts, rest, Decode[schema.District](row))
+			fresh.Districts = update(fresh.Districts, &districts, rest, Decode[schema.Zone](row))
 		case "keepers":
-			fresh.Keepers = update(fresh.Keepers, &keepers, rest, Decode[schema.Keepers](row))
+			fresh.Keepers = update(fresh.Keepers, &keepers, rest, Decode[schema.ReplicaSet](row))
 		case "group":
 			fresh.Groups = update(fresh.Groups, &groups, rest, Decode[schema.Group](row))
 		case "limits":
@@ -134,7 +134,7 @@
 				fresh.Limits = limits
 			}
 		case "standing":
-			fresh.Defaults = update(fresh.Defaults, &defaults, rest, Decode[schema.Standing](row))
+			fresh.Defaults = update(fresh.Defaults, &defaults, rest, Decode[schema.FailoverAssignment](row))
 		case "route":
 			host, _, _ := strings.Cut(rest, "/")
 			hosts[host] = true
@@ -189,7 +189,7 @@
 }
 
 func compile(table *Table, name string) *Service {
-	service := &Service{Name: name, Standings: map[string]map[string]*schema.Standing{}, Entities: map[string]*schema.Entity{}, Slots: map[uint32]*schema.KeyRange{}}
+	service := &Service{Name: name, Standings: map[string]map[string]*schema.FailoverAssignment{}, Entities: map[string]*schema.Entity{}, Slots: map[uint32]*schema.ShardSlot{}}
 	prefix := ServicePrefix(name)
 	isThere := false
 	table.Each(prefix, func(row *schema.Row) {
@@ -201,9 +201,9 @@
 				service.Entries = append(service.Entries, entry)
 			}
 		case "standing":
-			if standing := Decode[schema.Standing](row); standing != nil {
+			if standing := Decode[schema.FailoverAssignment](row); standing != nil {
 				if service.Standings[standing.Path] == nil {
-					service.Standings[standing.Path] = map[string]*schema.Standing{}
+					service.Standings[standing.Path] = map[string]*schema.FailoverAssignment{}
 				}
 				service.Standings[standing.Path][standing.Region] = standing
 			}
@@ -218,11 +218,11 @@
 		case "policy":
 			service.Policy = Decode[schema.ServicePolicy](row)
 		case "span":
-			if span := Decode[schema.KeySpan](row); span != nil {
+			if span := Decode[schema.ShardRange](row); span != nil {
 				service.Spans = append(service.Spans, span)
 			}
 		case "slot":
-			if slot := Decode[schema.KeyRange](row); slot != nil {
+			if slot := Decode[schema.ShardSlot](row); slot != nil {
 				service.Slots[slot.Slot] = slot
 			}
 		}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -73,7 +73,7 @@
 }
 
 // FitsImage tells whether a snapshot, packed, fits its area with a quarter to spare: rows that no operator puts are added to it later.
-func (o Options) FitsImage(image *schema.Image) bool {
+func (o Options) FitsImage(image *schema.Snapshot) bool {
 	limit := (o.ImageBytes - imageHead) * 3 / 4
 	if int64(proto.Size(image)) <= limit {
 		return true
@@ -124,7 +124,7 @@
 // State is what a journal held when it was opened.
 type State struct {
 	Hard  *schema.HardState
-	Image *schema.Image
+	Image *schema.Snapshot
 	Items []*schema.LogItem
 	Torn  bool
 }
@@ -232,7 +232,7 @@
 	return j, state, nil
 }
 
-func readImage(area Area) (*schema.Image, uint64, error) {
+func readImage(area Area) (*schema.Snapshot, uint64, error) {
 	head := make([]byte, imageHead)
 	if _, err := area.ReadAt(head, 0); err != nil {
 		return nil, 0, err
@@ -262,7 +262,7 @@
 			return nil, 0, &CorruptError{"image", imageHead}
 		}
 	}
-	image := &schema.Image{}
+	image := &schema.Snapshot{}
 	if err := proto.Unmarshal(whole, image); err != nil {
 		return nil, 0, &CorruptError{"image", imageHead}
 	}
@@ -560,7 +560,7 @@
 }
 
 // PutImage writes a whole image to the older area, reads it back, and releases the files behind it.
-func (j *Journal) PutImage(image *schema.Image) error {
+func (j *Journal) PutImage(image *schema.Snapshot) error {
 	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(image)
 	if err != nil {
 		return fmt.Errorf("encode image: %w", err)
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -66,7 +66,7 @@
 				}
 				if len(kept) > 0 {
 					imageIndex = kept[len(kept)-1].Index
-					if err := j.PutImage(&schema.Image{Index: imageIndex, Term: hard.Term}); err != nil {
+					if err := j.PutImage(&schema.Snapshot{Index: imageIndex, Term: hard.Term}); err != nil {
 						t.Fatal(err)
 					}
 					kept = nil
@@ -135,7 +135,7 @@
 	j, _ := open(t, sim.NewDisk())
 	value := make([]byte, 64<<10)
 	rand.New(rand.NewSource(1)).Read(value)
-	err := j.PutImage(&schema.Image{Index: 1, Rows: []*schema.Row{{Key: "k", Value: value}}})
+	err := j.PutImage(&schema.Snapshot{Index: 1, Rows: []*schema.Row{{Key: "k", Value: value}}})
 	var large *journal.LargeError
 	if !errors.As(err, &large) {
 		t.Fatalf("got %v", err)
@@ -164,7 +164,7 @@
 	if err := j.Append(&schema.HardState{Term: 1, Id: "a", System: "s"}, []*schema.LogItem{{Index: 1, Term: 1, Record: record}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := j.PutImage(&schema.Image{Index: 1, Term: 1, Rows: record.Rows}); err != nil {
+	if err := j.PutImage(&schema.Snapshot{Index: 1, Term: 1, Rows: record.Rows}); err != nil {
 		t.Fatal(err)
 	}
 	_, state, err := journal.Open(disk, sizes)
--- a/internal/journal/version_test.go
+++ b/internal/journal/version_test.go
@@ -12,13 +12,13 @@
 )
 
 func TestADiskOfANewerVersionIsRefusedUntouched(t *testing.T) {
-	image := func(version uint32) *schema.Image {
-		return &schema.Image{Index: 1, Term: 1, Members: &schema.Members{}, Version: version}
+	image := func(version uint32) *schema.Snapshot {
+		return &schema.Snapshot{Index: 1, Term: 1, Members: &schema.Members{}, Version: version}
 	}
 	for _, c := range []struct {
 		name  string
 		hard  uint32
-		image *schema.Image
+		image *schema.Snapshot
 		spoil func(*sim.Disk)
 		isNew bool
 	}{
--- a/internal/keys/homes_test.go
+++ b/internal/keys/homes_test.go
@@ -32,7 +32,7 @@
 	held := map[string]uint32{}
 	for _, span := range w.view.Services["a"].Spans {
 		if backend := w.view.Services["a"].Backend(span.Instance); backend != nil {
-			held[backend.District] += span.Last - span.First + 1
+			held[backend.Zone] += span.Last - span.First + 1
 		}
 	}
 	return fmt.Sprint(slices.Sorted(maps.Keys(held)))
@@ -60,7 +60,7 @@
 			w := newWorld(t, 1, 6, "a")
 			for i := range 3 {
 				district := fmt.Sprintf("d%d", i)
-				w.put("", image.Put(image.DistrictKey(district), &schema.District{Name: district, Region: fmt.Sprintf("r%d", i)}))
+				w.put("", image.Put(image.DistrictKey(district), &schema.Zone{Name: district, Region: fmt.Sprintf("r%d", i)}))
 			}
 			w.setRoutes(1, c.routes...)
 			w.run(4 * time.Second)
@@ -85,7 +85,7 @@
 	w := newWorld(t, 1, 6, "a")
 	for i := range 3 {
 		district := fmt.Sprintf("d%d", i)
-		w.put("", image.Put(image.DistrictKey(district), &schema.District{Name: district, Region: fmt.Sprintf("r%d", i)}))
+		w.put("", image.Put(image.DistrictKey(district), &schema.Zone{Name: district, Region: fmt.Sprintf("r%d", i)}))
 	}
 	w.setRoutes(1, route("/x/", 1, "r0"))
 	w.run(4 * time.Second)
@@ -96,7 +96,7 @@
 	}
 	w.cold = 0
 	w.empty("d1", true)
-	w.put("", image.Put(image.DistrictKey("d1"), &schema.District{Name: "d1", Region: "r1", Emptied: true}))
+	w.put("", image.Put(image.DistrictKey("d1"), &schema.Zone{Name: "d1", Region: "r1", Emptied: true}))
 	w.run(10 * time.Second)
 	if got := w.holding(); got != "[d2]" || w.unheld() > 0 || w.breaches > 0 {
 		t.Fatalf("with an emptied home keys are held in %s, %d not held, %d with two holders", got, w.unheld(), w.breaches)
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -248,7 +248,7 @@
 		if !strings.Contains(row.Key, "/span/") {
 			return
 		}
-		if span := image.Decode[schema.KeySpan](row); span != nil {
+		if span := image.Decode[schema.ShardRange](row); span != nil {
 			fence := span.Fence
 			if span.Releasing {
 				fence--
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -89,7 +89,7 @@
 }
 
 func (w *world) has(instance string) bool {
-	return slices.ContainsFunc(w.view.Services["a"].Spans, func(span *schema.KeySpan) bool { return span.Instance == instance })
+	return slices.ContainsFunc(w.view.Services["a"].Spans, func(span *schema.ShardRange) bool { return span.Instance == instance })
 }
 
 func TestPlannedAndUnplannedMoves(t *testing.T) {
@@ -101,10 +101,10 @@
 		change func(w *world, h *holder)
 	}{
 		{"a draining holder", 1500 * ms, false, 16384, func(w *world, h *holder) {
-			h.row = &schema.Backend{Service: "a", Instance: h.row.Instance, Address: h.row.Address, District: h.row.District, State: schema.BackendState_BACKEND_DRAINING}
+			h.row = &schema.Backend{Service: "a", Instance: h.row.Instance, Address: h.row.Address, Zone: h.row.Zone, State: schema.BackendState_BACKEND_DRAINING}
 			w.list(h)
 		}},
-		{"an emptied zone", 1500 * ms, false, 32768, func(w *world, h *holder) { w.empty(h.row.District, true) }},
+		{"an emptied zone", 1500 * ms, false, 32768, func(w *world, h *holder) { w.empty(h.row.Zone, true) }},
 		{"an ended process", 1200 * ms, true, 16384, func(w *world, h *holder) { w.crash(h) }},
 		{"a holder off the list", 8 * time.Second, true, 16384, func(w *world, h *holder) { w.strike(h) }},
 		{"a holder out of reach", 12 * time.Second, true, 16384, func(w *world, h *holder) { h.cutUntil = w.now + time.Minute }},
@@ -182,7 +182,7 @@
 	if w.has(h.row.Instance) {
 		t.Fatal("a cold newcomer got keys")
 	}
-	h.row = &schema.Backend{Service: "a", Instance: h.row.Instance, Address: h.row.Address, District: "d0", State: schema.BackendState_BACKEND_READY}
+	h.row = &schema.Backend{Service: "a", Instance: h.row.Instance, Address: h.row.Address, Zone: "d0", State: schema.BackendState_BACKEND_READY}
 	w.list(h)
 	w.run(15 * time.Second)
 	load, mean := w.loads("a")[h.row.Instance], newHeat(w.heat).total/4
@@ -228,17 +228,17 @@
 }
 
 func TestCheck(t *testing.T) {
-	span := func(first, last uint32) *schema.KeySpan { return &schema.KeySpan{First: first, Last: last} }
+	span := func(first, last uint32) *schema.ShardRange { return &schema.ShardRange{First: first, Last: last} }
 	for _, c := range []struct {
-		spans   []*schema.KeySpan
+		spans   []*schema.ShardRange
 		isWhole bool
 	}{
 		{nil, false},
-		{[]*schema.KeySpan{span(0, constants.LastKey)}, true},
-		{[]*schema.KeySpan{span(0, 9), span(10, constants.LastKey)}, true},
-		{[]*schema.KeySpan{span(0, 9), span(11, constants.LastKey)}, false},
-		{[]*schema.KeySpan{span(0, 9), span(9, constants.LastKey)}, false},
-		{[]*schema.KeySpan{span(0, 9)}, false},
+		{[]*schema.ShardRange{span(0, constants.LastKey)}, true},
+		{[]*schema.ShardRange{span(0, 9), span(10, constants.LastKey)}, true},
+		{[]*schema.ShardRange{span(0, 9), span(11, constants.LastKey)}, false},
+		{[]*schema.ShardRange{span(0, 9), span(9, constants.LastKey)}, false},
+		{[]*schema.ShardRange{span(0, 9)}, false},
 	} {
 		if err := checkLayout(&image.Service{Spans: c.spans}); (err == nil) != c.isWhole {
 			t.Fatalf("%v: %v", c.spans, err)
@@ -259,8 +259,8 @@
 			table := image.NewTable()
 			rows := []*schema.Row{image.Put(image.PolicyKey("a"), &schema.ServicePolicy{Service: "a", Keyed: true})}
 			for _, zone := range []string{"d0", "d1"} {
-				rows = append(rows, image.Put(image.DistrictKey(zone), &schema.District{Name: zone, Settling: slices.Contains(c.settling, zone)}),
-					image.Put(image.BackendKey("a", "i-"+zone), &schema.Backend{Service: "a", Instance: "i-" + zone, Address: zone, District: zone, State: schema.BackendState_BACKEND_READY}))
+				rows = append(rows, image.Put(image.DistrictKey(zone), &schema.Zone{Name: zone, Settling: slices.Contains(c.settling, zone)}),
+					image.Put(image.BackendKey("a", "i-"+zone), &schema.Backend{Service: "a", Instance: "i-" + zone, Address: zone, Zone: zone, State: schema.BackendState_BACKEND_READY}))
 			}
 			if _, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows}, nil); err != nil {
 				t.Fatal(err)
@@ -275,7 +275,7 @@
 			if record == nil {
 				t.Fatal("nothing was laid out")
 			}
-			holder := image.Decode[schema.KeySpan](record.Rows[0]).Instance
+			holder := image.Decode[schema.ShardRange](record.Rows[0]).Instance
 			if holder != "i-"+c.want {
 				t.Errorf("the first keys go to %s, want i-%s", holder, c.want)
 			}
--- a/internal/keys/spans_test.go
+++ b/internal/keys/spans_test.go
@@ -18,7 +18,7 @@
 	for i := range uint32(spans) {
 		first, last := i*(constants.LastKey+1)/uint32(spans), (i+1)*(constants.LastKey+1)/uint32(spans)-1
 		record.Rows = append(record.Rows, image.Put(image.SpanKey("a", first),
-			&schema.KeySpan{Service: "a", First: first, Last: last, Instance: w.holders[int(i)%holders].row.Instance, Fence: 1 + uint64(i%3)}))
+			&schema.ShardRange{Service: "a", First: first, Last: last, Instance: w.holders[int(i)%holders].row.Instance, Fence: 1 + uint64(i%3)}))
 	}
 	w.apply(record)
 	w.run(8 * time.Second)
--- a/internal/keys/step.go
+++ b/internal/keys/step.go
@@ -13,7 +13,7 @@
 )
 
 type row struct {
-	*schema.KeySpan
+	*schema.ShardRange
 	key   string
 	index uint64
 }
@@ -37,7 +37,7 @@
 
 func (s *step) run() {
 	s.f.Table.Each(image.ServicePrefix(s.service.Name)+"span/", func(r *schema.Row) {
-		if span := image.Decode[schema.KeySpan](r); span != nil {
+		if span := image.Decode[schema.ShardRange](r); span != nil {
 			s.rows = append(s.rows, row{span, r.Key, r.Index})
 		}
 	})
@@ -145,7 +145,7 @@
 			continue
 		}
 		all = append(all, backend.Instance)
-		isColdOne[backend.Instance] = backend.Cold || s.f.View.Districts[backend.District].GetSettling()
+		isColdOne[backend.Instance] = backend.Cold || s.f.View.Districts[backend.Zone].GetSettling()
 	}
 	for _, instance := range s.atHome(all) {
 		if isColdOne[instance] {
@@ -162,7 +162,7 @@
 }
 
 func (s *step) isEmptied(backend *schema.Backend) bool {
-	district := s.f.View.Districts[backend.District]
+	district := s.f.View.Districts[backend.Zone]
 	return district != nil && district.Emptied
 }
 
@@ -187,7 +187,7 @@
 	for i := range count {
 		first, last := i*(constants.LastKey+1)/count, (i+1)*(constants.LastKey+1)/count-1
 		record.Rows = append(record.Rows, image.Put(image.SpanKey(s.service.Name, first),
-			&schema.KeySpan{Service: s.service.Name, First: first, Last: last, Instance: s.eligible[int(i)%len(s.eligible)], Fence: 1}))
+			&schema.ShardRange{Service: s.service.Name, First: first, Last: last, Instance: s.eligible[int(i)%len(s.eligible)], Fence: 1}))
 	}
 	s.m.proposed[key] = proposal{at: s.f.Now}
 	s.effects.Records = append(s.effects.Records, record)
@@ -227,7 +227,7 @@
 }
 
 // propose replaces spans by others in one record.
-func (s *step) propose(reason string, width uint32, old []row, fresh []*schema.KeySpan) {
+func (s *step) propose(reason string, width uint32, old []row, fresh []*schema.ShardRange) {
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: reason}
 	had, has := map[string]bool{}, map[string]bool{}
 	for _, r := range old {
@@ -280,7 +280,7 @@
 	} else {
 		count = min(1+int(weight*float64(len(s.eligible))*constants.KeyLeaveParts), len(s.eligible), constants.KeyPiecesMost, int(r.width()))
 	}
-	var spans []*schema.KeySpan
+	var spans []*schema.ShardRange
 	for first, i := r.First, count; i > 0; i-- {
 		last := r.Last
 		if i > 1 {
@@ -291,7 +291,7 @@
 			target = s.lightest("")
 		}
 		s.loads[target] += s.heat.weight(first, last)
-		spans = append(spans, &schema.KeySpan{Service: s.service.Name, First: first, Last: last, Instance: target, Fence: fence, Handover: handover})
+		spans = append(spans, &schema.ShardRange{Service: s.service.Name, First: first, Last: last, Instance: target, Fence: fence, Handover: handover})
 		first = last + 1
 	}
 	s.g.withdrawn[r.key] = r.index
@@ -315,8 +315,8 @@
 		s.m.grants[id] = p
 	}
 	if p.isBarred && !p.isWaiting && !s.isBusy(r) && !s.isWithdrawn(r) {
-		span := &schema.KeySpan{Service: s.service.Name, First: r.First, Last: r.Last, Instance: r.Instance, Fence: r.Fence + p.refusals, Handover: r.Handover}
-		s.propose("raise the fence", 0, []row{r}, []*schema.KeySpan{span})
+		span := &schema.ShardRange{Service: s.service.Name, First: r.First, Last: r.Last, Instance: r.Instance, Fence: r.Fence + p.refusals, Handover: r.Handover}
+		s.propose("raise the fence", 0, []row{r}, []*schema.ShardRange{span})
 		return
 	}
 	if p.isWaiting || s.f.Now < p.next || !s.hasLease() || s.isWithdrawn(r) || s.isShared(backend) {
@@ -385,10 +385,10 @@
 	if p := s.m.grants[r.identity()]; p != nil && p.isDone {
 		handover = ""
 	}
-	var spans []*schema.KeySpan
+	var spans []*schema.ShardRange
 	width := uint32(0)
 	for _, p := range plan {
-		span := &schema.KeySpan{Service: s.service.Name, First: p.first, Last: p.last, Instance: r.Instance, Fence: r.Fence, Handover: handover}
+		span := &schema.ShardRange{Service: s.service.Name, First: p.first, Last: p.last, Instance: r.Instance, Fence: r.Fence, Handover: handover}
 		if p.target != "" {
 			span.Releasing, span.Fence, span.Handover = true, r.Fence+1, ""
 			weight := s.heat.weight(p.first, p.last)
@@ -639,7 +639,7 @@
 			fence = max(fence, s.rows[end].Fence)
 		}
 		if end-i > 1 {
-			s.propose("merge spans", 0, s.rows[i:end], []*schema.KeySpan{{Service: s.service.Name, First: a.First, Last: s.rows[end-1].Last, Instance: a.Instance, Fence: fence}})
+			s.propose("merge spans", 0, s.rows[i:end], []*schema.ShardRange{{Service: s.service.Name, First: a.First, Last: s.rows[end-1].Last, Instance: a.Instance, Fence: fence}})
 		}
 		i = end
 	}
--- a/internal/keys/world_test.go
+++ b/internal/keys/world_test.go
@@ -124,8 +124,8 @@
 	}
 }
 
-func (w *world) spans() map[string][]*schema.KeySpan {
-	spans := map[string][]*schema.KeySpan{}
+func (w *world) spans() map[string][]*schema.ShardRange {
+	spans := map[string][]*schema.ShardRange{}
 	for name, service := range w.view.Services {
 		spans[name] = service.Spans
 	}
@@ -137,7 +137,7 @@
 }
 
 func (w *world) empty(district string, isEmptied bool) {
-	w.put("", image.Put(image.DistrictKey(district), &schema.District{Name: district, Emptied: isEmptied}))
+	w.put("", image.Put(image.DistrictKey(district), &schema.Zone{Name: district, Emptied: isEmptied}))
 }
 
 func (w *world) list(h *holder) {
@@ -152,7 +152,7 @@
 
 func (w *world) start(service, address, district string) *holder {
 	w.serial++
-	h := &holder{row: &schema.Backend{Service: service, Instance: fmt.Sprintf("i%03d", w.serial), Address: address, District: district, State: schema.BackendState_BACKEND_READY},
+	h := &holder{row: &schema.Backend{Service: service, Instance: fmt.Sprintf("i%03d", w.serial), Address: address, Zone: district, State: schema.BackendState_BACKEND_READY},
 		isAlive: true, seen: make([]uint64, len(w.cells)), until: make([]time.Duration, len(w.cells)), fence: make([]uint64, len(w.cells)),
 		slowness: 1 / (1 - 0.02*w.random.Float64())}
 	w.holders = append(w.holders, h)
@@ -447,19 +447,19 @@
 	case 0, 1:
 		w.crash(h)
 		w.at(w.now+500*ms+w.span(2*time.Second), func() { w.strike(h) })
-		w.at(w.now+2*time.Second+w.span(3*time.Second), func() { w.start(h.row.Service, h.row.Address, h.row.District) })
+		w.at(w.now+2*time.Second+w.span(3*time.Second), func() { w.start(h.row.Service, h.row.Address, h.row.Zone) })
 	case 2:
-		h.row = &schema.Backend{Service: h.row.Service, Instance: h.row.Instance, Address: h.row.Address, District: h.row.District, State: schema.BackendState_BACKEND_DRAINING}
+		h.row = &schema.Backend{Service: h.row.Service, Instance: h.row.Instance, Address: h.row.Address, Zone: h.row.Zone, State: schema.BackendState_BACKEND_DRAINING}
 		w.list(h)
 		w.at(w.now+2500*ms, func() {
 			if h.isAlive {
 				w.crash(h)
 				w.strike(h)
-				w.at(w.now+2*time.Second, func() { w.start(h.row.Service, h.row.Address, h.row.District) })
+				w.at(w.now+2*time.Second, func() { w.start(h.row.Service, h.row.Address, h.row.Zone) })
 			}
 		})
 	case 3:
-		district := h.row.District
+		district := h.row.Zone
 		w.empty(district, true)
 		w.at(w.now+time.Second+w.span(6*time.Second), func() { w.empty(district, false) })
 	case 4:
--- a/internal/node/earlier_version_test.go
+++ b/internal/node/earlier_version_test.go
@@ -135,7 +135,7 @@
 }
 
 // restart gives the whole state of a machine that has just started from what its journal held.
-func restart(t *testing.T, state *journal.State, routed *core.Routed) *schema.Image {
+func restart(t *testing.T, state *journal.State, routed *core.Routed) *schema.Snapshot {
 	t.Helper()
 	restarted := core.New(time.Hour, core.Options{Self: &schema.Node{Id: state.Hard.Id, Address: "here", Disk: true}, System: state.Hard.System, Restart: true,
 		Hard: state.Hard, Image: state.Image, Items: state.Items, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.DiscardHandler), Routed: routed})
@@ -148,7 +148,7 @@
 func ids(members []*schema.Member) []string {
 	given := []string{}
 	for _, member := range members {
-		given = append(given, member.Id+" "+member.District)
+		given = append(given, member.Id+" "+member.Zone)
 	}
 	return given
 }
@@ -195,7 +195,7 @@
 		found.Zones[name] = zone{district.Region, district.Emptied, district.Reason}
 	}
 	for id, machine := range view.Nodes {
-		found.Machines[id+" "+machine.District] = machine.Disk
+		found.Machines[id+" "+machine.Zone] = machine.Disk
 	}
 	previous := ""
 	table.Each("s/", func(row *schema.Row) {
@@ -244,7 +244,7 @@
 			t.Fatal(err)
 		}
 	})
-	var whole *schema.Image
+	var whole *schema.Snapshot
 	withJournal(t, path, func(opened *journal.Journal, state *journal.State) {
 		after := describe(t, state, routed)
 		if after.Term != added.Term || after.Vote != "another" || after.ID != before.ID || after.Commit != added.Index || after.LogLastIndex != added.Index || after.LogEntries != before.LogEntries+1 || after.Torn {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -126,7 +126,7 @@
 func (n *Node) Now() time.Duration { return time.Since(n.begun) + time.Hour }
 
 func (n *Node) start() error {
-	n.self = &schema.Node{Id: newID(), Address: n.settings.PeerShown, Proxy: n.settings.ProxyShow, Door: n.settings.DoorShown, District: n.settings.District,
+	n.self = &schema.Node{Id: newID(), Address: n.settings.PeerShown, Proxy: n.settings.ProxyShow, Admin: n.settings.DoorShown, Zone: n.settings.District,
 		Region: n.settings.Region, Disk: n.settings.Data != "", Incarnation: uint64(time.Now().UnixMilli()), State: schema.NodeState_NODE_READY}
 	options := core.Options{Self: n.self, Seeds: n.settings.Seeds, Draw: draw, Log: n.log.With("part", "core"), Rejoin: n.settings.Rejoin, Epoch: n.begun.Add(-time.Hour)}
 	if n.seam != nil {
@@ -334,7 +334,7 @@
 func (n *Node) driver() *core.Driver {
 	return &core.Driver{Core: n.core, Journal: n.journal, Now: n.Now, Send: n.net.Send, Publish: n.publish, Synced: n.synced, Write: n.write, Granted: n.grant, Answer: func(o core.Outcome) {
 		if answer, isThere := n.operates.LoadAndDelete(o.Ticket); isThere {
-			answer.(chan *schema.OperatorOutcome) <- o.Outcome
+			answer.(chan *schema.OperatorResponse) <- o.Outcome
 		}
 	}}
 }
@@ -404,7 +404,7 @@
 }
 
 func (n *Node) handle(f *schema.Frame) {
-	if f.Outcome {
+	if f.Response {
 		n.takeAnswer(f)
 		return
 	}
@@ -416,18 +416,18 @@
 		return
 	}
 	switch body := f.Body.(type) {
-	case *schema.Frame_Claim:
+	case *schema.Frame_ReservationRequest:
 		if local.System != "" && f.System == local.System {
 			now := n.Now()
-			n.answer(f, &schema.Frame{Body: &schema.Frame_ClaimOutcome{ClaimOutcome: n.keeper.Take(now, body.Claim, now < local.GrantUntil)}})
+			n.answer(f, &schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: n.keeper.Take(now, body.ReservationRequest, now < local.GrantUntil)}})
 		}
-	case *schema.Frame_ClaimCopy:
+	case *schema.Frame_ReservationCopyRequest:
 		if f.System == local.System {
-			n.answer(f, &schema.Frame{Body: &schema.Frame_ClaimCopyOutcome{ClaimCopyOutcome: n.keeper.Copy(n.Now(), body.ClaimCopy)}})
+			n.answer(f, &schema.Frame{Body: &schema.Frame_ReservationCopyResponse{ReservationCopyResponse: n.keeper.Copy(n.Now(), body.ReservationCopyRequest)}})
 		}
-	case *schema.Frame_Replay:
+	case *schema.Frame_ReplayRequest:
 		if f.System == local.System {
-			n.answer(f, &schema.Frame{Body: &schema.Frame_ReplayOutcome{ReplayOutcome: n.kept.Replay(body.Replay)}})
+			n.answer(f, &schema.Frame{Body: &schema.Frame_ReplayResponse{ReplayResponse: n.kept.Replay(body.ReplayRequest)}})
 		}
 	case nil:
 		n.log.Warn("frame without body ignored", "from", f.From)
@@ -437,7 +437,7 @@
 }
 
 func (n *Node) answer(to *schema.Frame, f *schema.Frame) {
-	f.Call, f.Outcome, f.System, f.From, f.Address = to.Call, true, n.local.Load().System, n.self.Id, n.self.Address
+	f.Call, f.Response, f.System, f.From, f.Address = to.Call, true, n.local.Load().System, n.self.Id, n.self.Address
 	n.net.Send(to.Address, f)
 }
 
@@ -451,9 +451,9 @@
 	if address == n.self.Address {
 		local := n.local.Load()
 		switch body := f.Body.(type) {
-		case *schema.Frame_Claim:
+		case *schema.Frame_ReservationRequest:
 			now := n.Now()
-			return &schema.Frame{Body: &schema.Frame_ClaimOutcome{ClaimOutcome: n.keeper.Take(now, body.Claim, now < local.GrantUntil)}}, nil
+			return &schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: n.keeper.Take(now, body.ReservationRequest, now < local.GrantUntil)}}, nil
 		}
 	}
 	n.net.Send(address, f)
@@ -465,12 +465,12 @@
 	}
 }
 
-func (n *Node) operate(ctx context.Context, query *schema.OperatorQuery) (*schema.OperatorOutcome, error) {
-	answer := make(chan *schema.OperatorOutcome, 1)
+func (n *Node) operate(ctx context.Context, query *schema.OperatorRequest) (*schema.OperatorResponse, error) {
+	answer := make(chan *schema.OperatorResponse, 1)
 	ticket := n.serial.Add(1)
 	n.operates.Store(ticket, answer)
 	defer n.operates.Delete(ticket)
-	n.do(func() { n.core.Operate(n.Now(), ticket, proto.Clone(query).(*schema.OperatorQuery)) })
+	n.do(func() { n.core.Operate(n.Now(), ticket, proto.Clone(query).(*schema.OperatorRequest)) })
 	select {
 	case outcome := <-answer:
 		return outcome, nil
@@ -492,9 +492,9 @@
 			n.tasks.Go(func() {
 				ctx, cancel := context.WithTimeout(n.context, constants.ClaimWait)
 				defer cancel()
-				f, err := n.Call(ctx, asking.Member.Address, &schema.Frame{Body: &schema.Frame_ClaimCopy{ClaimCopy: asking.Query}})
-				if err == nil && f.GetClaimCopyOutcome() != nil {
-					n.keeper.Copied(n.Now(), asking.Member.Id, f.GetClaimCopyOutcome())
+				f, err := n.Call(ctx, asking.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: asking.Query}})
+				if err == nil && f.GetReservationCopyResponse() != nil {
+					n.keeper.Copied(n.Now(), asking.Member.Id, f.GetReservationCopyResponse())
 				}
 			})
 		}
@@ -520,7 +520,7 @@
 				continue
 			}
 			for _, b := range service.Backends {
-				district := view.Districts[b.District]
+				district := view.Districts[b.Zone]
 				if district == nil || district.Region != n.self.Region {
 					continue
 				}
@@ -550,16 +550,16 @@
 		}
 		group.Wait()
 		lock.Lock()
-		var vitals []*schema.Vital
+		var vitals []*schema.HealthReport
 		for instance, count := range fails {
 			if !listed[instance] {
 				delete(fails, instance)
 				continue
 			}
-			vitals = append(vitals, &schema.Vital{Instance: instance, Failing: count >= constants.VitalsFails})
+			vitals = append(vitals, &schema.HealthReport{Instance: instance, Failing: count >= constants.VitalsFails})
 		}
 		lock.Unlock()
-		slices.SortFunc(vitals, func(a, b *schema.Vital) int { return strings.Compare(a.Instance, b.Instance) })
+		slices.SortFunc(vitals, func(a, b *schema.HealthReport) int { return strings.Compare(a.Instance, b.Instance) })
 		n.do(func() { n.core.SetVitals(vitals) })
 	}
 }
--- a/internal/node/routed.go
+++ b/internal/node/routed.go
@@ -59,7 +59,7 @@
 	// Requests takes callers' requests.
 	Requests http.Handler
 	// Operate carries an operator's query to the leader.
-	Operate func(ctx context.Context, query *schema.OperatorQuery) (*schema.OperatorOutcome, error)
+	Operate func(ctx context.Context, query *schema.OperatorRequest) (*schema.OperatorResponse, error)
 	// Resolve gives the addresses of nodes for a caller and how long they may be used; none if this node does not know.
 	Resolve func(region, district string) ([]string, time.Duration)
 	// IsReady tells whether this node may get requests.
@@ -74,8 +74,8 @@
 	reckon := gateway.NewLoads(n.Now(), bounds.Bounds)
 	sizes := journal.Sized(n.settings.DiskBytes)
 	return &core.Routed{Fits: sizes.Fits, FitsWhole: sizes.FitsImage, HoldMost: bounds.HoldMost, ListLag: bounds.ListLag, Districts: n.seam.Districts, Quiet: bounds.Quiet, ColdBearable: reckon.ColdBearable,
-		Heat:   func(span time.Duration) []*schema.KeyHeat { return n.gateway.Loads().TakeHeat(span) },
-		Vitals: func() []*schema.Vital { return n.gateway.Vitals() }}
+		Heat:   func(span time.Duration) []*schema.ShardLoad { return n.gateway.Loads().TakeHeat(span) },
+		Vitals: func() []*schema.HealthReport { return n.gateway.Vitals() }}
 }
 
 func (n *Node) startRouted() error {
@@ -115,7 +115,7 @@
 	for _, node := range view.Nodes {
 		switch {
 		case node.State != schema.NodeState_NODE_READY:
-		case node.District == district:
+		case node.Zone == district:
 			own = append(own, node.Proxy)
 		case node.Region == region:
 			near = append(near, node.Proxy)
--- a/internal/node/routed_test.go
+++ b/internal/node/routed_test.go
@@ -143,12 +143,12 @@
 	isOver   bool
 }
 
-func (m *machine) operate(query *schema.OperatorQuery) *schema.OperatorOutcome {
+func (m *machine) operate(query *schema.OperatorRequest) *schema.OperatorResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	outcome, err := m.outside.Operate(ctx, query)
 	if err != nil {
-		return &schema.OperatorOutcome{Decline: schema.DeclineKind_DECLINE_DOUBTFUL, Message: err.Error()}
+		return &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_AMBIGUOUS, Message: err.Error()}
 	}
 	return outcome
 }
@@ -261,7 +261,7 @@
 	}
 	until(t, "founded, and the operator is answered by each machine", func() bool {
 		for _, m := range machines {
-			if m.operate(&schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_SHOW}).Decline != schema.DeclineKind_DECLINE_NONE {
+			if m.operate(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW}).Refusal != schema.RefusalKind_REFUSAL_NONE {
 				return false
 			}
 		}
@@ -274,13 +274,13 @@
 		{Name: "r-1", Host: "one.example", Prefix: "/c/", TimeoutMs: 5000, TargetMs: 500, MaxAttempts: 2, Targets: target("copper")},
 		{Name: "r-2", Host: "one.example", Prefix: "/n/", TimeoutMs: 5000, TargetMs: 500, MaxAttempts: 2, Targets: target("nickel")}},
 		Services: []*schema.ServicePolicy{{Service: "copper", ColdRate: 17}, {Service: "nickel", ColdRate: 17, Keyed: true}}}
-	put := &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: config}
-	until(t, "the configuration is taken by the machine without a disk", func() bool { return machines[3].operate(put).Decline == schema.DeclineKind_DECLINE_NONE })
-	if outcome := machines[1].operate(put); outcome.Decline != schema.DeclineKind_DECLINE_NONE {
+	put := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: config}
+	until(t, "the configuration is taken by the machine without a disk", func() bool { return machines[3].operate(put).Refusal == schema.RefusalKind_REFUSAL_NONE })
+	if outcome := machines[1].operate(put); outcome.Refusal != schema.RefusalKind_REFUSAL_NONE {
 		t.Fatalf("the same configuration sent again to another: %v", outcome)
 	}
 	other := &schema.RouteConfig{Version: 6, Base: 0, Document: []byte("other"), Services: config.Services}
-	if outcome := machines[0].operate(&schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: other}); outcome.Decline != schema.DeclineKind_DECLINE_CONFLICT {
+	if outcome := machines[0].operate(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: other}); outcome.Refusal != schema.RefusalKind_REFUSAL_CONFLICT {
 		t.Fatalf("a second change on top of version 0: %v", outcome)
 	}
 
@@ -303,7 +303,7 @@
 	})
 	for i, m := range machines {
 		until(t, fmt.Sprintf("machine %d reads back", i), func() bool {
-			outcome := m.operate(&schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_SHOW})
+			outcome := m.operate(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
 			return outcome.Version == 5 && bytes.Equal(outcome.Document, config.Document)
 		})
 	}
@@ -363,7 +363,7 @@
 	machines[0] = p.start(t, &s)
 	until(t, "the stopped machine is back with its configuration", func() bool {
 		status, _, err := machines[0].ask(client, "/c/x", "", "work")
-		outcome := machines[0].operate(&schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_SHOW})
+		outcome := machines[0].operate(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
 		return err == nil && status == 200 && outcome.Version == 5
 	})
 }
