--- a/internal/proxy/course.go
+++ b/internal/proxy/course.go
@@ -34,7 +34,7 @@
 // ClaimCall is one claim for one keeper.
 type ClaimCall struct {
 	Member *schema.Member
-	Claim  *schema.Claim
+	Claim  *schema.ReservationRequest
 }
 
 // Order is one thing for the shell to do. For bounds it; Keeps says that the open connection is still good.
@@ -49,7 +49,7 @@
 	Limit   uint64
 	IsBound bool
 	Claims  []ClaimCall
-	Replay  *schema.Replay
+	Replay  *schema.ReplayRequest
 	Outcome *Outcome
 	Fault   *DeclineError
 	Keeps   bool
@@ -77,8 +77,8 @@
 	Outcome   *Outcome
 	IsTouched bool
 	IsGone    bool
-	Claimed   *schema.ClaimOutcome
-	Replayed  *schema.ReplayOutcome
+	Claimed   *schema.ReservationResponse
+	Replayed  *schema.ReplayResponse
 }
 
 type phase int
@@ -120,7 +120,7 @@
 	forwards  int
 	node      *schema.Node
 	isClaimed bool
-	keepers   *schema.Keepers
+	keepers   *schema.ReplicaSet
 	held      []*schema.Member
 	round     uint32
 	claimedAt time.Duration
@@ -247,7 +247,7 @@
 	}
 	order := Order{Kind: OrderRelease, For: constants.ClaimWait / 3}
 	for _, m := range c.held {
-		order.Claims = append(order.Claims, ClaimCall{m, &schema.Claim{Attempt: c.Query.Attempt, Holder: c.Holder, Keepers: c.keepers.Number, Region: c.keepers.Region, Round: c.round, Ended: true}})
+		order.Claims = append(order.Claims, ClaimCall{m, &schema.ReservationRequest{Attempt: c.Query.Attempt, Owner: c.Holder, ReplicaSet: c.keepers.Number, Region: c.keepers.Region, Round: c.round, Ended: true}})
 	}
 	c.phase = phaseRelease
 	c.held, c.isClaimed = nil, false
@@ -273,7 +273,7 @@
 		return c.reply(c.fault)
 	}
 	c.phase = phaseReplay
-	return Order{Kind: OrderReplay, For: constants.ClaimWait, Address: node.Address, Replay: &schema.Replay{Attempt: c.Query.Attempt, Digest: c.Query.Digest}}
+	return Order{Kind: OrderReplay, For: constants.ClaimWait, Address: node.Address, Replay: &schema.ReplayRequest{Attempt: c.Query.Attempt, Digest: c.Query.Digest}}
 }
 
 func (c *Course) replayed(e Event) Order {
@@ -299,8 +299,8 @@
 	c.asked, c.taken, c.elsewhere = len(members), 0, 0
 	order := Order{Kind: OrderClaim, For: constants.ClaimWait}
 	for _, m := range members {
-		order.Claims = append(order.Claims, ClaimCall{m, &schema.Claim{Attempt: c.Query.Attempt, Digest: c.Query.Digest, Holder: c.Holder, Number: d.Owner.Number,
-			Keepers: d.Keepers.Number, Region: d.Keepers.Region, Round: c.round, WaitMs: uint32(c.Query.Wait.Milliseconds()), AgeMs: uint64(c.age().Milliseconds())}})
+		order.Claims = append(order.Claims, ClaimCall{m, &schema.ReservationRequest{Attempt: c.Query.Attempt, Digest: c.Query.Digest, Owner: c.Holder, Number: d.Owner.Number,
+			ReplicaSet: d.Keepers.Number, Region: d.Keepers.Region, Round: c.round, WaitMs: uint32(c.Query.Wait.Milliseconds()), AgeMs: uint64(c.age().Milliseconds())}})
 	}
 	return order
 }
@@ -315,12 +315,12 @@
 func (c *Course) claimed(e Event) Order {
 	c.asked--
 	switch e.Claimed.GetState() {
-	case schema.ClaimState_CLAIM_TAKEN:
+	case schema.ReservationState_RESERVATION_TAKEN:
 		c.taken++
-	case schema.ClaimState_CLAIM_HELD:
+	case schema.ReservationState_RESERVATION_HELD:
 		c.elsewhere++
-		c.holder = cmp.Or(e.Claimed.Holder, c.holder)
-	case schema.ClaimState_CLAIM_SILENT:
+		c.holder = cmp.Or(e.Claimed.Owner, c.holder)
+	case schema.ReservationState_RESERVATION_UNAVAILABLE:
 		c.silence = time.Duration(e.Claimed.LeftMs) * time.Millisecond
 	}
 	isTaken := c.taken >= claim.Majority(len(c.held))
@@ -393,7 +393,7 @@
 		header.Set(HeaderSlot, fmt.Sprintf("%d;%d", d.Slot, d.SlotNo))
 	}
 	c.phase = phaseLeg
-	return Order{Kind: OrderSend, For: left, Path: c.Query.Path, Header: header, Limit: d.Entry.OutcomeLimit}
+	return Order{Kind: OrderSend, For: left, Path: c.Query.Path, Header: header, Limit: d.Entry.ResponseLimit}
 }
 
 func (c *Course) answered(e Event) Order {
@@ -456,7 +456,7 @@
 		header.Set(HeaderAge, strconv.FormatInt(age.Milliseconds(), 10))
 	}
 	c.phase = phaseForward
-	return Order{Kind: OrderSend, For: left, Path: "/" + c.Query.Service + c.Query.Path, Header: header, Limit: c.decision.Entry.OutcomeLimit + 4096, IsBound: true}
+	return Order{Kind: OrderSend, For: left, Path: "/" + c.Query.Service + c.Query.Path, Header: header, Limit: c.decision.Entry.ResponseLimit + 4096, IsBound: true}
 }
 
 func (c *Course) forwardAnswered(e Event) Order {
--- a/internal/proxy/course_test.go
+++ b/internal/proxy/course_test.go
@@ -31,18 +31,18 @@
 	other := Event{Kind: EventAnswered, Outcome: sealed("attempt-1", "l-2", "ok"), IsTouched: true}
 	foreign := Event{Kind: EventAnswered, Outcome: sealed("attempt-2", "l-1", "ok"), IsTouched: true}
 	lost := Event{Kind: EventAnswered, Err: errors.New("reset"), IsTouched: true}
-	claimed := func(state schema.ClaimState) Event {
-		return Event{Kind: EventClaimed, Claimed: &schema.ClaimOutcome{State: state}}
+	claimed := func(state schema.ReservationState) Event {
+		return Event{Kind: EventClaimed, Claimed: &schema.ReservationResponse{State: state}}
 	}
-	taken, elsewhere, silent := claimed(schema.ClaimState_CLAIM_TAKEN), claimed(schema.ClaimState_CLAIM_HELD), claimed(schema.ClaimState_CLAIM_SILENT)
+	taken, elsewhere, silent := claimed(schema.ReservationState_RESERVATION_TAKEN), claimed(schema.ReservationState_RESERVATION_HELD), claimed(schema.ReservationState_RESERVATION_UNAVAILABLE)
 	released := Event{Kind: EventReleased}
 	heldBy := func(holder string) Event {
-		return Event{Kind: EventClaimed, Claimed: &schema.ClaimOutcome{State: schema.ClaimState_CLAIM_HELD, Holder: holder}}
+		return Event{Kind: EventClaimed, Claimed: &schema.ReservationResponse{State: schema.ReservationState_RESERVATION_HELD, Owner: holder}}
 	}
 	elsewhereKept := NewKept()
 	elsewhereKept.Put(noon, &Query{Attempt: "attempt-1", Digest: []byte("d")}, sealed("attempt-1", "l-1", "before"))
-	again := Event{Kind: EventReplayed, Replayed: elsewhereKept.Replay(&schema.Replay{Attempt: "attempt-1", Digest: []byte("d")})}
-	torn := Event{Kind: EventReplayed, Replayed: &schema.ReplayOutcome{Kept: true, Status: 200, Header: again.Replayed.Header, Body: []byte("bef")}}
+	again := Event{Kind: EventReplayed, Replayed: elsewhereKept.Replay(&schema.ReplayRequest{Attempt: "attempt-1", Digest: []byte("d")})}
+	torn := Event{Kind: EventReplayed, Replayed: &schema.ReplayResponse{Kept: true, Status: 200, Header: again.Replayed.Header, Body: []byte("bef")}}
 	isolated := func(l *core.Local) { l.View.Version = 0 }
 	names := map[OrderKind]string{OrderReply: "reply", OrderWait: "wait", OrderConnect: "connect", OrderSend: "send", OrderClaim: "claim", OrderListen: "listen", OrderRelease: "release", OrderReplay: "replay"}
 	for _, c := range []struct {
@@ -89,7 +89,7 @@
 			if c.other == 0 {
 				kept.Put(noon, q, sealed("attempt-1", "l-1", "before"))
 			}
-			course := NewCourse(CourseOptions{Self: &schema.Node{Id: "nnorth-a", District: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Query: q, Holder: "h/1", Begun: noon})
+			course := NewCourse(CourseOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Query: q, Holder: "h/1", Begun: noon})
 			var kinds []string
 			var last Order
 			now := noon
@@ -128,15 +128,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := base(backend("l-1", "north-a"))
-			w.put("", image.Put(image.EntryKey("ledger", "/keyed"), &schema.Entry{Service: "ledger", Path: "/keyed", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, Keyed: true, OutcomeLimit: 4096, Bearable: 6}))
-			w.put("", image.Put(image.StandingKey("ledger", "/keyed", "north"), &schema.Standing{Service: "ledger", Path: "/keyed", Region: "north", Number: 100}))
+			w.put("", image.Put(image.EntryKey("ledger", "/keyed"), &schema.Entry{Service: "ledger", Path: "/keyed", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, Keyed: true, ResponseLimit: 4096, ColdRate: 6}))
+			w.put("", image.Put(image.StandingKey("ledger", "/keyed", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/keyed", Region: "north", Number: 100}))
 			w.put("", image.Put(image.EntityKey("ledger", "/keyed"), &schema.Entity{Service: "ledger", Path: "/keyed", Region: "north", Number: 101}))
-			w.put("", image.Put(image.SlotKey("ledger", Slot("k")), &schema.KeyRange{Service: "ledger", Slot: Slot("k"), Instance: "l-1", Number: 1}))
+			w.put("", image.Put(image.SlotKey("ledger", Slot("k")), &schema.ShardSlot{Service: "ledger", Slot: Slot("k"), Instance: "l-1", Number: 1}))
 			now := noon
 			loads, kept := NewLoads(func() time.Duration { return now }), NewKept()
 			local := fresh(w.view())
 			q := &Query{Service: "ledger", Path: "/keyed", Method: "GET", Key: "k", Attempt: "attempt-1", Wait: time.Second, Origin: standing.Origin{Service: "ledger", Path: "/keyed"}}
-			course := NewCourse(CourseOptions{Self: &schema.Node{Id: "nnorth-a", District: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Query: q, Begun: noon})
+			course := NewCourse(CourseOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Query: q, Begun: noon})
 			for _, e := range []Event{{Kind: EventBegun}, {Kind: EventConnected}} {
 				course.Next(now, local, e)
 			}
--- a/internal/proxy/decider.go
+++ b/internal/proxy/decider.go
@@ -34,7 +34,7 @@
 	Entry   *schema.Entry
 	Owner   standing.Owner
 	Nodes   []*schema.Node
-	Keepers *schema.Keepers
+	Keepers *schema.ReplicaSet
 	Backend *schema.Backend
 	Slot    uint32
 	SlotNo  uint64
@@ -145,12 +145,12 @@
 		return park("no-standing", "%v", err)
 	}
 	d.Owner = owner
-	if owner.District != s.Self.District {
+	if owner.District != s.Self.Zone {
 		if len(q.Forwarded) > 0 {
 			return park("moved", "number %d makes district %s the owner; ask the directory again", owner.Number, owner.District)
 		}
 		for _, node := range view.Nodes {
-			if node.District == owner.District && node.State == schema.NodeState_NODE_READY {
+			if node.Zone == owner.District && node.State == schema.NodeState_NODE_READY {
 				d.Nodes = append(d.Nodes, node)
 			}
 		}
@@ -164,8 +164,8 @@
 	if q.Forwarded.IsNewer(owner.Trail) {
 		return park("behind", "this proxy has not seen number %v yet; send again", q.Forwarded)
 	}
-	if district := view.Districts[s.Self.District]; district == nil || district.Emptied {
-		return park("emptied", "district %s is emptied; ask the directory again", s.Self.District)
+	if district := view.Districts[s.Self.Zone]; district == nil || district.Emptied {
+		return park("emptied", "district %s is emptied; ask the directory again", s.Self.Zone)
 	}
 	needsGrant := !d.IsSafe || entry.Keyed
 	if needsGrant {
@@ -238,8 +238,8 @@
 		}
 		d.SlotNo = slot.Number
 		for _, backend := range service.Backends {
-			if backend.Instance == slot.Instance && usable(view, backend, owner.Region) && s.Load.InFlight(backend.Instance) < int(entry.Bearable) && !s.Tried[backend.Instance] {
-				if !s.Load.MayBegin(s.Now, backend, s.part(service, owner.Region), entry.Bearable) {
+			if backend.Instance == slot.Instance && usable(view, backend, owner.Region) && s.Load.InFlight(backend.Instance) < int(entry.ColdRate) && !s.Tried[backend.Instance] {
+				if !s.Load.MayBegin(s.Now, backend, s.part(service, owner.Region), entry.ColdRate) {
 					return park("key-cold", "the key's back end is cold and takes little yet; send again")
 				}
 				d.Backend, d.Turn = backend, TurnLeg
@@ -253,14 +253,14 @@
 	choose := func(isNear bool) *schema.Backend {
 		var options []*schema.Backend
 		for _, backend := range service.Backends {
-			if !usable(view, backend, owner.Region) || (backend.District == s.Self.District) != isNear {
+			if !usable(view, backend, owner.Region) || (backend.Zone == s.Self.Zone) != isNear {
 				continue
 			}
 			if s.Tried[backend.Instance] {
 				isTried = true
 				continue
 			}
-			if s.Load.IsBad(backend.Instance) || s.Load.InFlight(backend.Instance) >= max(2, int(entry.Bearable)/2) {
+			if s.Load.IsBad(backend.Instance) || s.Load.InFlight(backend.Instance) >= max(2, int(entry.ColdRate)/2) {
 				continue
 			}
 			options = append(options, backend)
@@ -271,7 +271,7 @@
 			if s.Load.InFlight(options[j].Instance) < s.Load.InFlight(options[i].Instance) {
 				i = j
 			}
-			if s.Load.MayBegin(s.Now, options[i], part, entry.Bearable) {
+			if s.Load.MayBegin(s.Now, options[i], part, entry.ColdRate) {
 				return options[i]
 			}
 			options = slices.Delete(options, i, i+1)
@@ -307,7 +307,7 @@
 	}
 	part := Part{}
 	for id, node := range view.Nodes {
-		if district := view.Districts[node.District]; district == nil || !groups[uint64(district.Residue)] || !isAble(node) {
+		if district := view.Districts[node.Zone]; district == nil || !groups[uint64(district.Residue)] || !isAble(node) {
 			continue
 		}
 		part.Of++
@@ -326,7 +326,7 @@
 }
 
 func usable(view *image.View, backend *schema.Backend, region string) bool {
-	district := view.Districts[backend.District]
+	district := view.Districts[backend.Zone]
 	return district != nil && district.Region == region && !district.Emptied && backend.State == schema.BackendState_BACKEND_READY && !backend.Failing
 }
 
--- a/internal/proxy/executor.go
+++ b/internal/proxy/executor.go
@@ -135,7 +135,7 @@
 	defer cancel()
 	var conn *Proved
 	var isClean bool
-	var answers chan *schema.ClaimOutcome
+	var answers chan *schema.ReservationResponse
 	event := Event{Kind: EventBegun}
 	for {
 		order := course.Next(x.options.Now(), x.options.Local(), event)
@@ -192,27 +192,27 @@
 	}
 }
 
-func (x *Executor) replay(ctx context.Context, order Order) *schema.ReplayOutcome {
+func (x *Executor) replay(ctx context.Context, order Order) *schema.ReplayResponse {
 	ctx, cancel := context.WithTimeout(ctx, order.For)
 	defer cancel()
-	frame, err := x.options.Call(ctx, order.Address, &schema.Frame{Body: &schema.Frame_Replay{Replay: order.Replay}})
+	frame, err := x.options.Call(ctx, order.Address, &schema.Frame{Body: &schema.Frame_ReplayRequest{ReplayRequest: order.Replay}})
 	if err != nil {
 		return nil
 	}
-	return frame.GetReplayOutcome()
+	return frame.GetReplayResponse()
 }
 
-func (x *Executor) claim(ctx context.Context, order Order) chan *schema.ClaimOutcome {
-	answers := make(chan *schema.ClaimOutcome, len(order.Claims))
+func (x *Executor) claim(ctx context.Context, order Order) chan *schema.ReservationResponse {
+	answers := make(chan *schema.ReservationResponse, len(order.Claims))
 	ctx, cancel := context.WithTimeout(ctx, order.For)
 	var group sync.WaitGroup
 	for _, call := range order.Claims {
 		group.Go(func() {
-			frame, err := x.options.Call(ctx, call.Member.Address, &schema.Frame{Body: &schema.Frame_Claim{Claim: call.Claim}})
+			frame, err := x.options.Call(ctx, call.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationRequest{ReservationRequest: call.Claim}})
 			if err != nil {
 				frame = &schema.Frame{}
 			}
-			answers <- frame.GetClaimOutcome()
+			answers <- frame.GetReservationResponse()
 		})
 	}
 	go func() {
--- a/internal/proxy/kept.go
+++ b/internal/proxy/kept.go
@@ -74,12 +74,12 @@
 }
 
 // Replay answers another proxy.
-func (k *Kept) Replay(query *schema.Replay) *schema.ReplayOutcome {
+func (k *Kept) Replay(query *schema.ReplayRequest) *schema.ReplayResponse {
 	o := k.Get(query.Attempt, query.Digest)
 	if o == nil {
-		return &schema.ReplayOutcome{}
+		return &schema.ReplayResponse{}
 	}
-	replay := &schema.ReplayOutcome{Kept: true, Status: uint32(o.Status), Body: o.Body}
+	replay := &schema.ReplayResponse{Kept: true, Status: uint32(o.Status), Body: o.Body}
 	for name, values := range o.Header {
 		for _, value := range values {
 			replay.Header = append(replay.Header, &schema.HeaderField{Name: name, Value: value})
@@ -88,7 +88,7 @@
 	return replay
 }
 
-func replayed(replay *schema.ReplayOutcome) *Outcome {
+func replayed(replay *schema.ReplayResponse) *Outcome {
 	o := &Outcome{Status: int(replay.Status), Header: http.Header{}, Body: replay.Body}
 	for _, field := range replay.Header {
 		o.Header.Add(field.Name, field.Value)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -38,16 +38,16 @@
 	}
 	for i, name := range []string{"north-a", "north-b", "south-a"} {
 		region, _, _ := strings.Cut(name, "-")
-		w.put("", image.Put(image.DistrictKey(name), &schema.District{Name: name, Region: region, Residue: uint32(2 * i)}))
-		w.put("", image.Put(image.NodeKey("n"+name), &schema.Node{Id: "n" + name, District: name, Region: region, Proxy: name + ":1", State: schema.NodeState_NODE_READY}))
-	}
-	w.put("", image.Put(image.EntryKey("ledger", "/balances"), &schema.Entry{Service: "ledger", Path: "/balances", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, BodyLimit: 64, OutcomeLimit: 4096, Bearable: 6}))
-	w.put("", image.Put(image.EntryKey("ledger", "/pay"), &schema.Entry{Service: "ledger", Path: "/pay", Methods: []string{"POST"}, BodyLimit: 64, OutcomeLimit: 4096, Bearable: 6}))
-	w.put("", image.Put(image.StandingKey("ledger", "/balances", "north"), &schema.Standing{Service: "ledger", Path: "/balances", Region: "north", Number: 100}))
-	w.put("", image.Put(image.StandingKey("ledger", "/balances", "south"), &schema.Standing{Service: "ledger", Path: "/balances", Region: "south", Number: 101}))
-	w.put("", image.Put(image.StandingKey("ledger", "/pay", "north"), &schema.Standing{Service: "ledger", Path: "/pay", Region: "north", Number: 100}))
+		w.put("", image.Put(image.DistrictKey(name), &schema.Zone{Name: name, Region: region, Residue: uint32(2 * i)}))
+		w.put("", image.Put(image.NodeKey("n"+name), &schema.Node{Id: "n" + name, Zone: name, Region: region, Proxy: name + ":1", State: schema.NodeState_NODE_READY}))
+	}
+	w.put("", image.Put(image.EntryKey("ledger", "/balances"), &schema.Entry{Service: "ledger", Path: "/balances", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, BodyLimit: 64, ResponseLimit: 4096, ColdRate: 6}))
+	w.put("", image.Put(image.EntryKey("ledger", "/pay"), &schema.Entry{Service: "ledger", Path: "/pay", Methods: []string{"POST"}, BodyLimit: 64, ResponseLimit: 4096, ColdRate: 6}))
+	w.put("", image.Put(image.StandingKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 100}))
+	w.put("", image.Put(image.StandingKey("ledger", "/balances", "south"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "south", Number: 101}))
+	w.put("", image.Put(image.StandingKey("ledger", "/pay", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/pay", Region: "north", Number: 100}))
 	w.put("", image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 101}))
-	w.put("", image.Put(image.KeepersKey("north"), &schema.Keepers{Region: "north", Number: 1, Members: []*schema.Member{{Id: "k1", Address: "k1"}, {Id: "k2", Address: "k2"}, {Id: "k3", Address: "k3"}}}))
+	w.put("", image.Put(image.KeepersKey("north"), &schema.ReplicaSet{Region: "north", Number: 1, Members: []*schema.Member{{Id: "k1", Address: "k1"}, {Id: "k2", Address: "k2"}, {Id: "k3", Address: "k3"}}}))
 	for _, b := range backends {
 		w.put("", image.Put(image.BackendKey(b.Service, b.Instance), b))
 	}
@@ -67,11 +67,11 @@
 }
 
 func backend(instance, district string) *schema.Backend {
-	return &schema.Backend{Service: "ledger", Instance: instance, Address: "127.0.0.1:1", District: district, State: schema.BackendState_BACKEND_READY}
+	return &schema.Backend{Service: "ledger", Instance: instance, Address: "127.0.0.1:1", Zone: district, State: schema.BackendState_BACKEND_READY}
 }
 
 func TestDecide(t *testing.T) {
-	north := &schema.Node{Id: "nnorth-a", District: "north-a", Region: "north"}
+	north := &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}
 	safe := func() *Query {
 		return &Query{Service: "ledger", Path: "/balances/7", Method: "GET", Attempt: "attempt-1", Origin: standing.Origin{Region: "north"}}
 	}
@@ -112,12 +112,12 @@
 		{"another group's query is forwarded", base(all...), func(s *Situation) { s.Query.Origin.Region = "south" }, safe(), TurnLeg, "", "l-1"},
 		{"to the group that the number names", func() *world {
 			w := base(all...)
-			w.put("", image.Put(image.StandingKey("ledger", "/balances", "north"), &schema.Standing{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
+			w.put("", image.Put(image.StandingKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 			return w
 		}(), nil, safe(), TurnForward, "", ""},
 		{"but a forwarded one is never forwarded again", func() *world {
 			w := base(all...)
-			w.put("", image.Put(image.StandingKey("ledger", "/balances", "north"), &schema.Standing{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
+			w.put("", image.Put(image.StandingKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 			return w
 		}(), func(s *Situation) { s.Query.Forwarded = standing.Trail{100}; s.Parked = constants.ParkMost }, safe(), TurnDecline, "moved", ""},
 		{"a higher forwarded number waits for the image", base(all...), func(s *Situation) { s.Query.Forwarded = standing.Trail{200} }, safe(), TurnPark, "", ""},
@@ -155,7 +155,7 @@
 		{"a region's origin does not fit a bound entry", base(all...), func(s *Situation) { s.Query.Origin = standing.Origin{Region: "north"} }, unsafe(), TurnDecline, "bad-origin", ""},
 		{"an emptied district serves nothing", func() *world {
 			w := base(all...)
-			w.put("", image.Put(image.DistrictKey("north-a"), &schema.District{Name: "north-a", Region: "north", Emptied: true}))
+			w.put("", image.Put(image.DistrictKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Emptied: true}))
 			return w
 		}(), nil, safe(), TurnPark, "", ""},
 		{"a draining back end gets nothing", base(func() *schema.Backend {
@@ -364,7 +364,7 @@
 	view := base(backends...).view()
 	pool := NewPool("127.0.0.1:0")
 	t.Cleanup(func() { pool.Close() })
-	x := NewExecutor(Options{Self: &schema.Node{Id: "nnorth-a", District: "north-a", Region: "north"}, Now: now, Pool: pool, Loads: NewLoads(now), Kept: NewKept(), Draw: func(int64) int64 { return 0 },
+	x := NewExecutor(Options{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Now: now, Pool: pool, Loads: NewLoads(now), Kept: NewKept(), Draw: func(int64) int64 { return 0 },
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Want: func(string) {},
 		Local: func() *core.Local {
 			l := fresh(view)
@@ -372,7 +372,7 @@
 			return l
 		},
 		Call: func(_ context.Context, _ string, f *schema.Frame) (*schema.Frame, error) {
-			return &schema.Frame{Body: &schema.Frame_ClaimOutcome{ClaimOutcome: &schema.ClaimOutcome{State: schema.ClaimState_CLAIM_TAKEN}}}, nil
+			return &schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: &schema.ReservationResponse{State: schema.ReservationState_RESERVATION_TAKEN}}}, nil
 		}})
 	for range 40 {
 		x.options.Loads.First(now(), "ledger")
@@ -474,7 +474,7 @@
 	x := executor(t, s)
 	var rounds atomic.Int64
 	x.options.Call = func(ctx context.Context, _ string, f *schema.Frame) (*schema.Frame, error) {
-		if !f.GetClaim().Ended {
+		if !f.GetReservationRequest().Ended {
 			rounds.Add(1)
 		}
 		<-ctx.Done()
@@ -500,8 +500,8 @@
 	defer server.Close()
 	x := executor(t)
 	w := base()
-	w.put("", image.Put(image.NodeKey("nnorth-b"), &schema.Node{Id: "nnorth-b", District: "north-b", Region: "north", Proxy: strings.TrimPrefix(server.URL, "http://"), State: schema.NodeState_NODE_READY}))
-	w.put("", image.Put(image.StandingKey("ledger", "/balances", "north"), &schema.Standing{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
+	w.put("", image.Put(image.NodeKey("nnorth-b"), &schema.Node{Id: "nnorth-b", Zone: "north-b", Region: "north", Proxy: strings.TrimPrefix(server.URL, "http://"), State: schema.NodeState_NODE_READY}))
+	w.put("", image.Put(image.StandingKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 	view, now := w.view(), x.options.Now
 	x.options.Local = func() *core.Local {
 		l := fresh(view)
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -28,10 +28,10 @@
 type Options struct {
 	ID    string
 	Hard  *schema.HardState
-	Image *schema.Image
+	Image *schema.Snapshot
 	Items []*schema.LogItem
 	Draw  func(int64) int64
-	Whole func() *schema.Image
+	Whole func() *schema.Snapshot
 	Pace  Pace
 }
 
@@ -46,7 +46,7 @@
 type Ready struct {
 	Hard      *schema.HardState
 	Items     []*schema.LogItem
-	Image     *schema.Image
+	Image     *schema.Snapshot
 	Messages  []*schema.Raft
 	Committed []*schema.LogItem
 	Reads     []uint64
@@ -84,7 +84,7 @@
 	unsynced  uint64
 	commit    uint64
 	handed    uint64
-	image     *schema.Image
+	image     *schema.Snapshot
 	isBehind  bool
 	votes     map[string]bool
 	isPre     bool
@@ -324,12 +324,12 @@
 	switch m.Kind {
 	case schema.RaftKind_RAFT_PREVOTE:
 		isFit := m.Term > q.term && !isLive && q.role != Leader && q.isNewEnough(m)
-		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_PREVOTE_OUTCOME, To: m.From, Declined: !isFit})
+		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_PREVOTE_RESPONSE, To: m.From, Rejected: !isFit})
 		return
-	case schema.RaftKind_RAFT_PREVOTE_OUTCOME:
+	case schema.RaftKind_RAFT_PREVOTE_RESPONSE:
 		if m.Term > q.term {
 			q.step(m.Term, "")
-		} else if q.role == Candidate && q.isPre && !m.Declined {
+		} else if q.role == Candidate && q.isPre && !m.Rejected {
 			q.votes[m.From] = true
 			q.count()
 		}
@@ -340,8 +340,8 @@
 		}
 	}
 	if m.Term < q.term {
-		if m.Kind == schema.RaftKind_RAFT_APPEND || m.Kind == schema.RaftKind_RAFT_IMAGE || m.Kind == schema.RaftKind_RAFT_SNAPSHOT_PART {
-			q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_OUTCOME, To: m.From, Declined: true})
+		if m.Kind == schema.RaftKind_RAFT_APPEND || m.Kind == schema.RaftKind_RAFT_SNAPSHOT || m.Kind == schema.RaftKind_RAFT_SNAPSHOT_PART {
+			q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Rejected: true})
 		}
 		return
 	}
@@ -355,24 +355,24 @@
 			q.vote = m.From
 			q.reset(now)
 		}
-		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_VOTE_OUTCOME, To: m.From, Declined: !isFit})
-	case schema.RaftKind_RAFT_VOTE_OUTCOME:
-		if q.role == Candidate && !q.isPre && !m.Declined {
+		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_VOTE_RESPONSE, To: m.From, Rejected: !isFit})
+	case schema.RaftKind_RAFT_VOTE_RESPONSE:
+		if q.role == Candidate && !q.isPre && !m.Rejected {
 			q.votes[m.From] = true
 			q.count()
 		}
 	case schema.RaftKind_RAFT_APPEND:
 		q.follow(m)
 		q.accept(m)
-	case schema.RaftKind_RAFT_IMAGE:
+	case schema.RaftKind_RAFT_SNAPSHOT:
 		q.follow(m)
 		q.install(m)
 	case schema.RaftKind_RAFT_SNAPSHOT_PART:
 		q.follow(m)
 		q.takePart(m)
-	case schema.RaftKind_RAFT_SNAPSHOT_PART_OUTCOME:
+	case schema.RaftKind_RAFT_SNAPSHOT_PART_RESPONSE:
 		q.confirmPart(m)
-	case schema.RaftKind_RAFT_APPEND_OUTCOME:
+	case schema.RaftKind_RAFT_APPEND_RESPONSE:
 		q.acknowledge(m)
 	case schema.RaftKind_RAFT_TIMEOUT_NOW:
 		if q.IsVoter(q.id) && q.role != Leader {
@@ -382,7 +382,7 @@
 }
 
 // Describe fills index, term and members of an image taken at the applied index.
-func (q *Quorum) Describe(image *schema.Image) {
+func (q *Quorum) Describe(image *schema.Snapshot) {
 	image.Index = q.handed
 	image.Term, _ = q.termAt(q.handed)
 	image.Members = q.base
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -18,7 +18,7 @@
 }
 
 func member(id string, hard *schema.HardState, items []*schema.LogItem) *Quorum {
-	q := New(time.Hour, Options{ID: id, Hard: hard, Items: items, Draw: func(int64) int64 { return 0 }, Whole: func() *schema.Image { return &schema.Image{} }})
+	q := New(time.Hour, Options{ID: id, Hard: hard, Items: items, Draw: func(int64) int64 { return 0 }, Whole: func() *schema.Snapshot { return &schema.Snapshot{} }})
 	q.Synced(time.Hour, q.Take())
 	return q
 }
@@ -68,7 +68,7 @@
 				}
 				return
 			}
-			if answer == nil || answer.Declined == c.isGiven {
+			if answer == nil || answer.Rejected == c.isGiven {
 				t.Fatalf("answer %v, want given %v", answer, c.isGiven)
 			}
 			if c.query.Kind == schema.RaftKind_RAFT_PREVOTE && q.Term() != term {
@@ -105,7 +105,7 @@
 			c.append.Kind, c.append.From, c.append.To, c.append.Term = schema.RaftKind_RAFT_APPEND, "b", "a", 3
 			q.Receive(time.Hour, c.append)
 			answer := last(q)
-			if answer == nil || answer.Declined != c.isDeclined || q.Last() != c.last || q.Commit() != c.commit {
+			if answer == nil || answer.Rejected != c.isDeclined || q.Last() != c.last || q.Commit() != c.commit {
 				t.Fatalf("answer %v, last %d, commit %d", answer, q.Last(), q.Commit())
 			}
 		})
@@ -117,9 +117,9 @@
 	q := member("a", &schema.HardState{Term: 2}, log(1, 2))
 	q.Tick(time.Hour + constants.RaftElectionLeast)
 	last(q)
-	q.Receive(q.now, &schema.Raft{Kind: schema.RaftKind_RAFT_PREVOTE_OUTCOME, From: "b", To: "a", Term: 2})
+	q.Receive(q.now, &schema.Raft{Kind: schema.RaftKind_RAFT_PREVOTE_RESPONSE, From: "b", To: "a", Term: 2})
 	last(q)
-	q.Receive(q.now, &schema.Raft{Kind: schema.RaftKind_RAFT_VOTE_OUTCOME, From: "b", To: "a", Term: 3})
+	q.Receive(q.now, &schema.Raft{Kind: schema.RaftKind_RAFT_VOTE_RESPONSE, From: "b", To: "a", Term: 3})
 	last(q)
 	if q.Role() != Leader || q.Term() != 3 {
 		t.Fatalf("%v in term %d", q.Role(), q.Term())
@@ -128,7 +128,7 @@
 }
 
 func ack(q *Quorum, from string, index, round uint64) {
-	q.Receive(q.now, &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_OUTCOME, From: from, To: "a", Term: 3, Index: index, Round: round})
+	q.Receive(q.now, &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, From: from, To: "a", Term: 3, Index: index, Round: round})
 	last(q)
 }
 
@@ -163,7 +163,7 @@
 		if len(q.ready.Reads) != 0 {
 			t.Fatal("confirmed by an older round")
 		}
-		q.Receive(q.now, &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_OUTCOME, From: "c", To: "a", Term: 3, Index: 3, Round: q.round})
+		q.Receive(q.now, &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, From: "c", To: "a", Term: 3, Index: 3, Round: q.round})
 		if ready := q.Take(); len(ready.Reads) != 1 || ready.Reads[0] != 7 {
 			t.Fatalf("reads %v", ready.Reads)
 		}
@@ -203,7 +203,7 @@
 	t.Run("an unsynced item of its own does not count", func(t *testing.T) {
 		q := elect(t)
 		q.Propose(q.now, &schema.Record{})
-		q.Receive(q.now, &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_OUTCOME, From: "b", To: "a", Term: 3, Index: 5, Round: q.round})
+		q.Receive(q.now, &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, From: "b", To: "a", Term: 3, Index: 5, Round: q.round})
 		if q.Commit() == 5 {
 			t.Fatal("committed on one disk of three")
 		}
--- a/internal/quorum/replication.go
+++ b/internal/quorum/replication.go
@@ -102,7 +102,7 @@
 }
 
 func (q *Quorum) accept(m *schema.Raft) {
-	outcome := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_OUTCOME, To: m.From, Round: m.Round}
+	outcome := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round}
 	items := m.Items
 	index, logTerm := m.Index, m.LogTerm
 	for len(items) > 0 && index < q.first {
@@ -116,7 +116,7 @@
 	}
 	term, isThere := q.termAt(index)
 	if !isThere || index > q.first && term != logTerm {
-		outcome.Declined, outcome.TakesParts = true, true
+		outcome.Rejected, outcome.TakesParts = true, true
 		outcome.Hint = min(q.last(), index-1)
 		if isThere {
 			for outcome.Hint > q.commit {
@@ -152,17 +152,17 @@
 }
 
 func (q *Quorum) install(m *schema.Raft) {
-	outcome := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_OUTCOME, To: m.From, Round: m.Round, Index: m.Image.Index}
-	if m.Image.Index <= q.commit {
+	outcome := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round, Index: m.Snapshot.Index}
+	if m.Snapshot.Index <= q.commit {
 		outcome.Index = q.commit
 		q.send(outcome)
 		return
 	}
-	q.first, q.firstTerm, q.base = m.Image.Index, m.Image.Term, m.Image.Members
+	q.first, q.firstTerm, q.base = m.Snapshot.Index, m.Snapshot.Term, m.Snapshot.Members
 	q.items, q.logBytes = nil, 0
 	q.unsynced = q.first + 1
 	q.commit, q.handed = q.first, q.first
-	q.image, q.isBehind = m.Image, true
+	q.image, q.isBehind = m.Snapshot, true
 	q.send(outcome)
 }
 
@@ -174,7 +174,7 @@
 	p.heard = q.now
 	p.ackRound = max(p.ackRound, m.Round)
 	p.takesParts = p.takesParts || m.TakesParts
-	if m.Declined {
+	if m.Rejected {
 		p.next = min(max(m.Hint+1, p.match+1), q.last()+1)
 		p.isProbing = true
 		q.replicate(m.From)
--- a/internal/quorum/snapshot.go
+++ b/internal/quorum/snapshot.go
@@ -83,7 +83,7 @@
 		return
 	}
 	p.imageAt = q.now
-	q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_IMAGE, To: id, Image: q.options.Whole(), Round: q.round, Commit: q.commit})
+	q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT, To: id, Snapshot: q.options.Whole(), Round: q.round, Commit: q.commit})
 }
 
 // confirmPart takes a follower's word of how much of a snapshot it has. One that was started again has less than it had confirmed.
@@ -127,7 +127,7 @@
 	}
 	if part.Index <= q.commit {
 		q.received = nil
-		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_OUTCOME, To: m.From, Round: m.Round, Index: q.commit})
+		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round, Index: q.commit})
 		return
 	}
 	if r := q.received; r == nil || r.part.Index != part.Index || r.part.Term != part.Term || r.part.Size != part.Size || r.part.Checksum != part.Checksum {
@@ -138,16 +138,16 @@
 		r.payload = append(r.payload, part.Payload...)
 	}
 	if uint64(len(r.payload)) < part.Size {
-		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT_PART_OUTCOME, To: m.From, Round: m.Round, Index: part.Index, Hint: uint64(len(r.payload))})
+		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT_PART_RESPONSE, To: m.From, Round: m.Round, Index: part.Index, Hint: uint64(len(r.payload))})
 		return
 	}
 	q.received = nil
-	snapshot := &schema.Image{}
+	snapshot := &schema.Snapshot{}
 	if crc32.Checksum(r.payload, castagnoli) != part.Checksum || proto.Unmarshal(r.payload, snapshot) != nil || snapshot.Index != part.Index {
-		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT_PART_OUTCOME, To: m.From, Round: m.Round, Index: part.Index})
+		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT_PART_RESPONSE, To: m.From, Round: m.Round, Index: part.Index})
 		return
 	}
-	q.install(&schema.Raft{From: m.From, Round: m.Round, Image: snapshot})
+	q.install(&schema.Raft{From: m.From, Round: m.Round, Snapshot: snapshot})
 }
 
 // keepFrom is the lowest item to keep when the log is dropped up to an index: some behind it, by count and by bytes, and all that a follower needs
--- a/internal/quorum/walk_test.go
+++ b/internal/quorum/walk_test.go
@@ -44,7 +44,7 @@
 	rate    float64
 	isUp    bool
 	hard    *schema.HardState
-	image   *schema.Image
+	image   *schema.Snapshot
 	items   []*schema.LogItem
 	writing *Ready
 	readyAt time.Duration
@@ -80,8 +80,8 @@
 func (w *walk) start(m *walker) {
 	m.isUp, m.writing = true, nil
 	m.applied, m.terms = m.image.GetIndex(), map[uint64]uint64{m.image.GetIndex(): m.image.GetTerm()}
-	m.quorum = New(w.clock(m), Options{ID: m.name, Hard: m.hard, Image: m.image, Items: slices.Clone(m.items), Draw: w.random.Int63n, Whole: func() *schema.Image {
-		whole := &schema.Image{Rows: []*schema.Row{{Key: "k", Value: make([]byte, 200<<10)}}}
+	m.quorum = New(w.clock(m), Options{ID: m.name, Hard: m.hard, Image: m.image, Items: slices.Clone(m.items), Draw: w.random.Int63n, Whole: func() *schema.Snapshot {
+		whole := &schema.Snapshot{Rows: []*schema.Row{{Key: "k", Value: make([]byte, 200<<10)}}}
 		m.quorum.Describe(whole)
 		return whole
 	}})
@@ -273,7 +273,7 @@
 	if !m.isUp || m.writing != nil || m.applied <= m.image.GetIndex() || len(m.items) == 0 || m.items[len(m.items)-1].Index < m.applied {
 		return
 	}
-	snapshot := &schema.Image{}
+	snapshot := &schema.Snapshot{}
 	m.quorum.Describe(snapshot)
 	if snapshot.Index != m.applied {
 		return
--- a/internal/roster/jury.go
+++ b/internal/roster/jury.go
@@ -44,7 +44,7 @@
 func NewJury() *Jury { return &Jury{votes: map[string]map[string]vote{}, trials: map[string]*trial{}} }
 
 // Report takes what a node tells of the back ends that failed it, or that served it although they are failing, since it last told.
-func (j *Jury) Report(now time.Duration, node, district string, vitals []*schema.Vital) {
+func (j *Jury) Report(now time.Duration, node, district string, vitals []*schema.HealthReport) {
 	for _, vital := range vitals {
 		id := vital.Instance
 		if !vital.Failing {
@@ -69,7 +69,7 @@
 	ready := map[string][]string{}
 	for _, id := range slices.Sorted(maps.Keys(view.Nodes)) {
 		if node := view.Nodes[id]; node.State == schema.NodeState_NODE_READY {
-			ready[node.District] = append(ready[node.District], id)
+			ready[node.Zone] = append(ready[node.Zone], id)
 		}
 	}
 	known := map[string]bool{}
@@ -105,11 +105,11 @@
 				failing++
 			}
 			fresh := proto.Clone(backend).(*schema.Backend)
-			fresh.Failing, fresh.Sponsors = isFailing, nil
+			fresh.Failing, fresh.SlowStartSenders = isFailing, nil
 			if isFailing && t.stage == stageTrial {
-				fresh.Sponsors = backend.Sponsors
-				if len(fresh.Sponsors) == 0 {
-					fresh.Sponsors = sponsors(backend, view, ready, t.strikes)
+				fresh.SlowStartSenders = backend.SlowStartSenders
+				if len(fresh.SlowStartSenders) == 0 {
+					fresh.SlowStartSenders = sponsors(backend, view, ready, t.strikes)
 				}
 			}
 			if !proto.Equal(backend, fresh) {
@@ -207,15 +207,15 @@
 	for _, v := range votes {
 		districts[v.district] = true
 	}
-	return len(districts) > 1 || districts[backend.District] || len(ready[backend.District]) == 0
+	return len(districts) > 1 || districts[backend.Zone] || len(ready[backend.Zone]) == 0
 }
 
 // sponsors are the nodes that alone may try a failing back end: few of its district, others at each trial.
 func sponsors(backend *schema.Backend, view *image.View, ready map[string][]string, turn int) []string {
-	near := ready[backend.District]
+	near := ready[backend.Zone]
 	if len(near) == 0 {
 		for _, district := range slices.Sorted(maps.Keys(ready)) {
-			if view.Districts[district].GetRegion() == view.Districts[backend.District].GetRegion() {
+			if view.Districts[district].GetRegion() == view.Districts[backend.Zone].GetRegion() {
 				near = append(near, ready[district]...)
 			}
 		}
--- a/internal/roster/jury_test.go
+++ b/internal/roster/jury_test.go
@@ -24,15 +24,15 @@
 	j := &juried{t: t, table: image.NewTable(), jury: NewJury(), now: time.Hour}
 	rows := []*schema.Row{image.Put(image.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: service == "zinc"})}
 	for i, name := range []string{"kol-a", "kol-b"} {
-		rows = append(rows, image.Put(image.DistrictKey(name), &schema.District{Name: name, Region: "kol", Residue: uint32(2 * i)}))
+		rows = append(rows, image.Put(image.DistrictKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
 	}
 	for i := range 6 {
 		id := fmt.Sprint("n", i)
-		rows = append(rows, image.Put(image.NodeKey(id), &schema.Node{Id: id, District: []string{"kol-a", "kol-b"}[i/3], Region: "kol", State: schema.NodeState_NODE_READY}))
+		rows = append(rows, image.Put(image.NodeKey(id), &schema.Node{Id: id, Zone: []string{"kol-a", "kol-b"}[i/3], Region: "kol", State: schema.NodeState_NODE_READY}))
 	}
 	for i := range 10 {
 		id := fmt.Sprint("i-", i)
-		rows = append(rows, image.Put(image.BackendKey(service, id), &schema.Backend{Service: service, Instance: id, Address: id, District: "kol-a", State: schema.BackendState_BACKEND_READY}))
+		rows = append(rows, image.Put(image.BackendKey(service, id), &schema.Backend{Service: service, Instance: id, Address: id, Zone: "kol-a", State: schema.BackendState_BACKEND_READY}))
 	}
 	j.apply(rows)
 	return j
@@ -59,8 +59,8 @@
 	for _, service := range image.Compile(j.table).Services {
 		for _, b := range service.Backends {
 			switch {
-			case b.Failing && len(b.Sponsors) > 0:
-				seen = append(seen, b.Instance+"("+strings.Join(b.Sponsors, ",")+")")
+			case b.Failing && len(b.SlowStartSenders) > 0:
+				seen = append(seen, b.Instance+"("+strings.Join(b.SlowStartSenders, ",")+")")
 			case b.Failing:
 				seen = append(seen, b.Instance)
 			}
@@ -102,9 +102,9 @@
 			j := newJuried(t, c.service)
 			each := func(nodes, backends string, isFailing bool) {
 				for _, n := range nodes {
-					var vitals []*schema.Vital
+					var vitals []*schema.HealthReport
 					for _, b := range backends {
-						vitals = append(vitals, &schema.Vital{Instance: "i-" + string(b), Failing: isFailing})
+						vitals = append(vitals, &schema.HealthReport{Instance: "i-" + string(b), Failing: isFailing})
 					}
 					j.jury.Report(j.now, "n"+string(n), map[bool]string{true: "kol-a", false: "kol-b"}[n < '3'], vitals)
 				}
@@ -138,7 +138,7 @@
 func TestANewLeadersJuryTakesOver(t *testing.T) {
 	j := newJuried(t, "copper")
 	for n := range 3 {
-		j.jury.Report(j.now, fmt.Sprint("n", n), "kol-a", []*schema.Vital{{Instance: "i-1", Failing: true}})
+		j.jury.Report(j.now, fmt.Sprint("n", n), "kol-a", []*schema.HealthReport{{Instance: "i-1", Failing: true}})
 	}
 	j.plan()
 	j.jury = NewJury()
@@ -159,7 +159,7 @@
 	w := newWatched(t, 3)
 	w.plan(whole1(item("i-1")))
 	b := w.backend("i-1")
-	b.Failing, b.Sponsors = true, []string{"node-00"}
+	b.Failing, b.SlowStartSenders = true, []string{"node-00"}
 	w.put(image.Put(image.BackendKey("copper", "i-1"), b))
 	if record := w.plan(whole1(item("i-1"))); record != nil {
 		t.Fatalf("a read of the list changes %v", record)
@@ -167,7 +167,7 @@
 	moved := item("i-1")
 	moved.ColdLeft = 5 * time.Second
 	w.plan(whole1(moved))
-	if b := w.backend("i-1"); b.Failing || !b.Cold || len(b.Sponsors) == 0 {
+	if b := w.backend("i-1"); b.Failing || !b.Cold || len(b.SlowStartSenders) == 0 {
 		t.Fatalf("one that turned cold is %v", b)
 	}
 }
@@ -178,7 +178,7 @@
 	for i := range 20000 {
 		id := fmt.Sprintf("i-%05d", i)
 		service := fmt.Sprintf("s-%03d", i%200)
-		rows = append(rows, image.Put(image.BackendKey(service, id), &schema.Backend{Service: service, Instance: id, Address: id, District: "kol-a", State: schema.BackendState_BACKEND_READY}))
+		rows = append(rows, image.Put(image.BackendKey(service, id), &schema.Backend{Service: service, Instance: id, Address: id, Zone: "kol-a", State: schema.BackendState_BACKEND_READY}))
 	}
 	if _, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows}, nil); err != nil {
 		b.Fatal(err)
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -103,7 +103,7 @@
 }
 
 // Report takes one node's probes.
-func (r *Roster) Report(node string, vitals []*schema.Vital) {
+func (r *Roster) Report(node string, vitals []*schema.HealthReport) {
 	fresh := map[string]bool{}
 	for _, vital := range vitals {
 		fresh[vital.Instance] = vital.Failing
@@ -160,8 +160,8 @@
 			if old != nil && old.State == schema.BackendState_BACKEND_DRAINING && old.Address == item.Address {
 				state = schema.BackendState_BACKEND_DRAINING
 			}
-			if old == nil || old.Address != item.Address || old.State != state || old.District != item.District {
-				put(&schema.Backend{Service: item.Service, Instance: item.Instance, Address: item.Address, District: item.District, State: state, Cold: count[item.Service] > 0 && (old == nil || old.Cold || old.Address != item.Address)})
+			if old == nil || old.Address != item.Address || old.State != state || old.Zone != item.District {
+				put(&schema.Backend{Service: item.Service, Instance: item.Instance, Address: item.Address, Zone: item.District, State: state, Cold: count[item.Service] > 0 && (old == nil || old.Cold || old.Address != item.Address)})
 				known[name] = nil
 			}
 		}
@@ -209,7 +209,7 @@
 			delete(r.coldAt, name)
 		}
 		if isFailing != backend.Failing || isCold != backend.Cold {
-			put(&schema.Backend{Service: backend.Service, Instance: backend.Instance, Address: backend.Address, District: backend.District,
+			put(&schema.Backend{Service: backend.Service, Instance: backend.Instance, Address: backend.Address, Zone: backend.Zone,
 				State: backend.State, Failing: isFailing, Cold: isCold})
 		}
 	}
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -85,9 +85,9 @@
 			begin := Join(pages(all...))
 			step(&begin)
 			for _, node := range []string{"n1", "n2"} {
-				var vitals []*schema.Vital
+				var vitals []*schema.HealthReport
 				for _, name := range all {
-					vitals = append(vitals, &schema.Vital{Instance: name, Failing: slices.Contains(c.failing, name)})
+					vitals = append(vitals, &schema.HealthReport{Instance: name, Failing: slices.Contains(c.failing, name)})
 				}
 				r.Report(node, vitals)
 			}
@@ -121,7 +121,7 @@
 	state := func(isFailing bool) *schema.Backend {
 		now += constants.RosterEvery
 		for _, node := range []string{"n1", "n2"} {
-			r.Report(node, []*schema.Vital{{Instance: "l-1", Failing: isFailing}, {Instance: "l-2"}})
+			r.Report(node, []*schema.HealthReport{{Instance: "l-1", Failing: isFailing}, {Instance: "l-2"}})
 		}
 		sweep := Join(pages("l-1", "l-2"))
 		if record := r.Plan(now, image.Compile(table), table, &sweep); record != nil {
--- a/internal/roster/watch.go
+++ b/internal/roster/watch.go
@@ -87,7 +87,7 @@
 		if service != nil {
 			old = service.Backend(item.Instance)
 		}
-		fresh := &schema.Backend{Service: item.Service, Instance: item.Instance, Address: item.Address, District: item.District, Slots: item.Slots, State: schema.BackendState_BACKEND_READY}
+		fresh := &schema.Backend{Service: item.Service, Instance: item.Instance, Address: item.Address, Zone: item.District, Slots: item.Slots, State: schema.BackendState_BACKEND_READY}
 		if item.IsDraining || old.GetState() == schema.BackendState_BACKEND_DRAINING && old.GetAddress() == item.Address {
 			fresh.State = schema.BackendState_BACKEND_DRAINING
 		}
@@ -96,14 +96,14 @@
 			w.coldUntil[name] = max(w.coldUntil[name], f.Listing.BegunAt+item.ColdLeft+constants.ColdAfter)
 		}
 		if fresh.Cold = f.Now < w.coldUntil[name]; fresh.Cold {
-			fresh.Sponsors = old.GetSponsors()
+			fresh.SlowStartSenders = old.GetSlowStartSenders()
 			if fresh.Failing = false; !old.GetCold() {
-				fresh.Sponsors = w.sponsors(f, fresh, service)
+				fresh.SlowStartSenders = w.sponsors(f, fresh, service)
 			}
 		} else {
 			delete(w.coldUntil, name)
 			if fresh.Failing {
-				fresh.Sponsors = old.Sponsors
+				fresh.SlowStartSenders = old.SlowStartSenders
 			}
 		}
 		if !proto.Equal(old, fresh) {
@@ -143,7 +143,7 @@
 	}
 	for name, at := range w.settledAt {
 		if f.Listing.BegunAt >= at+w.lag+constants.SettleMargin {
-			fresh := proto.Clone(f.View.Districts[name]).(*schema.District)
+			fresh := proto.Clone(f.View.Districts[name]).(*schema.Zone)
 			fresh.Settling = false
 			put(image.DistrictKey(name), fresh)
 		}
@@ -164,11 +164,11 @@
 		bearable = f.ColdBearable(service.Policy)
 	}
 	var near, far []string
-	region := f.View.Districts[backend.District].GetRegion()
+	region := f.View.Districts[backend.Zone].GetRegion()
 	for id, node := range f.View.Nodes {
 		switch {
 		case node.State != schema.NodeState_NODE_READY:
-		case node.District == backend.District:
+		case node.Zone == backend.Zone:
 			near = append(near, id)
 		case node.Region == region:
 			far = append(far, id)
--- a/internal/roster/watch_test.go
+++ b/internal/roster/watch_test.go
@@ -25,11 +25,11 @@
 	w := &watched{t: t, table: image.NewTable(), watch: NewWatch(lag), bearable: 30, now: time.Hour}
 	rows := []*schema.Row{image.Put(image.RegionKey("kol"), &schema.Region{Name: "kol", Residue: 1}), image.Put(image.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 17})}
 	for i, name := range []string{"kol-a", "kol-b"} {
-		rows = append(rows, image.Put(image.DistrictKey(name), &schema.District{Name: name, Region: "kol", Residue: uint32(2 * i)}))
+		rows = append(rows, image.Put(image.DistrictKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
 	}
 	for i := range nodes {
 		id := fmt.Sprintf("node-%02d", i)
-		rows = append(rows, image.Put(image.NodeKey(id), &schema.Node{Id: id, District: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}))
+		rows = append(rows, image.Put(image.NodeKey(id), &schema.Node{Id: id, Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}))
 	}
 	w.put(rows...)
 	return w
@@ -179,19 +179,19 @@
 		{"never more than what is bearable", 9, 3, nil, []string{"node-00", "node-01", "node-02"}},
 		{"one bears nothing to divide", 9, 1, nil, []string{"node-00"}},
 		{"ready ones alone", 3, 30, func(w *watched) {
-			w.put(image.Put(image.NodeKey("node-01"), &schema.Node{Id: "node-01", District: "kol-a", Region: "kol", State: schema.NodeState_NODE_STOPPING}),
-				image.Put(image.NodeKey("node-02"), &schema.Node{Id: "node-02", District: "kol-a", Region: "kol", State: schema.NodeState_NODE_LOST}))
+			w.put(image.Put(image.NodeKey("node-01"), &schema.Node{Id: "node-01", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_STOPPING}),
+				image.Put(image.NodeKey("node-02"), &schema.Node{Id: "node-02", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_LOST}))
 		}, []string{"node-00"}},
 		{"the region's, if the district has none", 2, 30, func(w *watched) {
 			for i := range 2 {
 				id := fmt.Sprintf("node-%02d", i)
-				w.put(image.Put(image.NodeKey(id), &schema.Node{Id: id, District: "kol-b", Region: "kol", State: schema.NodeState_NODE_READY}))
+				w.put(image.Put(image.NodeKey(id), &schema.Node{Id: id, Zone: "kol-b", Region: "kol", State: schema.NodeState_NODE_READY}))
 			}
 		}, []string{"node-00", "node-01"}},
 		{"none of another region", 2, 30, func(w *watched) {
 			for i := range 2 {
 				id := fmt.Sprintf("node-%02d", i)
-				w.put(image.Put(image.NodeKey(id), &schema.Node{Id: id, District: "hal-a", Region: "hal", State: schema.NodeState_NODE_READY}))
+				w.put(image.Put(image.NodeKey(id), &schema.Node{Id: id, Zone: "hal-a", Region: "hal", State: schema.NodeState_NODE_READY}))
 			}
 		}, nil},
 	} {
@@ -202,10 +202,10 @@
 				c.turn(w)
 			}
 			w.plan(whole1(cold("b", 3*time.Second)))
-			if got := w.backend("b").Sponsors; !slices.Equal(got, c.want) {
+			if got := w.backend("b").SlowStartSenders; !slices.Equal(got, c.want) {
 				t.Fatalf("sponsors %v, want %v", got, c.want)
 			}
-			if sum := len(w.backend("b").Sponsors) * (c.bearable / max(1, len(w.backend("b").Sponsors))); sum > c.bearable {
+			if sum := len(w.backend("b").SlowStartSenders) * (c.bearable / max(1, len(w.backend("b").SlowStartSenders))); sum > c.bearable {
 				t.Fatalf("sponsors may send %d a second together, bearable are %d", sum, c.bearable)
 			}
 		})
@@ -215,19 +215,19 @@
 func TestWatchKeepsSponsorsWhileCold(t *testing.T) {
 	w := newWatched(t, 2)
 	w.plan(whole1(cold("b", 3*time.Second)))
-	was := w.backend("b").Sponsors
-	w.put(image.Put(image.NodeKey("node-"), &schema.Node{Id: "node-", District: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}))
+	was := w.backend("b").SlowStartSenders
+	w.put(image.Put(image.NodeKey("node-"), &schema.Node{Id: "node-", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}))
 	w.plan(whole1(cold("b", 2*time.Second)))
-	if got := w.backend("b").Sponsors; !slices.Equal(got, was) {
+	if got := w.backend("b").SlowStartSenders; !slices.Equal(got, was) {
 		t.Fatalf("sponsors %v became %v while it was cold: two sets could send its whole part in one second", was, got)
 	}
 	w.now += 10 * time.Second
 	w.plan(whole1(item("b")))
-	if b := w.backend("b"); b.Cold || len(b.Sponsors) > 0 {
+	if b := w.backend("b"); b.Cold || len(b.SlowStartSenders) > 0 {
 		t.Fatalf("warm, yet %v", b)
 	}
 	w.plan(whole1(cold("b", 2*time.Second)))
-	if got := w.backend("b").Sponsors; len(got) != 3 {
+	if got := w.backend("b").SlowStartSenders; len(got) != 3 {
 		t.Fatalf("cold again: sponsors %v", got)
 	}
 }
@@ -248,12 +248,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newWatched(t, 1)
 			w.plan(whole1(item("a")))
-			w.put(image.Put(image.DistrictKey("kol-a"), &schema.District{Name: "kol-a", Region: "kol", Settling: true}))
+			w.put(image.Put(image.DistrictKey("kol-a"), &schema.Zone{Name: "kol-a", Region: "kol", Settling: true}))
 			w.plan(nil)
 			at := w.now
 			w.now += 5 * time.Second
 			w.plan(&Listing{Items: []Listed{item("a")}, IsWhole: c.whole, BegunAt: at + c.begun})
-			district := image.Decode[schema.District](w.table.Get(image.DistrictKey("kol-a")))
+			district := image.Decode[schema.Zone](w.table.Get(image.DistrictKey("kol-a")))
 			if district.Settling != c.want || district.Region != "kol" {
 				t.Fatalf("settling %v, want %v", district.Settling, c.want)
 			}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -114,7 +114,7 @@
 	table := image.NewTable()
 	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
 		image.Put(image.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1", State: schema.BackendState_BACKEND_READY}),
-		image.Put(image.SpanKey("nickel", 0), &schema.KeySpan{Service: "nickel", Last: 65535, Instance: "n-1"})}})
+		image.Put(image.SpanKey("nickel", 0), &schema.ShardRange{Service: "nickel", Last: 65535, Instance: "n-1"})}})
 	config := good()
 	apply(t, table, 2, Plan(table, config, []byte("d8")))
 	return table, config
--- a/internal/sim/scenarios.go
+++ b/internal/sim/scenarios.go
@@ -23,14 +23,14 @@
 
 func (f *Fleet) change() {
 	n := f.pick(func(n *Node) bool { return n.IsUp })
-	f.Operate(n, &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(DefaultDocument), Base: f.accepted}, func(*schema.OperatorOutcome) {})
+	f.Operate(n, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(DefaultDocument), Base: f.accepted}, func(*schema.OperatorResponse) {})
 }
 
 func (f *Fleet) status() []string {
 	var lacking []string
 	for i := 0; i < 40 && lacking == nil; i++ {
-		f.Operate(f.pick(func(n *Node) bool { return n.IsUp }), &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_STATUS}, func(o *schema.OperatorOutcome) {
-			if o.Decline == schema.DeclineKind_DECLINE_NONE {
+		f.Operate(f.pick(func(n *Node) bool { return n.IsUp }), &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}, func(o *schema.OperatorResponse) {
+			if o.Refusal == schema.RefusalKind_REFUSAL_NONE {
 				lacking = append([]string{}, o.Unconfirmed...)
 			}
 		})
@@ -41,7 +41,7 @@
 
 func (f *Fleet) reads() error {
 	for range 40 {
-		if o := f.Show(f.pick(func(n *Node) bool { return n.IsUp })); o != nil && o.Decline == schema.DeclineKind_DECLINE_NONE {
+		if o := f.Show(f.pick(func(n *Node) bool { return n.IsUp })); o != nil && o.Refusal == schema.RefusalKind_REFUSAL_NONE {
 			return nil
 		}
 		f.RunFor(250 * time.Millisecond)
@@ -408,17 +408,17 @@
 					f.after(3*time.Second, func() { f.Start(leader) })
 				}
 			}
-			var outcomes []*schema.OperatorOutcome
+			var outcomes []*schema.OperatorResponse
 			for range 2 {
 				at := f.pick(func(n *Node) bool { return n.IsUp })
-				f.Operate(at, &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(DefaultDocument), Base: base}, func(o *schema.OperatorOutcome) {
+				f.Operate(at, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(DefaultDocument), Base: base}, func(o *schema.OperatorResponse) {
 					outcomes = append(outcomes, o)
 				})
 			}
 			f.RunFor(2 * time.Second)
 			wins := 0
 			for _, o := range outcomes {
-				if o.Decline == schema.DeclineKind_DECLINE_NONE {
+				if o.Refusal == schema.RefusalKind_REFUSAL_NONE {
 					wins++
 				}
 			}
@@ -426,7 +426,7 @@
 				f.breach("%d racing puts on base %d were accepted", wins, base)
 			}
 			f.RunFor(4 * time.Second)
-			if o := f.Show(n); o != nil && o.Decline == schema.DeclineKind_DECLINE_NONE {
+			if o := f.Show(n); o != nil && o.Refusal == schema.RefusalKind_REFUSAL_NONE {
 				base = o.Version
 			}
 		}
@@ -684,7 +684,7 @@
 			return err
 		}
 		for range 20 {
-			if o := f.Show(f.pick(func(n *Node) bool { return n.IsUp })); o != nil && o.Decline == schema.DeclineKind_DECLINE_NONE {
+			if o := f.Show(f.pick(func(n *Node) bool { return n.IsUp })); o != nil && o.Refusal == schema.RefusalKind_REFUSAL_NONE {
 				return f.settled()
 			}
 			f.RunFor(time.Second)
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -228,7 +228,7 @@
 	n.isShut, n.flying = false, map[uint64]*carried{}
 	n.random = rand.New(rand.NewSource(f.random.Int63()))
 	n.ident = fmt.Sprintf("%012x", f.random.Int63()&0xffffffffffff)
-	self := &schema.Node{Id: n.ident, Address: n.address, Proxy: n.address + ":p", Door: n.address + ":d", District: n.District, Region: n.Region, Disk: n.HasDisk,
+	self := &schema.Node{Id: n.ident, Address: n.address, Proxy: n.address + ":p", Admin: n.address + ":d", Zone: n.District, Region: n.Region, Disk: n.HasDisk,
 		Incarnation: uint64(f.Now.Milliseconds()) + 1, State: schema.NodeState_NODE_READY}
 	options := core.Options{Self: self, Seeds: f.seeds(), Draw: n.random.Int63n, Log: f.log.With("node", n.Name)}
 	var j *journal.Journal
@@ -344,8 +344,8 @@
 		n.core.Tick(f.clock(n))
 		f.perform(n)
 		for _, asking := range n.keeper.Ask(f.clock(n)) {
-			f.call(n, asking.Member.Address, &schema.Frame{Body: &schema.Frame_ClaimCopy{ClaimCopy: asking.Query}}, func(o *schema.Frame) {
-				if outcome := o.GetClaimCopyOutcome(); outcome != nil {
+			f.call(n, asking.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: asking.Query}}, func(o *schema.Frame) {
+				if outcome := o.GetReservationCopyResponse(); outcome != nil {
 					n.keeper.Copied(f.clock(n), asking.Member.Id, outcome)
 				}
 			})
@@ -356,7 +356,7 @@
 
 func (f *Fleet) vitals(n *Node, boot int) {
 	f.on(n, boot, func() {
-		var vitals []*schema.Vital
+		var vitals []*schema.HealthReport
 		view := n.core.Local().View
 		for _, b := range f.Backends {
 			if b.State == "gone" || regionOf(b.District) != n.Region || view.Services[b.Service] == nil {
@@ -369,7 +369,7 @@
 				n.fails[b.Instance]++
 			}
 			n.loads.Report(b.Instance, err)
-			vitals = append(vitals, &schema.Vital{Instance: b.Instance, Failing: n.fails[b.Instance] >= constants.VitalsFails})
+			vitals = append(vitals, &schema.HealthReport{Instance: b.Instance, Failing: n.fails[b.Instance] >= constants.VitalsFails})
 		}
 		n.core.SetVitals(vitals)
 		f.after(constants.VitalsEvery, func() { f.vitals(n, boot) })
@@ -436,7 +436,7 @@
 		return
 	}
 	link := [2]string{from.Name, target.Name}
-	if raft := frame.GetRaft(); raft != nil && raft.Kind == schema.RaftKind_RAFT_VOTE_OUTCOME && !raft.Declined {
+	if raft := frame.GetRaft(); raft != nil && raft.Kind == schema.RaftKind_RAFT_VOTE_RESPONSE && !raft.Rejected {
 		ballot := fmt.Sprintf("%s in term %d", from.ident, raft.Term)
 		if other, isGiven := f.votes[ballot]; isGiven && other != raft.To {
 			f.breach("%s gave its vote twice: to %s and %s", ballot, other, raft.To)
@@ -459,7 +459,7 @@
 }
 
 func (f *Fleet) receive(n *Node, frame *schema.Frame) {
-	if frame.Outcome {
+	if frame.Response {
 		if take := n.calls[frame.Call]; take != nil {
 			delete(n.calls, frame.Call)
 			take(frame)
@@ -467,25 +467,25 @@
 		return
 	}
 	reply := func(body *schema.Frame) {
-		body.Call, body.Outcome, body.System, body.From, body.Address = frame.Call, true, n.core.Local().System, n.ident, n.address
+		body.Call, body.Response, body.System, body.From, body.Address = frame.Call, true, n.core.Local().System, n.ident, n.address
 		f.transmit(n, frame.Address, body)
 	}
 	switch body := frame.Body.(type) {
-	case *schema.Frame_Claim:
-		reply(&schema.Frame{Body: &schema.Frame_ClaimOutcome{ClaimOutcome: f.take(n, body.Claim)}})
-	case *schema.Frame_ClaimCopy:
-		reply(&schema.Frame{Body: &schema.Frame_ClaimCopyOutcome{ClaimCopyOutcome: n.keeper.Copy(f.clock(n), body.ClaimCopy)}})
-	case *schema.Frame_Replay:
-		reply(&schema.Frame{Body: &schema.Frame_ReplayOutcome{ReplayOutcome: n.kept.Replay(body.Replay)}})
+	case *schema.Frame_ReservationRequest:
+		reply(&schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: f.take(n, body.ReservationRequest)}})
+	case *schema.Frame_ReservationCopyRequest:
+		reply(&schema.Frame{Body: &schema.Frame_ReservationCopyResponse{ReservationCopyResponse: n.keeper.Copy(f.clock(n), body.ReservationCopyRequest)}})
+	case *schema.Frame_ReplayRequest:
+		reply(&schema.Frame{Body: &schema.Frame_ReplayResponse{ReplayResponse: n.kept.Replay(body.ReplayRequest)}})
 	default:
 		n.core.Receive(f.clock(n), frame)
 		f.perform(n)
 	}
 }
 
-func (f *Fleet) take(n *Node, c *schema.Claim) *schema.ClaimOutcome {
+func (f *Fleet) take(n *Node, c *schema.ReservationRequest) *schema.ReservationResponse {
 	if f.Options.Breach == "claims" {
-		return &schema.ClaimOutcome{State: schema.ClaimState_CLAIM_TAKEN, Holder: c.Holder, Keepers: c.Keepers}
+		return &schema.ReservationResponse{State: schema.ReservationState_RESERVATION_TAKEN, Owner: c.Owner, ReplicaSet: c.ReplicaSet}
 	}
 	now := f.clock(n)
 	return n.keeper.Take(now, c, now < n.core.Local().GrantUntil || f.Options.Breach == "grants")
@@ -495,8 +495,8 @@
 	n.serial++
 	frame.Call, frame.System, frame.From, frame.Address = n.serial, n.core.Local().System, n.ident, n.address
 	if to == n.address {
-		if c := frame.GetClaim(); c != nil {
-			take(&schema.Frame{Body: &schema.Frame_ClaimOutcome{ClaimOutcome: f.take(n, c)}})
+		if c := frame.GetReservationRequest(); c != nil {
+			take(&schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: f.take(n, c)}})
 		}
 		return
 	}
@@ -557,22 +557,22 @@
 func (f *Fleet) answer(n *Node, o core.Outcome) {
 	if take := n.calls[o.Ticket]; take != nil {
 		delete(n.calls, o.Ticket)
-		take(&schema.Frame{Body: &schema.Frame_OperatorOutcome{OperatorOutcome: o.Outcome}})
+		take(&schema.Frame{Body: &schema.Frame_OperatorResponse{OperatorResponse: o.Outcome}})
 	}
 }
 
 // Operate sends an operator's query to a machine and keeps what was told.
-func (f *Fleet) Operate(n *Node, query *schema.OperatorQuery, take func(*schema.OperatorOutcome)) {
+func (f *Fleet) Operate(n *Node, query *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
 	at := f.Now
 	if f.Options.Breach == "race" && query.Kind == schema.OperatorKind_OPERATOR_PUT {
-		query = proto.Clone(query).(*schema.OperatorQuery)
+		query = proto.Clone(query).(*schema.OperatorRequest)
 		f.after(time.Duration(f.random.Intn(1500))*time.Millisecond, func() { f.operate(n, at, query, take) })
 		return
 	}
 	f.operate(n, at, query, take)
 }
 
-func (f *Fleet) operate(n *Node, at time.Duration, query *schema.OperatorQuery, take func(*schema.OperatorOutcome)) {
+func (f *Fleet) operate(n *Node, at time.Duration, query *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
 	base := query.Base
 	if f.Options.Breach == "race" {
 		query.Base = n.core.Local().View.Head.Version
@@ -581,7 +581,7 @@
 	f.on(n, n.Boot, func() {
 		n.serial++
 		n.calls[n.serial] = func(frame *schema.Frame) {
-			o := frame.GetOperatorOutcome()
+			o := frame.GetOperatorResponse()
 			if f.Options.Breach == "read-back" && o.Version > 1 && query.Kind == schema.OperatorKind_OPERATOR_SHOW {
 				o.Version--
 			}
@@ -593,8 +593,8 @@
 	})
 }
 
-func (f *Fleet) told(n *Node, at time.Duration, base uint64, query *schema.OperatorQuery, o *schema.OperatorOutcome) {
-	e := judge.OperatorEvent{At: at, End: f.Now, District: query.District, Version: o.Version, Base: base, Status: 200, Node: n.Name}
+func (f *Fleet) told(n *Node, at time.Duration, base uint64, query *schema.OperatorRequest, o *schema.OperatorResponse) {
+	e := judge.OperatorEvent{At: at, End: f.Now, District: query.Zone, Version: o.Version, Base: base, Status: 200, Node: n.Name}
 	switch query.Kind {
 	case schema.OperatorKind_OPERATOR_PUT:
 		e.What = "put"
@@ -615,8 +615,8 @@
 		return
 	}
 	f.lacking = o.Unconfirmed
-	if o.Decline != schema.DeclineKind_DECLINE_NONE {
-		e.Status = 400 + int(o.Decline)
+	if o.Refusal != schema.RefusalKind_REFUSAL_NONE {
+		e.Status = 400 + int(o.Refusal)
 	} else if e.What == "put" {
 		f.accepted = max(f.accepted, o.Version)
 		f.accepts[o.Version] = f.Now
@@ -632,9 +632,9 @@
 {"service":"service2","path":"/home","methods":["GET"],"repeat_safe":["GET"],"home_regions":["r0","r1"]}]}`
 
 // Put puts a configuration through a machine until it is accepted, declined for good, or a time is over.
-func (f *Fleet) Put(n *Node, document string, base uint64) *schema.OperatorOutcome {
-	var outcome *schema.OperatorOutcome
-	f.Operate(n, &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(document), Base: base}, func(o *schema.OperatorOutcome) {
+func (f *Fleet) Put(n *Node, document string, base uint64) *schema.OperatorResponse {
+	var outcome *schema.OperatorResponse
+	f.Operate(n, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(document), Base: base}, func(o *schema.OperatorResponse) {
 		outcome = o
 	})
 	for range 700 {
@@ -647,9 +647,9 @@
 }
 
 // Show reads the configuration back through a machine.
-func (f *Fleet) Show(n *Node) *schema.OperatorOutcome {
-	var outcome *schema.OperatorOutcome
-	f.Operate(n, &schema.OperatorQuery{Kind: schema.OperatorKind_OPERATOR_SHOW}, func(o *schema.OperatorOutcome) {
+func (f *Fleet) Show(n *Node) *schema.OperatorResponse {
+	var outcome *schema.OperatorResponse
+	f.Operate(n, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW}, func(o *schema.OperatorResponse) {
 		outcome = o
 	})
 	for range 700 {
@@ -673,8 +673,8 @@
 			continue
 		}
 		isDone, isAccepted := false, false
-		f.Operate(n, &schema.OperatorQuery{Kind: kind, District: district, Reason: "sim"}, func(o *schema.OperatorOutcome) {
-			isDone, isAccepted = true, o.Decline == schema.DeclineKind_DECLINE_NONE
+		f.Operate(n, &schema.OperatorRequest{Kind: kind, Zone: district, Reason: "sim"}, func(o *schema.OperatorResponse) {
+			isDone, isAccepted = true, o.Refusal == schema.RefusalKind_REFUSAL_NONE
 		})
 		for i := 0; i < 100 && !isDone; i++ {
 			f.RunFor(10 * time.Millisecond)
@@ -696,7 +696,7 @@
 	for f.Now < time.Minute {
 		f.RunFor(500 * time.Millisecond)
 		if leader := f.Leader(); leader != nil {
-			if outcome := f.Put(leader, document, 0); outcome.GetVersion() == 1 && outcome.Decline == schema.DeclineKind_DECLINE_NONE {
+			if outcome := f.Put(leader, document, 0); outcome.GetVersion() == 1 && outcome.Refusal == schema.RefusalKind_REFUSAL_NONE {
 				return nil
 			}
 		}
--- a/internal/sim/traffic.go
+++ b/internal/sim/traffic.go
@@ -79,9 +79,9 @@
 			copied := *service
 			copied.Backends = nil
 			for _, b := range service.Backends {
-				row := &schema.Backend{Service: b.Service, Instance: b.Instance, Address: b.Address, District: b.District, State: b.State, Failing: b.Failing, Cold: b.Cold && f.Options.Breach != "cold"}
+				row := &schema.Backend{Service: b.Service, Instance: b.Instance, Address: b.Address, Zone: b.Zone, State: b.State, Failing: b.Failing, Cold: b.Cold && f.Options.Breach != "cold"}
 				if f.Options.Breach == "home" {
-					row.District = n.District
+					row.Zone = n.District
 				}
 				copied.Backends = append(copied.Backends, row)
 			}
@@ -106,7 +106,7 @@
 		q.Seal()
 		n.serial++
 		c := &carried{fleet: f, node: n, boot: n.Boot, id: n.serial, query: q, respond: respond}
-		c.course = proxy.NewCourse(proxy.CourseOptions{Self: &schema.Node{Id: n.ident, District: n.District, Region: n.Region}, Loads: n.loads, Kept: n.kept, Draw: n.random.Int63n, Query: q,
+		c.course = proxy.NewCourse(proxy.CourseOptions{Self: &schema.Node{Id: n.ident, Zone: n.District, Region: n.Region}, Loads: n.loads, Kept: n.kept, Draw: n.random.Int63n, Query: q,
 			Holder: fmt.Sprintf("%s/%d", n.ident, n.serial), Begun: f.clock(n)})
 		n.flying[c.id] = c
 		c.next(0, proxy.Event{Kind: proxy.EventBegun})
@@ -164,16 +164,16 @@
 	case proxy.OrderSend:
 		c.send(step, order)
 	case proxy.OrderClaim:
-		c.claim(step, order, func(o *schema.ClaimOutcome) {
+		c.claim(step, order, func(o *schema.ReservationResponse) {
 			c.next(step, proxy.Event{Kind: proxy.EventClaimed, Claimed: o})
 		})
 	case proxy.OrderReplay:
-		tell := func(o *schema.ReplayOutcome) { c.next(step, proxy.Event{Kind: proxy.EventReplayed, Replayed: o}) }
+		tell := func(o *schema.ReplayResponse) { c.next(step, proxy.Event{Kind: proxy.EventReplayed, Replayed: o}) }
 		f.after(order.For, func() { tell(nil) })
-		f.call(n, order.Address, &schema.Frame{Body: &schema.Frame_Replay{Replay: order.Replay}}, func(o *schema.Frame) { tell(o.GetReplayOutcome()) })
+		f.call(n, order.Address, &schema.Frame{Body: &schema.Frame_ReplayRequest{ReplayRequest: order.Replay}}, func(o *schema.Frame) { tell(o.GetReplayResponse()) })
 	case proxy.OrderRelease:
 		left := len(order.Claims)
-		c.claim(step, order, func(*schema.ClaimOutcome) {
+		c.claim(step, order, func(*schema.ReservationResponse) {
 			if left--; left == 0 {
 				c.next(step, proxy.Event{Kind: proxy.EventReleased})
 			}
@@ -181,18 +181,18 @@
 	}
 }
 
-func (c *carried) claim(step int, order proxy.Order, take func(*schema.ClaimOutcome)) {
+func (c *carried) claim(step int, order proxy.Order, take func(*schema.ReservationResponse)) {
 	f := c.fleet
 	for _, call := range order.Claims {
 		isTold := false
-		tell := func(o *schema.ClaimOutcome) {
+		tell := func(o *schema.ReservationResponse) {
 			if !isTold {
 				isTold = true
 				take(o)
 			}
 		}
 		f.after(order.For, func() { tell(nil) })
-		f.call(c.node, call.Member.Address, &schema.Frame{Body: &schema.Frame_Claim{Claim: call.Claim}}, func(o *schema.Frame) { tell(o.GetClaimOutcome()) })
+		f.call(c.node, call.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationRequest{ReservationRequest: call.Claim}}, func(o *schema.Frame) { tell(o.GetReservationResponse()) })
 	}
 }
 
--- a/internal/standing/evidence.go
+++ b/internal/standing/evidence.go
@@ -22,7 +22,7 @@
 		default:
 			lost := 0
 			for _, node := range view.Nodes {
-				if node.District == name {
+				if node.Zone == name {
 					lost++
 				}
 			}
@@ -38,7 +38,7 @@
 	if service != nil {
 		ready := 0
 		for _, backend := range service.Backends {
-			if backend.State == schema.BackendState_BACKEND_READY && slices.Contains(open, backend.District) {
+			if backend.State == schema.BackendState_BACKEND_READY && slices.Contains(open, backend.Zone) {
 				ready++
 			}
 		}
--- a/internal/standing/place.go
+++ b/internal/standing/place.go
@@ -29,7 +29,7 @@
 	return number
 }
 
-func rowOf(view *image.View, service, region string) *schema.Standing {
+func rowOf(view *image.View, service, region string) *schema.FailoverAssignment {
 	row := view.Defaults[region]
 	if known := view.Services[service]; known != nil {
 		if own := known.Standings[""][region]; own != nil {
@@ -71,7 +71,7 @@
 			if group.Region != region {
 				return place, &ResolveError{fmt.Sprintf("number %d names group %s outside region %s", row.Number, group.Name, region)}
 			}
-			place.Region, place.Group, place.Districts = region, group.Name, group.Districts
+			place.Region, place.Group, place.Districts = region, group.Name, group.Zones
 			return place, nil
 		}
 		region = regionNumbered(view, row.Number)
@@ -151,10 +151,10 @@
 		if planned := made[name]; planned != nil {
 			return planned.Residue, true
 		}
-		if group != nil && slices.Equal(group.Districts, districts) {
+		if group != nil && slices.Equal(group.Zones, districts) {
 			return group.Residue, true
 		}
-		fresh := &schema.Group{Name: name, Region: region, Districts: districts}
+		fresh := &schema.Group{Name: name, Region: region, Zones: districts}
 		if group != nil {
 			fresh.Residue = group.Residue
 		} else if nextResidue >= constants.GroupIncrement {
@@ -170,7 +170,7 @@
 	}
 	fit := func(service *image.Service, region string) bool {
 		return service == nil || slices.ContainsFunc(service.Backends, func(b *schema.Backend) bool {
-			return b.State == schema.BackendState_BACKEND_READY && slices.Contains(open[region], b.District)
+			return b.State == schema.BackendState_BACKEND_READY && slices.Contains(open[region], b.Zone)
 		})
 	}
 	target := func(service *image.Service, region string) (uint32, string, bool) {
@@ -189,7 +189,7 @@
 		}
 		return view.Regions[best].Residue, "no open district with back ends; work goes to " + best, true
 	}
-	move := func(key string, row *schema.Standing, was uint64, to uint32, reason string, of *image.Service) {
+	move := func(key string, row *schema.FailoverAssignment, was uint64, to uint32, reason string, of *image.Service) {
 		row.Number, row.Reason = nextOf(was, to), reason
 		records = append(records, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "standing of " + row.Service + " in " + row.Region,
 			Evidence: evidence(view, of, row.Region, all[row.Region], open[row.Region]),
@@ -198,7 +198,7 @@
 	for _, region := range regions {
 		to, reason, isThere := target(nil, region)
 		if row := view.Defaults[region]; isThere && (row == nil || row.Number%constants.GroupIncrement != uint64(to)) {
-			move(image.DefaultKey(region), &schema.Standing{Region: region}, row.GetNumber(), to, reason, nil)
+			move(image.DefaultKey(region), &schema.FailoverAssignment{Region: region}, row.GetNumber(), to, reason, nil)
 		}
 		for _, name := range sortedNames(view.Services) {
 			service := view.Services[name]
@@ -212,7 +212,7 @@
 			if defaultTo, _, isDefault := target(nil, region); !isOwnThere && isDefault && defaultTo == to {
 				continue
 			}
-			move(image.StandingKey(name, "", region), &schema.Standing{Service: name, Region: region}, row.Number, to, reason, service)
+			move(image.StandingKey(name, "", region), &schema.FailoverAssignment{Service: name, Region: region}, row.Number, to, reason, service)
 		}
 	}
 	if len(groups.Rows) > 0 {
@@ -233,7 +233,7 @@
 func isDark(view *image.View, district string) bool {
 	count := 0
 	for _, node := range view.Nodes {
-		if node.District == district {
+		if node.Zone == district {
 			if node.State != schema.NodeState_NODE_LOST {
 				return false
 			}
@@ -256,7 +256,7 @@
 		}
 		return true, nil
 	case strings.HasPrefix(row.Key, "standing/"):
-		was, is := image.Decode[schema.Standing](old).GetNumber(), image.Decode[schema.Standing](row).GetNumber()
+		was, is := image.Decode[schema.FailoverAssignment](old).GetNumber(), image.Decode[schema.FailoverAssignment](row).GetNumber()
 		if is <= was {
 			return true, fmt.Errorf("number of %s would go from %d to %d; numbers only rise", row.Key, was, is)
 		}
--- a/internal/standing/place_test.go
+++ b/internal/standing/place_test.go
@@ -26,7 +26,7 @@
 	for i, region := range []string{"hal", "kol", "tor"} {
 		a.put(image.RegionKey(region), image.Put(image.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)}))
 		for _, district := range districtsOf[region] {
-			a.put(image.DistrictKey(district), image.Put(image.DistrictKey(district), &schema.District{Name: district, Region: region, Residue: residue}))
+			a.put(image.DistrictKey(district), image.Put(image.DistrictKey(district), &schema.Zone{Name: district, Region: region, Residue: residue}))
 			a.node(district, schema.NodeState_NODE_READY)
 			a.backend("copper", district, schema.BackendState_BACKEND_READY)
 			residue += 2
@@ -45,17 +45,17 @@
 
 func (a *atlas) node(district string, state schema.NodeState) {
 	key := image.NodeKey("node-" + district)
-	a.put(key, image.Put(key, &schema.Node{Id: "node-" + district, District: district, Region: district[:3], State: state}))
+	a.put(key, image.Put(key, &schema.Node{Id: "node-" + district, Zone: district, Region: district[:3], State: state}))
 }
 
 func (a *atlas) backend(service, district string, state schema.BackendState) {
 	key := image.BackendKey(service, service+"-"+district)
-	a.put(key, image.Put(key, &schema.Backend{Service: service, Instance: service + "-" + district, District: district, State: state}))
+	a.put(key, image.Put(key, &schema.Backend{Service: service, Instance: service + "-" + district, Zone: district, State: state}))
 }
 
 func (a *atlas) empty(district string, isEmptied bool) {
 	key := image.DistrictKey(district)
-	row := image.Decode[schema.District](a.table.Get(key))
+	row := image.Decode[schema.Zone](a.table.Get(key))
 	row.Emptied = isEmptied
 	a.put(key, image.Put(key, row))
 }
@@ -213,7 +213,7 @@
 	hop := func(from, to string) {
 		key := image.DefaultKey(from)
 		number := nextOf(view.Defaults[from].Number, view.Regions[to].Residue)
-		a.put(key, image.Put(key, &schema.Standing{Region: from, Number: number}))
+		a.put(key, image.Put(key, &schema.FailoverAssignment{Region: from, Number: number}))
 	}
 	hop("hal", "kol")
 	if place := a.locate("copper", "hal"); place.Region != "kol" || len(place.Trail) != 2 {
@@ -241,11 +241,11 @@
 		{"a group moved to another region", image.Put(image.GroupKey("kol"), &schema.Group{Name: "kol", Region: "tor", Residue: group.Residue}), "renumbered"},
 		{"a group with an odd residue", image.Put(image.GroupKey("new"), &schema.Group{Name: "new", Residue: 7}), "even"},
 		{"a group with a residue above the increment", image.Put(image.GroupKey("new"), &schema.Group{Name: "new", Residue: constants.GroupIncrement}), "below the increment"},
-		{"a lower number", image.Put(image.DefaultKey("kol"), &schema.Standing{Region: "kol", Number: number - 1}), "only rise"},
-		{"the same number", image.Put(image.DefaultKey("kol"), &schema.Standing{Region: "kol", Number: number}), "only rise"},
-		{"a service's lower number", image.Put(image.StandingKey("copper", "", "kol"), &schema.Standing{Service: "copper", Region: "kol", Number: 0}), "only rise"},
+		{"a lower number", image.Put(image.DefaultKey("kol"), &schema.FailoverAssignment{Region: "kol", Number: number - 1}), "only rise"},
+		{"the same number", image.Put(image.DefaultKey("kol"), &schema.FailoverAssignment{Region: "kol", Number: number}), "only rise"},
+		{"a service's lower number", image.Put(image.StandingKey("copper", "", "kol"), &schema.FailoverAssignment{Service: "copper", Region: "kol", Number: 0}), "only rise"},
 		{"a region renumbered", image.Put(image.RegionKey("kol"), &schema.Region{Name: "kol", Residue: 77}), "renumbered"},
-		{"more districts in a known group", image.Put(image.GroupKey("kol"), &schema.Group{Name: "kol", Region: "kol", Residue: group.Residue, Districts: []string{"kol-a", "kol-b", "kol-c"}}), ""},
+		{"more districts in a known group", image.Put(image.GroupKey("kol"), &schema.Group{Name: "kol", Region: "kol", Residue: group.Residue, Zones: []string{"kol-a", "kol-b", "kol-c"}}), ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := Check(a.table, c.row); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
@@ -266,7 +266,7 @@
 	}
 	for i := range uint32(182) {
 		name := fmt.Sprintf("d%03d", i)
-		if err := Check(table, image.Put(image.DistrictKey(name), &schema.District{Name: name, Region: "r00"})); err != nil {
+		if err := Check(table, image.Put(image.DistrictKey(name), &schema.Zone{Name: name, Region: "r00"})); err != nil {
 			t.Fatalf("district %d: %v", i, err)
 		}
 	}
@@ -362,7 +362,7 @@
 			a.settle()
 			view := a.view()
 			a.table.Each("", func(row *schema.Row) {
-				if s := image.Decode[schema.Standing](row); strings.Contains(row.Key, "standing/") {
+				if s := image.Decode[schema.FailoverAssignment](row); strings.Contains(row.Key, "standing/") {
 					if s.Number < numbers[row.Key] {
 						t.Fatalf("seed %d: %s fell to %d", seed, row.Key, s.Number)
 					}
--- a/internal/standing/standing.go
+++ b/internal/standing/standing.go
@@ -157,7 +157,7 @@
 	return Owner{}, &ResolveError{"entry " + entry.Service + entry.Path + " has no active group"}
 }
 
-func districtOf(view *image.View, number uint64) *schema.District {
+func districtOf(view *image.View, number uint64) *schema.Zone {
 	for _, district := range view.Districts {
 		if number > 0 && uint64(district.Residue) == number%constants.Increment {
 			return district
@@ -198,11 +198,11 @@
 	var was, is uint64
 	switch {
 	case strings.HasPrefix(row.Key, "district/"):
-		fresh := image.Decode[schema.District](row)
+		fresh := image.Decode[schema.Zone](row)
 		if fresh.Residue%2 != 0 || fresh.Residue >= constants.Increment {
 			return fmt.Errorf("district %s has residue %d; groups take even ones below the increment", fresh.Name, fresh.Residue)
 		}
-		if before := image.Decode[schema.District](old); before != nil && (before.Residue != fresh.Residue || before.Region != fresh.Region) {
+		if before := image.Decode[schema.Zone](old); before != nil && (before.Residue != fresh.Residue || before.Region != fresh.Region) {
 			return fmt.Errorf("district %s would be renumbered; name a new district instead", fresh.Name)
 		}
 		return nil
@@ -216,14 +216,14 @@
 		}
 		return nil
 	case strings.Contains(row.Key, "/standing/"):
-		is = image.Decode[schema.Standing](row).GetNumber()
-		was = image.Decode[schema.Standing](old).GetNumber()
+		is = image.Decode[schema.FailoverAssignment](row).GetNumber()
+		was = image.Decode[schema.FailoverAssignment](old).GetNumber()
 	case strings.Contains(row.Key, "/entity/"):
 		is = image.Decode[schema.Entity](row).GetNumber()
 		was = image.Decode[schema.Entity](old).GetNumber()
 	case strings.HasPrefix(row.Key, "keepers/"):
-		is = image.Decode[schema.Keepers](row).GetNumber()
-		was = image.Decode[schema.Keepers](old).GetNumber()
+		is = image.Decode[schema.ReplicaSet](row).GetNumber()
+		was = image.Decode[schema.ReplicaSet](old).GetNumber()
 	case row.Key == image.HeadKey:
 		is = image.Decode[schema.CatalogHead](row).GetVersion()
 		was = image.Decode[schema.CatalogHead](old).GetVersion()
@@ -257,11 +257,11 @@
 	near := map[string]int{}
 	inRegion := 0
 	for _, backend := range service.Backends {
-		district := view.Districts[backend.District]
+		district := view.Districts[backend.Zone]
 		if district == nil || district.Region != region || district.Emptied || backend.Failing || backend.State != schema.BackendState_BACKEND_READY {
 			continue
 		}
-		near[backend.District]++
+		near[backend.Zone]++
 		inRegion++
 	}
 	if inRegion == 0 {
@@ -270,7 +270,7 @@
 	proxies := map[string]int{}
 	for _, node := range view.Nodes {
 		if node.State == schema.NodeState_NODE_READY {
-			proxies[node.District]++
+			proxies[node.Zone]++
 		}
 	}
 	var names []string
@@ -389,13 +389,13 @@
 		switch {
 		case target != "":
 			guard(key)
-			fresh := &schema.Standing{Service: entry.Service, Path: entry.Path, Region: region, Reason: reason, Fenced: row != nil, Far: isFar || row.GetFenced() && row.GetFar()}
+			fresh := &schema.FailoverAssignment{Service: entry.Service, Path: entry.Path, Region: region, Reason: reason, Fenced: row != nil, Far: isFar || row.GetFenced() && row.GetFar()}
 			fresh.Number = Next(row.GetNumber(), residue)
 			record.Rows = append(record.Rows, image.Put(key, fresh))
 		case row.GetFenced():
 			if at := table.Get(key); at != nil && clear(at.Index, row.Far) {
 				guard(key)
-				fresh := &schema.Standing{Service: row.Service, Path: row.Path, Region: row.Region, Number: row.Number, Reason: row.Reason}
+				fresh := &schema.FailoverAssignment{Service: row.Service, Path: row.Path, Region: row.Region, Number: row.Number, Reason: row.Reason}
 				record.Rows = append(record.Rows, image.Put(key, fresh))
 			}
 		}
@@ -450,12 +450,12 @@
 	return names
 }
 
-func why(view *image.View, entry *schema.Entry, region string, current *schema.District) string {
+func why(view *image.View, entry *schema.Entry, region string, current *schema.Zone) string {
 	if current.Emptied {
 		return "district " + current.Name + " was emptied: " + current.Reason
 	}
 	for _, node := range view.Nodes {
-		if node.District == current.Name && node.State == schema.NodeState_NODE_READY {
+		if node.Zone == current.Name && node.State == schema.NodeState_NODE_READY {
 			return "no usable back end beside district " + current.Name
 		}
 	}
