--- a/internal/node/earlier_version_test.go
+++ b/internal/node/earlier_version_test.go
@@ -57,7 +57,7 @@
 	Configuration       uint64          `json:"configuration"`
 	DocumentDigest      string          `json:"document_digest"`
 	FleetVersion        uint32          `json:"fleet_version"`
-	Zones               map[string]zone `json:"zones"`
+	Zones               map[string]zoneFacts `json:"zones"`
 	Machines            map[string]bool `json:"machines_with_disk"`
 	Services            []string        `json:"services"`
 	Routes              []string        `json:"routes"`
@@ -69,7 +69,7 @@
 	SHA256 string `json:"sha256"`
 }
 
-type zone struct {
+type zoneFacts struct {
 	Region string `json:"region"`
 	Empty  bool   `json:"empty"`
 	Reason string `json:"reason,omitempty"`
@@ -165,7 +165,7 @@
 		SnapshotIndex: state.Image.Index, SnapshotTerm: state.Image.Term, SnapshotDiskVersion: state.Image.Version, SnapshotRows: digestRows(state.Image.Rows),
 		LogFirstIndex: state.Items[0].Index, LogLastIndex: last.Index, LogLastTerm: last.Term, LogEntries: len(state.Items), LogRefused: []uint64{},
 		RestartIndex: whole.Index, RestartRows: digestRows(whole.Rows), RestartVoters: ids(whole.Members.Voters), RestartLearners: ids(whole.Members.Learners),
-		Zones: map[string]zone{}, Machines: map[string]bool{}, Services: []string{}, Routes: []string{},
+		Zones: map[string]zoneFacts{}, Machines: map[string]bool{}, Services: []string{}, Routes: []string{},
 	}
 	table := image.NewTable()
 	table.Restore(state.Image)
@@ -192,7 +192,7 @@
 		found.DocumentDigest = fmt.Sprintf("%x", sha256.Sum256(document.Document))
 	}
 	for name, district := range view.Districts {
-		found.Zones[name] = zone{district.Region, district.Emptied, district.Reason}
+		found.Zones[name] = zoneFacts{district.Region, district.Emptied, district.Reason}
 	}
 	for id, machine := range view.Nodes {
 		found.Machines[id+" "+machine.Zone] = machine.Disk
