--- a/cmd/rig/caller.go
+++ b/cmd/rig/caller.go
@@ -60,7 +60,7 @@
 
 type matched struct {
 	Proxies []struct {
-		Address, District, Region string
+		Address, Zone, Region string
 	} `json:"proxies"`
 	Origin  string `json:"origin"`
 	Version uint64 `json:"version"`
@@ -246,7 +246,7 @@
 		m := &matched{at: time.Now()}
 		seen := judge.MatchSeen{At: at, Door: machine.name, Service: kind.Service, Path: kind.Path, Status: response.StatusCode, Boot: machine.boot}
 		if response.StatusCode == http.StatusOK && json.Unmarshal(text, m) == nil && len(m.Proxies) > 0 {
-			seen.Version, seen.District = m.Version, m.Proxies[0].District
+			seen.Version, seen.Zone = m.Version, m.Proxies[0].Zone
 			judge.Record(c.history, &c.history.Matches, seen)
 			c.lock.Lock()
 			c.matches[name] = m
@@ -263,7 +263,7 @@
 
 func (c *Callers) send(kind Kind, path, key, attempt string, zone int, m *matched, left, age time.Duration, serial int) *judge.Reply {
 	proxy := m.Proxies[c.draw(len(m.Proxies))]
-	r := &judge.Reply{At: c.history.Now(), Service: kind.Service, Path: path, Method: kind.Method, Attempt: attempt, Send: fmt.Sprintf("%s/%d", attempt, serial), District: proxy.District, Proxy: proxy.Address, IsUnsafe: kind.Method != "GET", IsProper: true}
+	r := &judge.Reply{At: c.history.Now(), Service: kind.Service, Path: path, Method: kind.Method, Attempt: attempt, Send: fmt.Sprintf("%s/%d", attempt, serial), Zone: proxy.Zone, Proxy: proxy.Address, IsUnsafe: kind.Method != "GET", IsProper: true}
 	limit := left
 	if !r.IsUnsafe {
 		limit = min(left, 2*time.Second)
--- a/cmd/rig/fleet.go
+++ b/cmd/rig/fleet.go
@@ -21,12 +21,12 @@
 	"topazshed/internal/judge"
 )
 
-type place struct{ district, region string }
+type place struct{ zone, region string }
 
 var places = []place{{"north-a", "north"}, {"north-b", "north"}, {"south-a", "south"}, {"south-b", "south"}, {"east-a", "east"}, {"east-b", "east"}}
 
-func regionOf(district string) string {
-	region, _, _ := strings.Cut(district, "-")
+func regionOf(zone string) string {
+	region, _, _ := strings.Cut(zone, "-")
 	return region
 }
 
@@ -96,10 +96,10 @@
 			}
 		}
 	}
-	return "callers-" + places[zone%len(places)].district
+	return "callers-" + places[zone%len(places)].zone
 }
 
-func districtOfPlace(name string) string {
+func zoneOfPlace(name string) string {
 	if rest, isCaller := strings.CutPrefix(name, "callers-"); isCaller {
 		return rest
 	}
@@ -108,11 +108,11 @@
 
 func newFleet(program, folder, platform, level string, h *judge.History) (*Fleet, error) {
 	f := &Fleet{program: program, folder: folder, platform: platform, level: level, history: h}
-	f.links = newLinks(func(from, to string) time.Duration { return delayBetween(districtOfPlace(from), districtOfPlace(to)) })
+	f.links = newLinks(func(from, to string) time.Duration { return delayBetween(zoneOfPlace(from), zoneOfPlace(to)) })
 	for zone, p := range places {
 		count := 3 - zone%2
 		for number := 1; number <= count; number++ {
-			m := &Machine{name: fmt.Sprintf("%s-%d", p.district, number), place: p, zone: zone, number: number, hasDisk: number == 1}
+			m := &Machine{name: fmt.Sprintf("%s-%d", p.zone, number), place: p, zone: zone, number: number, hasDisk: number == 1}
 			if m.hasDisk {
 				m.data = filepath.Join(folder, m.name)
 			}
@@ -143,7 +143,7 @@
 func (f *Fleet) seeds() []string {
 	var seeds []string
 	for _, m := range f.machines {
-		if m.hasDisk && strings.HasSuffix(m.place.district, "-a") {
+		if m.hasDisk && strings.HasSuffix(m.place.zone, "-a") {
 			seeds = append(seeds, m.shown(7001))
 		}
 	}
@@ -161,7 +161,7 @@
 
 func (f *Fleet) start(m *Machine) error {
 	settings := map[string]any{"peer": m.real(7001), "peer_shown": m.shown(7001), "proxy": m.real(7002), "proxy_shown": m.shown(7002), "door": m.real(7003), "door_shown": m.shown(7003),
-		"district": m.place.district, "region": m.place.region, "seeds": f.seeds(), "log_level": f.level}
+		"district": m.place.zone, "region": m.place.region, "seeds": f.seeds(), "log_level": f.level}
 	if m.hasDisk {
 		settings["data"] = m.data
 		settings["platform"] = f.platform
--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -164,7 +164,7 @@
 	slices.Sort(names)
 	for _, name := range names {
 		for i := range dep.Services[name] {
-			if _, err := world.add(name, places[i%len(places)].district, "", dep.Keyed[name], false); err != nil {
+			if _, err := world.add(name, places[i%len(places)].zone, "", dep.Keyed[name], false); err != nil {
 				return nil, err
 			}
 		}
--- a/cmd/rig/routed.go
+++ b/cmd/rig/routed.go
@@ -28,7 +28,7 @@
 	world    *routedWorld
 	service  string
 	instance string
-	district string
+	zone     string
 	address  string
 	isKeyed  bool
 	work     chan bool
@@ -74,9 +74,9 @@
 	return server, nil
 }
 
-func (w *routedWorld) add(service, district string, isKeyed bool) error {
+func (w *routedWorld) add(service, zone string, isKeyed bool) error {
 	number := len(w.backends) + 1
-	b := &routedBackend{world: w, service: service, instance: fmt.Sprintf("%s-%d", service, number), district: district, address: fmt.Sprintf("127.41.0.%d:8000", number), isKeyed: isKeyed, work: make(chan bool, 6)}
+	b := &routedBackend{world: w, service: service, instance: fmt.Sprintf("%s-%d", service, number), zone: zone, address: fmt.Sprintf("127.41.0.%d:8000", number), isKeyed: isKeyed, work: make(chan bool, 6)}
 	server, err := listenAndServe(b.address, b)
 	if err != nil {
 		return err
@@ -107,7 +107,7 @@
 	items := []map[string]any{}
 	for i := page * size; i < min(len(w.backends), (page+1)*size); i++ {
 		b := w.backends[i]
-		items = append(items, map[string]any{"service": b.service, "instance": b.instance, "address": b.address, "district": b.district, "state": "ready", "slots": cap(b.work), "cold_left_ms": 0})
+		items = append(items, map[string]any{"service": b.service, "instance": b.instance, "address": b.address, "district": b.zone, "state": "ready", "slots": cap(b.work), "cold_left_ms": 0})
 	}
 	json.NewEncoder(rw).Encode(map[string]any{"page": page, "pages": (len(w.backends) + size - 1) / size, "total": len(w.backends), "revision": 1, "backends": items})
 }
@@ -191,7 +191,7 @@
 	isMine := !b.isKeyed || err == nil && w.isHeld(b.instance, uint32(key))
 	pause := time.Duration(5+w.random.Intn(20)) * time.Millisecond
 	if isMine {
-		w.seen[b.district] = time.Now()
+		w.seen[b.zone] = time.Now()
 	}
 	w.lock.Unlock()
 	if !isMine {
@@ -403,7 +403,7 @@
 	for _, service := range []string{"ledger", "accounts", "payments"} {
 		for _, p := range places {
 			for range 2 {
-				if err := world.add(service, p.district, service == "accounts"); err != nil {
+				if err := world.add(service, p.zone, service == "accounts"); err != nil {
 					return nil, err
 				}
 			}
--- a/cmd/rig/scenario.go
+++ b/cmd/rig/scenario.go
@@ -88,7 +88,7 @@
 		if words[1] == "list" && !slices.Contains(listFaults, words[2]) {
 			add("list fault %q is unknown; use one of %v", words[2], listFaults)
 		}
-		if slices.Contains([]string{"killzone", "startzone", "empty", "restore"}, words[1]) && !slices.ContainsFunc(places, func(p place) bool { return p.district == words[2] }) {
+		if slices.Contains([]string{"killzone", "startzone", "empty", "restore"}, words[1]) && !slices.ContainsFunc(places, func(p place) bool { return p.zone == words[2] }) {
 			add("district %q is unknown; names are like north-a", words[2])
 		}
 		if n := len(steps); n > 0 && steps[n-1].At > at {
@@ -111,7 +111,7 @@
 	leader  *Machine
 }
 
-func (r *Runner) operator(what, method, path string, query url.Values, body []byte, entries []judge.EntrySeen, district string) (int, uint64) {
+func (r *Runner) operator(what, method, path string, query url.Values, body []byte, entries []judge.EntrySeen, zone string) (int, uint64) {
 	for range 40 {
 		m := r.fleet.machines[r.callers.draw(len(r.fleet.machines))]
 		at := r.history.Now()
@@ -125,7 +125,7 @@
 		if version, err := strconv.ParseUint(header.Get("Topazshed-Version"), 10, 64); err == nil {
 			reply.Version = version
 		}
-		judge.Record(r.history, &r.history.Operators, judge.OperatorEvent{At: at, End: r.history.Now(), What: what, District: district, Version: reply.Version, Status: status, Entries: entries, Node: m.name})
+		judge.Record(r.history, &r.history.Operators, judge.OperatorEvent{At: at, End: r.history.Now(), What: what, Zone: zone, Version: reply.Version, Status: status, Entries: entries, Node: m.name})
 		return status, reply.Version
 	}
 	return 0, 0
@@ -171,9 +171,9 @@
 	return false
 }
 
-func (r *Runner) each(district string, do func(*Machine)) {
+func (r *Runner) each(zone string, do func(*Machine)) {
 	for _, m := range r.fleet.machines {
-		if district == "" || m.place.district == district {
+		if zone == "" || m.place.zone == zone {
 			do(m)
 		}
 	}
@@ -230,7 +230,7 @@
 }
 
 func (r *Runner) replace(b *Backend) error {
-	if _, err := r.world.add(b.service, b.district, "", b.keyed, true); err != nil {
+	if _, err := r.world.add(b.service, b.zone, "", b.keyed, true); err != nil {
 		return err
 	}
 	time.Sleep(1500 * time.Millisecond)
@@ -370,7 +370,7 @@
 			r.world.remove(b)
 			for name := range r.dep.Services {
 				if name != b.service {
-					_, err := r.world.add(name, b.district, b.address, r.dep.Keyed[name], false)
+					_, err := r.world.add(name, b.zone, b.address, r.dep.Keyed[name], false)
 					return err
 				}
 			}
--- a/cmd/rig/world.go
+++ b/cmd/rig/world.go
@@ -37,7 +37,7 @@
 	world    *World
 	service  string
 	instance string
-	district string
+	zone     string
 	address  string
 	state    string
 	keyed    bool
@@ -238,14 +238,14 @@
 	return true
 }
 
-func (w *World) add(service, district, address string, keyed, isCold bool) (*Backend, error) {
+func (w *World) add(service, zone, address string, keyed, isCold bool) (*Backend, error) {
 	w.lock.Lock()
 	w.serial++
 	if address == "" {
 		w.addIP++
 		address = fmt.Sprintf("127.40.%d.%d:8000", w.addIP/200, w.addIP%200+1)
 	}
-	b := &Backend{world: w, service: service, instance: fmt.Sprintf("%s-%d", service, w.serial), district: district, address: address, state: "ready", keyed: keyed, isCold: isCold, slots: map[string]uint64{}}
+	b := &Backend{world: w, service: service, instance: fmt.Sprintf("%s-%d", service, w.serial), zone: zone, address: address, state: "ready", keyed: keyed, isCold: isCold, slots: map[string]uint64{}}
 	w.lock.Unlock()
 	if err := b.start(); err != nil {
 		return nil, err
@@ -255,7 +255,7 @@
 	w.backends = append(w.backends, b)
 	w.revision++
 	w.history.Lock()
-	w.history.Places[b.instance] = district
+	w.history.Places[b.instance] = zone
 	if isCold {
 		w.history.Births[b.instance] = append(w.history.Births[b.instance], w.history.Now())
 	}
@@ -331,14 +331,14 @@
 		Service  string `json:"service"`
 		Instance string `json:"instance"`
 		Address  string `json:"address"`
-		District string `json:"district"`
+		Zone     string `json:"district"`
 		State    string `json:"state"`
 	}
 	items := []item{}
 	for i := page * w.pageSize; i < min(total, (page+1)*w.pageSize); i++ {
 		b := list[i]
 		state := w.states[b.instance]
-		items = append(items, item{b.service, b.instance, b.address, b.district, state})
+		items = append(items, item{b.service, b.instance, b.address, b.zone, state})
 	}
 	switch w.fault {
 	case "empty":
--- a/cmd/topazshed/commands.go
+++ b/cmd/topazshed/commands.go
@@ -146,15 +146,15 @@
 	return subcommands.ExitFailure
 }
 
-func unconfirmedText(districts []string) string {
-	if len(districts) == 0 {
+func unconfirmedText(zones []string) string {
+	if len(zones) == 0 {
 		return ""
 	}
-	return fmt.Sprintf("not confirmed yet by every proxy of %s: those out of the core's reach go on as before; see status until they have", strings.Join(districts, ", "))
+	return fmt.Sprintf("not confirmed yet by every proxy of %s: those out of the core's reach go on as before; see status until they have", strings.Join(zones, ", "))
 }
 
-func tellUnconfirmed(districts []string) {
-	if text := unconfirmedText(districts); text != "" {
+func tellUnconfirmed(zones []string) {
+	if text := unconfirmedText(zones); text != "" {
 		fmt.Println(text)
 	}
 }
@@ -220,32 +220,32 @@
 	return code
 }
 
-type districtCommand struct {
+type zoneCommand struct {
 	doorFlag
 	isEmpty bool
 	reason  string
 }
 
-func (c *districtCommand) Name() string {
+func (c *zoneCommand) Name() string {
 	if c.isEmpty {
 		return "empty"
 	}
 	return "restore"
 }
-func (c *districtCommand) Synopsis() string {
+func (c *zoneCommand) Synopsis() string {
 	if c.isEmpty {
 		return "take all traffic off a district (zone)"
 	}
 	return "give an emptied district its traffic back"
 }
-func (c *districtCommand) Usage() string {
+func (c *zoneCommand) Usage() string {
 	return c.Name() + " [-door IP:PORT] [-reason TEXT] DISTRICT\n"
 }
-func (c *districtCommand) SetFlags(flags *flag.FlagSet) {
+func (c *zoneCommand) SetFlags(flags *flag.FlagSet) {
 	c.doorFlag.SetFlags(flags)
 	flags.StringVar(&c.reason, "reason", "operator", "why, shown by status")
 }
-func (c *districtCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (c *zoneCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() != 1 {
 		fmt.Fprintln(os.Stderr, "name one district")
 		return subcommands.ExitUsageError
--- a/cmd/topazshed/commands_test.go
+++ b/cmd/topazshed/commands_test.go
@@ -39,9 +39,9 @@
 		{"put of a file that isn't there", &putCommand{}, []string{"-door", door, "/nowhere.json"}, subcommands.ExitUsageError},
 		{"show", &showCommand{}, []string{"-door", door}, subcommands.ExitSuccess},
 		{"show from nobody", &showCommand{}, []string{"-door", "127.0.0.1:1"}, subcommands.ExitFailure},
-		{"empty", &districtCommand{isEmpty: true}, []string{"-door", door, "north-a"}, subcommands.ExitSuccess},
-		{"empty of an unknown district", &districtCommand{isEmpty: true}, []string{"-door", door, "moon"}, subcommands.ExitFailure},
-		{"empty of none", &districtCommand{isEmpty: true}, []string{"-door", door}, subcommands.ExitUsageError},
+		{"empty", &zoneCommand{isEmpty: true}, []string{"-door", door, "north-a"}, subcommands.ExitSuccess},
+		{"empty of an unknown district", &zoneCommand{isEmpty: true}, []string{"-door", door, "moon"}, subcommands.ExitFailure},
+		{"empty of none", &zoneCommand{isEmpty: true}, []string{"-door", door}, subcommands.ExitUsageError},
 		{"doctor of nothing", &doctorCommand{}, nil, subcommands.ExitUsageError},
 		{"version", &versionCommand{}, nil, subcommands.ExitSuccess},
 	} {
--- a/cmd/topazshed/doctor.go
+++ b/cmd/topazshed/doctor.go
@@ -225,7 +225,7 @@
 			continue
 		}
 		if node.State != "ready" {
-			add("lost-node", fmt.Sprintf("%s in %s is %s", node.ID, node.District, node.State), "start the machine again, or leave it: the others have taken over")
+			add("lost-node", fmt.Sprintf("%s in %s is %s", node.ID, node.Zone, node.State), "start the machine again, or leave it: the others have taken over")
 			continue
 		}
 		s, err := statusOf(node.Door)
--- a/cmd/topazshed/doctor_routed.go
+++ b/cmd/topazshed/doctor_routed.go
@@ -35,7 +35,7 @@
 	}
 	for _, node := range first.Nodes {
 		if first.LeaderSilent == "" && first.Configuration > 0 && node.State == "ready" && !node.InForce {
-			add("configuration-not-in-force", "wait 2.5 s and look again; then check its links to the disk machines", "%s in %s has index %d, the newest configuration is later", node.ID, node.District, node.Index)
+			add("configuration-not-in-force", "wait 2.5 s and look again; then check its links to the disk machines", "%s in %s has index %d, the newest configuration is later", node.ID, node.Zone, node.Index)
 		}
 	}
 	resting := map[string]int{}
--- a/cmd/topazshed/rollout.go
+++ b/cmd/topazshed/rollout.go
@@ -19,7 +19,7 @@
 
 type rolloutMachine struct {
 	ID       string `json:"id"`
-	District string `json:"district"`
+	Zone     string `json:"district"`
 	State    string `json:"state"`
 	Speaks   string `json:"speaks"`
 	IsVoter  bool   `json:"voter"`
@@ -62,18 +62,18 @@
 		}
 		switch {
 		case n.State != "ready":
-			wait("machine %s in %s is %s; wait until it is back, or taken out", n.ID, n.District, n.State)
+			wait("machine %s in %s is %s; wait until it is back, or taken out", n.ID, n.Zone, n.State)
 		case !isHeard:
-			wait("machine %s in %s was not heard of late; look at it first", n.ID, n.District)
+			wait("machine %s in %s was not heard of late; look at it first", n.ID, n.Zone)
 		case s.Routed != nil && s.LeaderSilent == "" && !n.InForce:
-			wait("the newest configuration is not in force at machine %s in %s; wait until it is", n.ID, n.District)
+			wait("the newest configuration is not in force at machine %s in %s; wait until it is", n.ID, n.Zone)
 		}
 		if isVoter && isHeard && n.State == "ready" {
 			able++
 		}
 		span := versions.Span{Low: n.SpeaksLow, High: n.SpeaksHigh}
 		readers = append(readers, versions.Reader{ID: n.ID, Span: span, IsVoter: isVoter, IsHeard: isHeard})
-		r.Machines = append(r.Machines, rolloutMachine{n.ID, n.District, n.State, span.String(), isVoter, span.Has(s.Newest)})
+		r.Machines = append(r.Machines, rolloutMachine{n.ID, n.Zone, n.State, span.String(), isVoter, span.Has(s.Newest)})
 	}
 	for _, id := range slices.Concat(s.Voters, s.Learners) {
 		if !known[id] {
@@ -84,7 +84,7 @@
 	if need := len(s.Voters)/2 + 1; len(s.Voters) > 0 && able-1 < need {
 		wait("%d of %d voters are well; with one of them away fewer than the %d that must agree would be left", able, len(s.Voters), need)
 	}
-	for _, d := range s.Districts {
+	for _, d := range s.Zones {
 		if d.Emptied {
 			wait("district %s is emptied; restore it first", d.Name)
 		}
@@ -129,7 +129,7 @@
 		if m.IsVoter {
 			role = "voter"
 		}
-		line("machine  %s in %-12s %-8s %-6s speaks %s", m.ID, m.District, m.State, role, m.Speaks)
+		line("machine  %s in %-12s %-8s %-6s speaks %s", m.ID, m.Zone, m.State, role, m.Speaks)
 	}
 	for _, hold := range r.Holds {
 		line("held by  %s: %s", hold.ID, hold.Reason)
--- a/cmd/topazshed/rollout_test.go
+++ b/cmd/topazshed/rollout_test.go
@@ -14,7 +14,7 @@
 		s := &control.Status{Fleet: 1, Newest: 2, Routed: &control.RoutedStatus{}}
 		for i := range 6 {
 			id := fmt.Sprintf("n%d", i)
-			s.Nodes = append(s.Nodes, control.NodeStatus{ID: id, District: "mu-a", State: "ready", SpeaksLow: 1, SpeaksHigh: 2, InForce: true, HeardMs: 300})
+			s.Nodes = append(s.Nodes, control.NodeStatus{ID: id, Zone: "mu-a", State: "ready", SpeaksLow: 1, SpeaksHigh: 2, InForce: true, HeardMs: 300})
 			if i < 5 {
 				s.Voters = append(s.Voters, id)
 			}
@@ -43,7 +43,7 @@
 		{"two voters", func(s *control.Status) { s.Voters = s.Voters[:2] }, []string{"2 of 2 voters are well"}, nil, 2},
 		{"no leader", func(s *control.Status) { s.LeaderSilent = "no leader is known" }, []string{"no leader answers"}, nil, 2},
 		{"a door without the voters", func(s *control.Status) { s.Voters = nil }, []string{"ask the door of one with a disk"}, nil, 2},
-		{"an emptied district", func(s *control.Status) { s.Districts = []control.DistrictStatus{{Name: "mu-a", Emptied: true}} }, []string{"district mu-a is emptied"}, nil, 2},
+		{"an emptied district", func(s *control.Status) { s.Zones = []control.ZoneStatus{{Name: "mu-a", Emptied: true}} }, []string{"district mu-a is emptied"}, nil, 2},
 		{"keys without a holder", func(s *control.Status) {
 			s.Routed.Services = []control.ServiceStatus{{Name: "nickel", Unheld: 9}}
 			s.Routed.Spans = []control.SpanStatus{{Service: "nickel", Releasing: true}, {Service: "nickel"}}
--- a/cmd/topazshed/status_test.go
+++ b/cmd/topazshed/status_test.go
@@ -10,8 +10,8 @@
 
 func routedStatus() *control.Status {
 	return &control.Status{Node: "a", Role: "leader", Term: 3, Leader: "10.0.0.1:7001", Index: 40, Configuration: 5, Fit: true, ListMs: 120, Voters: []string{"a"}, Disk: &control.Disk{Folder: "/d", LastSyncMs: 2, WorstMs: 9},
-		Districts: []control.DistrictStatus{{Name: "mu-a", Region: "mu", Emptied: true, Reason: "new racks"}},
-		Nodes:     []control.NodeStatus{{ID: "a", State: "ready", District: "mu-b", Index: 40, InForce: true}, {ID: "b", State: "ready", District: "mu-b", Index: 40, HeardMs: 300, InForce: true}},
+		Zones:     []control.ZoneStatus{{Name: "mu-a", Region: "mu", Emptied: true, Reason: "new racks"}},
+		Nodes:     []control.NodeStatus{{ID: "a", State: "ready", Zone: "mu-b", Index: 40, InForce: true}, {ID: "b", State: "ready", Zone: "mu-b", Index: 40, HeardMs: 300, InForce: true}},
 		Standings: []control.Standing{{Kind: "region", Region: "mu", Active: "mu:mu-b", Number: 20002, Reason: "its open districts"}},
 		Changes: []control.Change{{Region: "mu", From: 10000, To: 20002, Was: "mu", Is: "mu:mu-b", Cause: "its open districts", Evidence: "mu-a is emptied (new racks)", At: "2026-05-04T12:00:00.123Z", Leader: "a", Index: 38, Term: 3},
 			{Service: "nickel", Region: "xi", From: 1, To: 2, Was: "xi", Is: "region mu", Cause: "c", Index: 39, Term: 3}},
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -136,8 +136,8 @@
 		return true
 	}
 	return slices.ContainsFunc(known.Backends, func(b *schema.Backend) bool {
-		district := view.Districts[b.Zone]
-		return district != nil && district.Region == region
+		zone := view.Zones[b.Zone]
+		return zone != nil && zone.Region == region
 	})
 }
 
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -17,8 +17,8 @@
 	_, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
 		image.Put(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}),
 		image.Put(image.RegionKey("south"), &schema.Region{Name: "south", Residue: 3}),
-		image.Put(image.DistrictKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Residue: 0}),
-		image.Put(image.DistrictKey("south-a"), &schema.Zone{Name: "south-a", Region: "south", Residue: 2}),
+		image.Put(image.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Residue: 0}),
+		image.Put(image.ZoneKey("south-a"), &schema.Zone{Name: "south-a", Region: "south", Residue: 2}),
 		image.Put(image.NodeKey("n1"), &schema.Node{Id: "n1", Zone: "north-a", Region: "north", State: schema.NodeState_NODE_READY}),
 		image.Put(image.BackendKey("ledger", "l-1"), &schema.Backend{Service: "ledger", Instance: "l-1", Zone: "north-a", State: schema.BackendState_BACKEND_READY}),
 	}}, nil)
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -218,16 +218,16 @@
 		attempt := fmt.Sprintf("attempt-%d", i)
 		chosen := Match(set, attempt)
 		again := Match(set, attempt)
-		districts := map[string]bool{}
+		zones := map[string]bool{}
 		for j, m := range chosen {
 			counts[m.Id]++
-			districts[m.Zone] = true
+			zones[m.Zone] = true
 			if again[j].Id != m.Id {
 				t.Fatalf("%s is matched differently the second time", attempt)
 			}
 		}
-		if len(chosen) != constants.ClaimReplicas || len(districts) < 2 {
-			t.Fatalf("%s has keepers %v in %d districts", attempt, chosen, len(districts))
+		if len(chosen) != constants.ClaimReplicas || len(zones) < 2 {
+			t.Fatalf("%s has keepers %v in %d districts", attempt, chosen, len(zones))
 		}
 	}
 	for id, count := range counts {
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -269,7 +269,7 @@
 	// UnknownDelay (parts of the aim) is taken for a back end that has served nothing yet.
 	UnknownDelay = 0.25
 	// DistrictPenalty (parts of the aim) is what a back end in another district must be quicker by: bytes between districts are paid for.
-	DistrictPenalty = 0.2
+	ZonePenalty = 0.2
 	// RegionPenalty (parts of the aim) is the same for another region: eight times as dear.
 	RegionPenalty = 1.2
 	// ColdPenalty (times) makes a cold back end dearer: it works at half its pace.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -77,14 +77,14 @@
 
 // NodeStatus is a node as this one knows it.
 type NodeStatus struct {
-	ID       string `json:"id"`
-	Peer     string `json:"peer"`
-	Proxy    string `json:"proxy"`
-	Door     string `json:"door"`
-	District string `json:"district"`
-	Region   string `json:"region"`
-	Disk     bool   `json:"disk"`
-	State    string `json:"state"`
+	ID     string `json:"id"`
+	Peer   string `json:"peer"`
+	Proxy  string `json:"proxy"`
+	Door   string `json:"door"`
+	Zone   string `json:"district"`
+	Region string `json:"region"`
+	Disk   bool   `json:"disk"`
+	State  string `json:"state"`
 	// SpeaksLow and SpeaksHigh are the versions that the node told.
 	SpeaksLow  uint32 `json:"speaks_low"`
 	SpeaksHigh uint32 `json:"speaks_high"`
@@ -95,7 +95,7 @@
 }
 
 // DistrictStatus is a district as this node knows it.
-type DistrictStatus struct {
+type ZoneStatus struct {
 	Name    string `json:"name"`
 	Region  string `json:"region"`
 	Residue uint32 `json:"residue"`
@@ -108,7 +108,7 @@
 	Service  string `json:"service"`
 	Instance string `json:"instance"`
 	Address  string `json:"address"`
-	District string `json:"district"`
+	Zone     string `json:"district"`
 	State    string `json:"state"`
 }
 
@@ -140,7 +140,7 @@
 	Disk        *Disk             `json:"disk,omitempty"`
 	Outcomes    map[string]uint64 `json:"outcomes"`
 	Nodes       []NodeStatus      `json:"nodes"`
-	Districts   []DistrictStatus  `json:"districts"`
+	Zones       []ZoneStatus      `json:"districts"`
 	Standings   []Standing        `json:"standings"`
 	Entries     []string          `json:"entries"`
 	Backends    []BackendStatus   `json:"backends"`
@@ -171,8 +171,8 @@
 	router.Get("/v1/configuration", d.show)
 	router.Put("/v1/configuration", d.put)
 	router.Get("/v1/configuration/outcome", d.ask)
-	router.Post("/v1/districts/{district}/empty", d.district(schema.OperatorKind_OPERATOR_EMPTY))
-	router.Post("/v1/districts/{district}/restore", d.district(schema.OperatorKind_OPERATOR_RESTORE))
+	router.Post("/v1/districts/{district}/empty", d.zone(schema.OperatorKind_OPERATOR_EMPTY))
+	router.Post("/v1/districts/{district}/restore", d.zone(schema.OperatorKind_OPERATOR_RESTORE))
 	return router
 }
 
@@ -291,7 +291,7 @@
 	}
 }
 
-func (d *Door) district(kind schema.OperatorKind) http.HandlerFunc {
+func (d *Door) zone(kind schema.OperatorKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		query := &schema.OperatorRequest{Kind: kind, Zone: chi.URLParam(r, "district"), Reason: r.URL.Query().Get("reason")}
 		if query.Reason == "" {
@@ -343,14 +343,14 @@
 		if err != nil {
 			speaks = versions.Span{Low: versions.First, High: versions.First}
 		}
-		s.Nodes = append(s.Nodes, NodeStatus{SpeaksLow: speaks.Low, SpeaksHigh: speaks.High, ID: node.Id, Peer: node.Address, Proxy: node.Proxy, Door: node.Admin, District: node.Zone, Region: node.Region, Disk: node.Disk,
+		s.Nodes = append(s.Nodes, NodeStatus{SpeaksLow: speaks.Low, SpeaksHigh: speaks.High, ID: node.Id, Peer: node.Address, Proxy: node.Proxy, Door: node.Admin, Zone: node.Zone, Region: node.Region, Disk: node.Disk,
 			State: strings.ToLower(strings.TrimPrefix(node.State.String(), "NODE_"))})
 	}
 	slices.SortFunc(s.Nodes, func(a, b NodeStatus) int { return strings.Compare(a.ID, b.ID) })
-	for _, district := range view.Districts {
-		s.Districts = append(s.Districts, DistrictStatus{district.Name, district.Region, district.Residue, district.Emptied, district.Reason})
+	for _, zone := range view.Zones {
+		s.Zones = append(s.Zones, ZoneStatus{zone.Name, zone.Region, zone.Residue, zone.Emptied, zone.Reason})
 	}
-	slices.SortFunc(s.Districts, func(a, b DistrictStatus) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(s.Zones, func(a, b ZoneStatus) int { return strings.Compare(a.Name, b.Name) })
 	if d.options.Routed != nil {
 		d.describe(s, view)
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -20,7 +20,7 @@
 	table := image.NewTable()
 	table.Apply(9, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
 		image.Put(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}),
-		image.Put(image.DistrictKey("north-b"), &schema.Zone{Name: "north-b", Region: "north", Residue: 2}),
+		image.Put(image.ZoneKey("north-b"), &schema.Zone{Name: "north-b", Region: "north", Residue: 2}),
 		image.Put(image.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
 		image.Put(image.StandingKey("ledger", "/b", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/b", Region: "north", Number: 202, Reason: "all proxies of district north-a are lost or stopping"}),
 	}}, nil)
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -53,8 +53,8 @@
 	for _, state := range slices.Sorted(maps.Keys(machines)) {
 		gauge("machines", machines[state], "state", state)
 	}
-	for _, district := range s.Districts {
-		gauge("district_emptied", flag(district.Emptied), "district", district.Name)
+	for _, zone := range s.Zones {
+		gauge("district_emptied", flag(zone.Emptied), "district", zone.Name)
 	}
 	for _, row := range s.Standings {
 		gauge("standing_number", row.Number, "region", row.Region, "service", row.Service, "path", row.Path, "kind", row.Kind, "active", row.Active)
--- a/internal/control/routed.go
+++ b/internal/control/routed.go
@@ -22,7 +22,7 @@
 // Routed is what the door of a fleet that carries routes asks its node.
 type Routed struct {
 	// Resolve gives the addresses of nodes for a caller and how long they may be used.
-	Resolve func(region, district string) ([]string, time.Duration)
+	Resolve func(region, zone string) ([]string, time.Duration)
 	// IsReady tells whether this node may get requests.
 	IsReady func() bool
 }
@@ -69,10 +69,10 @@
 
 // GroupStatus is a proxy group.
 type GroupStatus struct {
-	Name      string   `json:"name"`
-	Region    string   `json:"region"`
-	Districts []string `json:"districts"`
-	Residue   uint32   `json:"residue"`
+	Name    string   `json:"name"`
+	Region  string   `json:"region"`
+	Zones   []string `json:"districts"`
+	Residue uint32   `json:"residue"`
 }
 
 // SpanStatus is a span of keys with its holder; Fence is the number under which it holds them.
@@ -223,11 +223,11 @@
 
 // StandingAnswer is what one origin region resolves to for a service now, and its newest changes.
 type StandingAnswer struct {
-	Service   string   `json:"service,omitempty"`
-	Origin    string   `json:"origin"`
-	Region    string   `json:"region"`
-	Group     string   `json:"group"`
-	Districts []string `json:"districts"`
+	Service string   `json:"service,omitempty"`
+	Origin  string   `json:"origin"`
+	Region  string   `json:"region"`
+	Group   string   `json:"group"`
+	Zones   []string `json:"districts"`
 	// Trail is the numbers that were followed.
 	Trail   string   `json:"trail"`
 	Reason  string   `json:"reason"`
@@ -253,7 +253,7 @@
 		write(w, http.StatusServiceUnavailable, Reply{Kind: "no-standing", Message: err.Error()})
 		return
 	}
-	answer := StandingAnswer{Service: service, Origin: region, Region: place.Region, Group: place.Group, Districts: place.Districts, Trail: place.Trail.String(), Changes: []Change{}}
+	answer := StandingAnswer{Service: service, Origin: region, Region: place.Region, Group: place.Group, Zones: place.Zones, Trail: place.Trail.String(), Changes: []Change{}}
 	own := view.Services[service]
 	answer.Reason = view.Defaults[region].GetReason()
 	if own != nil && own.Standings[""][region] != nil {
@@ -278,11 +278,11 @@
 }
 
 func (d *Door) match(w http.ResponseWriter, r *http.Request) {
-	region, district := r.URL.Query().Get("region"), r.URL.Query().Get("district")
+	region, zone := r.URL.Query().Get("region"), r.URL.Query().Get("district")
 	if region == "" {
 		region = d.options.Self.Region
 	}
-	proxies, life := d.options.Routed.Resolve(region, district)
+	proxies, life := d.options.Routed.Resolve(region, zone)
 	if len(proxies) == 0 {
 		write(w, http.StatusServiceUnavailable, Reply{Kind: "not-ready", Message: "this node knows no ready proxy yet; ask another node"})
 		return
--- a/internal/core/changes_test.go
+++ b/internal/core/changes_test.go
@@ -30,12 +30,12 @@
 }
 
 // run lets time pass; the machines whose districts are named report in the meantime.
-func (s *solo) run(span time.Duration, districts ...string) {
+func (s *solo) run(span time.Duration, zones ...string) {
 	for until := s.now + span; s.now < until; s.now += 20 * time.Millisecond {
 		s.core.Tick(s.now)
 		if s.core.IsLeading() {
-			for _, district := range districts {
-				s.core.noteBeat(&schema.Heartbeat{Version: s.core.table.Version(), Node: &schema.Node{Id: "of-" + district, Address: district, Proxy: district, Admin: district, Zone: district, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
+			for _, zone := range zones {
+				s.core.noteBeat(&schema.Heartbeat{Version: s.core.table.Version(), Node: &schema.Node{Id: "of-" + zone, Address: zone, Proxy: zone, Admin: zone, Zone: zone, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
 			}
 		}
 		for range 8 {
@@ -55,10 +55,10 @@
 	}
 }
 
-func (s *solo) ask(query *schema.OperatorRequest, districts ...string) *schema.OperatorResponse {
+func (s *solo) ask(query *schema.OperatorRequest, zones ...string) *schema.OperatorResponse {
 	s.outcome = nil
 	s.core.Operate(s.now, 7, query)
-	s.run(400*time.Millisecond, districts...)
+	s.run(400*time.Millisecond, zones...)
 	return s.outcome
 }
 
@@ -143,7 +143,7 @@
 func TestOnlyStandingsAreNoted(t *testing.T) {
 	for key, want := range map[string]bool{
 		image.DefaultKey("mu"): true, image.StandingKey("copper", "", "mu"): true, image.StandingKey("copper", "/a/b", "mu"): true,
-		image.EntryKey("copper", "/standing/x"): false, image.BackendKey("copper", "c-1"): false, image.DistrictKey("standing"): false, image.RouteKey("one.example", "/standing/"): false,
+		image.EntryKey("copper", "/standing/x"): false, image.BackendKey("copper", "c-1"): false, image.ZoneKey("standing"): false, image.RouteKey("one.example", "/standing/"): false,
 	} {
 		if got := isStanding(key); got != want {
 			t.Errorf("%s: %v, want %v", key, got, want)
--- a/internal/core/districts_test.go
+++ b/internal/core/districts_test.go
@@ -10,7 +10,7 @@
 	"topazshed/internal/schema"
 )
 
-func TestALeaderOfARoutedFleetTakesTheDistrictsOfTheSizeToDesignFor(t *testing.T) {
+func TestALeaderOfARoutedFleetTakesTheZonesOfTheSizeToDesignFor(t *testing.T) {
 	self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Admin: "a", Zone: "d000", Region: "r00", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
 	core := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Routed: &Routed{HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
@@ -30,19 +30,19 @@
 			core.Synced(now, effects)
 		}
 	}
-	if len(core.view.Districts) != 182 || len(core.view.Regions) != 46 || len(core.view.Groups) < 46 || len(core.view.Defaults) != 46 {
-		t.Errorf("%d districts, %d regions, %d groups, %d standings, want 182, 46, 46 or more and 46", len(core.view.Districts), len(core.view.Regions), len(core.view.Groups), len(core.view.Defaults))
+	if len(core.view.Zones) != 182 || len(core.view.Regions) != 46 || len(core.view.Groups) < 46 || len(core.view.Defaults) != 46 {
+		t.Errorf("%d districts, %d regions, %d groups, %d standings, want 182, 46, 46 or more and 46", len(core.view.Zones), len(core.view.Regions), len(core.view.Groups), len(core.view.Defaults))
 	}
 }
 
 // Back ends may lie in a district without a machine; as long as it had no row, they got no requests and it could not be emptied.
-func TestALeaderTakesTheDistrictsWithoutMachines(t *testing.T) {
+func TestALeaderTakesTheZonesWithoutMachines(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		districts map[string]string
-		district  string
-		decline   schema.RefusalKind
-		known     int
+		name    string
+		zones   map[string]string
+		zone    string
+		decline schema.RefusalKind
+		known   int
 	}{
 		{"its own", map[string]string{"d1": "r1"}, "d1", schema.RefusalKind_REFUSAL_NONE, 1},
 		{"another in its region", map[string]string{"d1": "r1", "d2": "r1"}, "d2", schema.RefusalKind_REFUSAL_NONE, 2},
@@ -53,12 +53,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Admin: "a", Zone: "d1", Region: "r1", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
 			core := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-				Routed: &Routed{Districts: c.districts, HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
+				Routed: &Routed{Zones: c.zones, HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
 			var outcome *schema.OperatorResponse
 			for now := time.Hour; now < time.Hour+8*time.Second; now += 20 * time.Millisecond {
 				core.Tick(now)
 				if now == time.Hour+6*time.Second {
-					core.Operate(now, 1, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_EMPTY, Zone: c.district})
+					core.Operate(now, 1, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_EMPTY, Zone: c.zone})
 				}
 				for range 8 {
 					effects := core.Take()
@@ -71,10 +71,10 @@
 					core.Synced(now, effects)
 				}
 			}
-			if outcome == nil || outcome.Refusal != c.decline || len(core.view.Districts) != c.known {
-				t.Fatalf("outcome %v, %d districts, want %v and %d", outcome, len(core.view.Districts), c.decline, c.known)
+			if outcome == nil || outcome.Refusal != c.decline || len(core.view.Zones) != c.known {
+				t.Fatalf("outcome %v, %d districts, want %v and %d", outcome, len(core.view.Zones), c.decline, c.known)
 			}
-			if got := core.view.Districts[c.district].GetEmptied(); got != (c.decline == schema.RefusalKind_REFUSAL_NONE) {
+			if got := core.view.Zones[c.zone].GetEmptied(); got != (c.decline == schema.RefusalKind_REFUSAL_NONE) {
 				t.Fatalf("emptied: %v", got)
 			}
 		})
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -135,34 +135,34 @@
 	if c.table.Get(image.SystemKey) == nil {
 		put(image.SystemKey, &schema.Row{Key: image.SystemKey, Value: []byte(c.system)})
 	}
-	districts, regions := map[string]string{}, map[string]bool{}
-	nextDistrict, nextRegion := uint32(0), uint32(1)
-	for _, d := range c.view.Districts {
-		districts[d.Name] = d.Region
-		nextDistrict = max(nextDistrict, d.Residue+2)
+	zones, regions := map[string]string{}, map[string]bool{}
+	nextZone, nextRegion := uint32(0), uint32(1)
+	for _, d := range c.view.Zones {
+		zones[d.Name] = d.Region
+		nextZone = max(nextZone, d.Residue+2)
 	}
 	for _, r := range c.view.Regions {
 		regions[r.Name] = true
 		nextRegion = max(nextRegion, r.Residue+2)
 	}
-	admit := func(district, region string) {
+	admit := func(zone, region string) {
 		if !regions[region] && nextRegion < constants.Increment {
 			regions[region] = true
 			put(image.RegionKey(region), image.Put(image.RegionKey(region), &schema.Region{Name: region, Residue: nextRegion}))
 			nextRegion += 2
 		}
 		if c.routed != nil {
-			nextDistrict = 0
+			nextZone = 0
 		}
-		if _, isKnown := districts[district]; !isKnown && nextDistrict < constants.Increment {
-			districts[district] = region
-			put(image.DistrictKey(district), image.Put(image.DistrictKey(district), &schema.Zone{Name: district, Region: region, Residue: nextDistrict}))
-			nextDistrict += 2
+		if _, isKnown := zones[zone]; !isKnown && nextZone < constants.Increment {
+			zones[zone] = region
+			put(image.ZoneKey(zone), image.Put(image.ZoneKey(zone), &schema.Zone{Name: zone, Region: region, Residue: nextZone}))
+			nextZone += 2
 		}
 	}
 	if c.routed != nil {
-		for _, name := range slices.Sorted(maps.Keys(c.routed.options.Districts)) {
-			admit(name, c.routed.options.Districts[name])
+		for _, name := range slices.Sorted(maps.Keys(c.routed.options.Zones)) {
+			admit(name, c.routed.options.Zones[name])
 		}
 	}
 	newest := c.newestAt()
@@ -172,7 +172,7 @@
 		if c.now-g.heard > constants.NodeLostAfter || !c.isFitNode(g.node) {
 			continue
 		}
-		if region, isKnown := districts[g.node.Zone]; isKnown && region != g.node.Region {
+		if region, isKnown := zones[g.node.Zone]; isKnown && region != g.node.Region {
 			c.log.Error("node names a district under another region and is declined; mend its settings", "node", id, "district", g.node.Zone, "region", g.node.Region, "known", region)
 			continue
 		}
@@ -308,8 +308,8 @@
 		share := map[string]int{}
 		isWarm := map[string]bool{}
 		for _, backend := range service.Backends {
-			district := c.view.Districts[backend.Zone]
-			if district != nil && district.Region == region && !district.Emptied && backend.State == schema.BackendState_BACKEND_READY && !backend.Failing {
+			zone := c.view.Zones[backend.Zone]
+			if zone != nil && zone.Region == region && !zone.Emptied && backend.State == schema.BackendState_BACKEND_READY && !backend.Failing {
 				share[backend.Instance] = 0
 				isWarm[backend.Instance] = !backend.Cold
 			}
--- a/internal/core/load_bench_test.go
+++ b/internal/core/load_bench_test.go
@@ -23,7 +23,7 @@
 	var items []roster.Listed
 	for i := range backends {
 		service := []string{"copper", "nickel", "copper"}[i%3]
-		items = append(items, roster.Listed{Service: service, Instance: fmt.Sprint("i-", i), Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), District: "z", Slots: 6})
+		items = append(items, roster.Listed{Service: service, Instance: fmt.Sprint("i-", i), Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Zone: "z", Slots: 6})
 	}
 	leader.SetListing(f.now, roster.Listing{BegunAt: f.now, IsWhole: true, Items: items})
 	f.run(5 * time.Second)
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -39,7 +39,7 @@
 	case schema.OperatorKind_OPERATOR_SHOW, schema.OperatorKind_OPERATOR_STATUS, schema.OperatorKind_OPERATOR_ASK:
 		c.read(w)
 	case schema.OperatorKind_OPERATOR_EMPTY, schema.OperatorKind_OPERATOR_RESTORE:
-		c.operateDistrict(w)
+		c.operateZone(w)
 	default:
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Message: "unknown operator query"})
 	}
@@ -131,23 +131,23 @@
 	c.waiters = append(c.waiters, w)
 }
 
-func (c *Core) operateDistrict(w *waiter) {
+func (c *Core) operateZone(w *waiter) {
 	isEmpty := w.query.Kind == schema.OperatorKind_OPERATOR_EMPTY
-	key := image.DistrictKey(w.query.Zone)
+	key := image.ZoneKey(w.query.Zone)
 	row := c.table.Get(key)
-	district := image.Decode[schema.Zone](row)
-	if district == nil {
+	zone := image.Decode[schema.Zone](row)
+	if zone == nil {
 		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Message: "district " + w.query.Zone + " is not known; see status for the names"})
 		return
 	}
-	if district.Emptied == isEmpty && c.pending[key] <= c.table.Version() {
+	if zone.Emptied == isEmpty && c.pending[key] <= c.table.Version() {
 		c.answer(w, &schema.OperatorResponse{Index: row.Index, Unconfirmed: c.unconfirmed(row.Index)})
 		return
 	}
-	fresh := proto.Clone(district).(*schema.Zone)
+	fresh := proto.Clone(zone).(*schema.Zone)
 	fresh.Emptied, fresh.Reason = isEmpty, w.query.Reason
 	fresh.Settling = c.routed != nil && !isEmpty
-	c.submit(w, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "district " + district.Name, Rows: []*schema.Row{image.Put(key, fresh)}}, 0)
+	c.submit(w, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "district " + zone.Name, Rows: []*schema.Row{image.Put(key, fresh)}}, 0)
 }
 
 func (c *Core) settle(item *schema.LogItem) {
@@ -193,20 +193,20 @@
 }
 
 func (c *Core) unconfirmed(index uint64) []string {
-	var districts []string
+	var zones []string
 	for id, node := range c.view.Nodes {
-		if g := c.nodes[id]; node.State != schema.NodeState_NODE_STOPPING && (g == nil || g.version < index) && !slices.Contains(districts, node.Zone) {
-			districts = append(districts, node.Zone)
+		if g := c.nodes[id]; node.State != schema.NodeState_NODE_STOPPING && (g == nil || g.version < index) && !slices.Contains(zones, node.Zone) {
+			zones = append(zones, node.Zone)
 		}
 	}
-	slices.Sort(districts)
-	return districts
+	slices.Sort(zones)
+	return zones
 }
 
 func (c *Core) operated() uint64 {
 	newest := c.table.Get(image.HeadKey).GetIndex()
-	for name := range c.view.Districts {
-		newest = max(newest, c.table.Get(image.DistrictKey(name)).GetIndex())
+	for name := range c.view.Zones {
+		newest = max(newest, c.table.Get(image.ZoneKey(name)).GetIndex())
 	}
 	return newest
 }
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -32,7 +32,7 @@
 	for _, name := range f.names {
 		self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "g", Disk: name != "r", Incarnation: 1, State: schema.NodeState_NODE_READY}
 		f.cores[name] = New(f.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-			Routed: &Routed{HoldMost: 10 * time.Second, Districts: map[string]string{"z": "g", "y": "g"}, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
+			Routed: &Routed{HoldMost: 10 * time.Second, Zones: map[string]string{"z": "g", "y": "g"}, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
 	}
 	f.run(8 * time.Second)
 	if f.leader() == "" || len(f.cores[f.leader()].quorum.Members().Voters) != 3 {
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestOrdersOfDistrictsAgain(t *testing.T) {
+func TestOrdersOfZonesAgain(t *testing.T) {
 	empty, restore := schema.OperatorKind_OPERATOR_EMPTY, schema.OperatorKind_OPERATOR_RESTORE
 	for _, c := range []struct {
 		name   string
@@ -248,7 +248,7 @@
 					}
 				}
 				for _, name := range f.names {
-					if got := f.cores[name].view.Districts["y"].GetEmptied(); got != c.want {
+					if got := f.cores[name].view.Zones["y"].GetEmptied(); got != c.want {
 						t.Errorf("%s: emptied %v, want %v", name, got, c.want)
 					}
 				}
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -19,7 +19,7 @@
 	// ListLag is how far the list is behind what it tells of.
 	ListLag time.Duration
 	// Districts are the deployment's, each with its region; back ends may lie in one that has no machine.
-	Districts map[string]string
+	Zones map[string]string
 	// Quiet is how long after trouble a calm machine must keep every bound again; 0 is unknown.
 	Quiet time.Duration
 	// ColdBearable is how many requests a second the whole fleet may send to a cold back end.
--- a/internal/core/startup_test.go
+++ b/internal/core/startup_test.go
@@ -97,7 +97,7 @@
 	if rows["route"] != startupRoutes || rows["s/backend"] != startupBackends || rows["node"] != len(f.nodes) {
 		f.t.Errorf("rows are %v", rows)
 	}
-	if zones := len(leader.Local().View.Districts); zones != startupZones {
+	if zones := len(leader.Local().View.Zones); zones != startupZones {
 		f.t.Errorf("%d of %d zones are known", zones, startupZones)
 	}
 }
--- a/internal/core/startup_world_test.go
+++ b/internal/core/startup_world_test.go
@@ -93,7 +93,7 @@
 	}
 	for b := range startupBackends {
 		home := f.nodes[f.random.Intn(len(f.nodes))].self
-		f.listing = append(f.listing, roster.Listed{Service: startupService(b % startupServices), Instance: fmt.Sprintf("backend%06d", b), Address: fmt.Sprintf("10.100.0.%d:8080", b), District: home.Zone, Slots: 6})
+		f.listing = append(f.listing, roster.Listed{Service: startupService(b % startupServices), Instance: fmt.Sprintf("backend%06d", b), Address: fmt.Sprintf("10.100.0.%d:8080", b), Zone: home.Zone, Slots: 6})
 	}
 	for _, n := range f.nodes {
 		begins := time.Duration(f.random.Intn(1000)) * time.Millisecond
--- a/internal/core/vitals_test.go
+++ b/internal/core/vitals_test.go
@@ -42,7 +42,7 @@
 					var items []roster.Listed
 					for i := range 8 {
 						id := fmt.Sprint("i-", i)
-						items = append(items, roster.Listed{Service: "copper", Instance: id, Address: id, District: "d", Slots: 6})
+						items = append(items, roster.Listed{Service: "copper", Instance: id, Address: id, Zone: "d", Slots: 6})
 					}
 					core.SetListing(now, roster.Listing{Items: items, BegunAt: now, IsWhole: true})
 					for i := range 4 {
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -190,7 +190,7 @@
 	self := &schema.Node{Id: fmt.Sprintf("%s-%d", m.name, m.life), Address: m.name, Proxy: m.name, Admin: m.name, Zone: m.zone, Region: m.region, Disk: m.isDisk,
 		Incarnation: uint64(w.now.Milliseconds()), State: schema.NodeState_NODE_READY}
 	options := core.Options{Self: self, Seeds: w.seeds(), Draw: w.random.Int63n, Log: w.log.With("machine", m.name), Rejoin: m.isFounded,
-		Routed: &core.Routed{HoldMost: 10 * time.Second, Districts: w.districts(), Quiet: 4 * time.Second, Fits: w.sizes.Fits, FitsWhole: w.sizes.FitsImage, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}}
+		Routed: &core.Routed{HoldMost: 10 * time.Second, Zones: w.zones(), Quiet: 4 * time.Second, Fits: w.sizes.Fits, FitsWhole: w.sizes.FitsImage, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}}
 	m.isFounded = true
 	m.isUp, m.writing, m.frozenUntil = true, nil, 0
 	var opened *journal.Journal
@@ -221,12 +221,12 @@
 	m.tick()
 }
 
-func (w *world) districts() map[string]string {
-	districts := map[string]string{}
+func (w *world) zones() map[string]string {
+	zones := map[string]string{}
 	for _, m := range w.machines {
-		districts[m.zone] = m.region
+		zones[m.zone] = m.region
 	}
-	return districts
+	return zones
 }
 
 func (m *machine) tick() {
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -18,9 +18,9 @@
 
 // Proxy is one address that a caller may use.
 type Proxy struct {
-	Address  string `json:"address"`
-	District string `json:"district"`
-	Region   string `json:"region"`
+	Address string `json:"address"`
+	Zone    string `json:"district"`
+	Region  string `json:"region"`
 }
 
 // Match is the directory's outcome: proxies, the origin record to send along, and its time to live.
@@ -75,12 +75,12 @@
 	match := &Match{Origin: origin.String(), Version: local.View.Head.Version, Number: owner.Number, LiveMilli: constants.MatchLife.Milliseconds()}
 	var nodes []*schema.Node
 	for _, node := range local.View.Nodes {
-		if node.Zone == owner.District && node.State == schema.NodeState_NODE_READY {
+		if node.Zone == owner.Zone && node.State == schema.NodeState_NODE_READY {
 			nodes = append(nodes, node)
 		}
 	}
 	if len(nodes) == 0 {
-		return later("district " + owner.District + " has no ready proxy; ask again")
+		return later("district " + owner.Zone + " has no ready proxy; ask again")
 	}
 	slices.SortFunc(nodes, func(a, b *schema.Node) int { return strings.Compare(a.Id, b.Id) })
 	first := int(draw(int64(len(nodes))))
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -14,7 +14,7 @@
 	table := image.NewTable()
 	rows := []*schema.Row{
 		image.Put(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}), image.Put(image.RegionKey("south"), &schema.Region{Name: "south", Residue: 3}),
-		image.Put(image.DistrictKey("north-a"), &schema.Zone{Name: "north-a", Region: "north"}), image.Put(image.DistrictKey("south-a"), &schema.Zone{Name: "south-a", Region: "south", Residue: 2}),
+		image.Put(image.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north"}), image.Put(image.ZoneKey("south-a"), &schema.Zone{Name: "south-a", Region: "south", Residue: 2}),
 		image.Put(image.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
 		image.Put(image.EntryKey("ledger", "/home"), &schema.Entry{Service: "ledger", Path: "/home", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, HomeRegions: []string{"south"}}),
 		image.Put(image.EntryKey("ledger", "/pay"), &schema.Entry{Service: "ledger", Path: "/pay", Methods: []string{"POST"}}),
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -61,12 +61,12 @@
 }
 
 func isOpen(view *image.View, backend *schema.Backend) bool {
-	district := view.Districts[backend.Zone]
-	return district != nil && !district.Emptied && backend.State == schema.BackendState_BACKEND_READY
+	zone := view.Zones[backend.Zone]
+	return zone != nil && !zone.Emptied && backend.State == schema.BackendState_BACKEND_READY
 }
 
 func isCold(view *image.View, backend *schema.Backend) bool {
-	return backend.Cold || view.Districts[backend.Zone].GetSettling()
+	return backend.Cold || view.Zones[backend.Zone].GetSettling()
 }
 
 // Choose picks the back end for the next attempt. The owner group of the origin comes first, near before far;
@@ -98,7 +98,7 @@
 	if backend == nil || !isOpen(s.View, backend) {
 		return Choice{Refusal: RefusalMoving}
 	}
-	region := s.View.Districts[backend.Zone].Region
+	region := s.View.Zones[backend.Zone].Region
 	at := slices.IndexFunc(places, func(p standing.Place) bool { return p.Region == region })
 	if at < 0 {
 		if len(s.Route.HomeRegions) > 0 && !slices.Contains(s.Route.HomeRegions, region) {
@@ -149,7 +149,7 @@
 			case rank > 0:
 				c.cost += aim * constants.RegionPenalty * float64(rank)
 			case backend.Zone != s.Self.Zone:
-				c.cost += aim * constants.DistrictPenalty
+				c.cost += aim * constants.ZonePenalty
 			}
 			c.cost *= 1 + float64(s.Draw(1000))/1000*constants.CostJitter
 			open++
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -183,11 +183,11 @@
 func newFront(t testing.TB, backends ...*standIn) *front {
 	w := newWorld(t)
 	for i, b := range backends {
-		district := "kol-a"
+		zone := "kol-a"
 		if i > 0 {
-			district = "tor-a"
+			zone = "tor-a"
 		}
-		w.backend(fmt.Sprint("i-", i), district, b.address())
+		w.backend(fmt.Sprint("i-", i), zone, b.address())
 	}
 	for prefix, turn := range map[string]func(*schema.Route){"/safe/": func(r *schema.Route) { r.Repeatable = true }, "/once/": func(*schema.Route) {}, "/": func(r *schema.Route) { r.Host = "root.example" },
 		"/brief/": func(r *schema.Route) { r.TimeoutMs = 150 }} {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -32,7 +32,7 @@
 			order := p.course.Next(p.now, p.view, event)
 			switch order.Kind {
 			case OrderConnect:
-				region := p.view.Districts[order.Backend.Zone].Region
+				region := p.view.Zones[order.Backend.Zone].Region
 				if len(route.HomeRegions) > 0 && !slices.Contains(route.HomeRegions, region) {
 					t.Fatalf("seed %d: sent to %s, homes are %v", seed, region, route.HomeRegions)
 				}
@@ -71,10 +71,10 @@
 
 func TestKeyedRequestsStayInTheirHomes(t *testing.T) {
 	for _, c := range []struct {
-		holder, district string
-		homes            []string
-		turn             func(*schema.Backend)
-		want             Refusal
+		holder, zone string
+		homes        []string
+		turn         func(*schema.Backend)
+		want         Refusal
 	}{
 		{"i-kol", "kol-b", nil, nil, RefusalNone},
 		{"i-kol", "kol-b", []string{"kol"}, nil, RefusalNone},
@@ -91,7 +91,7 @@
 			if turn == nil {
 				turn = func(*schema.Backend) {}
 			}
-			w.backend(c.holder, c.district, "10.0.0.1:80", turn)
+			w.backend(c.holder, c.zone, "10.0.0.1:80", turn)
 			w.backend("i-other-kol", "kol-a", "10.0.0.2:80")
 			w.backend("i-other-tor", "tor-a", "10.0.0.3:80")
 			w.put(image.SpanKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: c.holder, Fence: 1})
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -26,7 +26,7 @@
 		w.put(image.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)})
 	}
 	for i, name := range []string{"kol-a", "kol-b", "tor-a"} {
-		w.put(image.DistrictKey(name), &schema.Zone{Name: name, Region: name[:3], Residue: uint32(2 * i)})
+		w.put(image.ZoneKey(name), &schema.Zone{Name: name, Region: name[:3], Residue: uint32(2 * i)})
 		id := fmt.Sprint("n", i+1)
 		w.put(image.NodeKey(id), &schema.Node{Id: id, Zone: name, Region: name[:3], State: schema.NodeState_NODE_READY})
 	}
@@ -42,8 +42,8 @@
 	}
 }
 
-func (w *world) backend(instance, district, address string, turns ...func(*schema.Backend)) {
-	b := &schema.Backend{Service: "copper", Instance: instance, Address: address, Zone: district, Slots: 6, State: schema.BackendState_BACKEND_READY}
+func (w *world) backend(instance, zone, address string, turns ...func(*schema.Backend)) {
+	b := &schema.Backend{Service: "copper", Instance: instance, Address: address, Zone: zone, Slots: 6, State: schema.BackendState_BACKEND_READY}
 	for _, turn := range turns {
 		turn(b)
 	}
--- a/internal/judge/history.go
+++ b/internal/judge/history.go
@@ -31,7 +31,7 @@
 	Method   string
 	Attempt  string
 	Send     string
-	District string
+	Zone     string
 	Proxy    string
 	Outcome  string
 	Kind     string
@@ -64,7 +64,7 @@
 	Path     string
 	Version  uint64
 	Status   int
-	District string
+	Zone     string
 	Boot     int
 	IsCutOff bool
 }
@@ -78,14 +78,14 @@
 
 // OperatorEvent is what an operator sent and was told.
 type OperatorEvent struct {
-	At, End  time.Duration
-	What     string
-	District string
-	Version  uint64
-	Base     uint64
-	Status   int
-	Entries  []EntrySeen
-	Node     string
+	At, End time.Duration
+	What    string
+	Zone    string
+	Version uint64
+	Base    uint64
+	Status  int
+	Entries []EntrySeen
+	Node    string
 }
 
 // EntrySeen is an entry of a configuration as the operator wrote it.
@@ -107,7 +107,7 @@
 type History struct {
 	sync.Mutex
 	Now       func() time.Duration
-	RegionOf  func(district string) string
+	RegionOf  func(zone string) string
 	Arrivals  []*Arrival
 	Replies   []*Reply
 	Calls     []*Call
@@ -120,7 +120,7 @@
 }
 
 // NewHistory makes an empty history on a clock and a way to tell a district's region.
-func NewHistory(now func() time.Duration, regionOf func(district string) string) *History {
+func NewHistory(now func() time.Duration, regionOf func(zone string) string) *History {
 	return &History{Now: now, RegionOf: regionOf, Places: map[string]string{}, Births: map[string][]time.Duration{}}
 }
 
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -334,22 +334,22 @@
 		v.Count++
 		until := time.Duration(1<<62 - 1)
 		for _, later := range h.Operators[i+1:] {
-			if later.What == "restore" && later.District == o.District {
+			if later.What == "restore" && later.Zone == o.Zone {
 				until = later.At
 				break
 			}
 		}
 		for _, a := range h.Arrivals {
-			if h.Places[a.Instance] == o.District && a.At > o.End && a.At < until && !a.IsCutOff {
+			if h.Places[a.Instance] == o.Zone && a.At > o.End && a.At < until && !a.IsCutOff {
 				v.measure(a.At - o.End)
 				if a.At > o.End+emptyBound {
-					v.breach("%s in emptied %s got a request %v after acceptance", a.Instance, o.District, a.At-o.End)
+					v.breach("%s in emptied %s got a request %v after acceptance", a.Instance, o.Zone, a.At-o.End)
 				}
 			}
 		}
 		for _, r := range h.Replies {
-			if r.District == o.District && r.At > o.End+emptyBound && r.At < until && !r.IsCutOff {
-				v.breach("a caller was sent to a proxy in emptied %s %v after acceptance", o.District, r.At-o.End)
+			if r.Zone == o.Zone && r.At > o.End+emptyBound && r.At < until && !r.IsCutOff {
+				v.breach("a caller was sent to a proxy in emptied %s %v after acceptance", o.Zone, r.At-o.End)
 			}
 		}
 	}
--- a/internal/judge/judge_test.go
+++ b/internal/judge/judge_test.go
@@ -8,7 +8,7 @@
 )
 
 func good() *History {
-	h := NewHistory(nil, func(district string) string { region, _, _ := strings.Cut(district, "-"); return region })
+	h := NewHistory(nil, func(zone string) string { region, _, _ := strings.Cut(zone, "-"); return region })
 	h.Places = map[string]string{"ledger-1": "north-a", "ledger-2": "north-b", "ledger-3": "east-a", "pay-1": "north-a", "pay-2": "north-b"}
 	entries := []EntrySeen{{"ledger", "/b", []string{"GET"}, []string{"GET"}, []string{"north"}}, {"pay", "/p", []string{"POST"}, nil, nil}}
 	h.Operators = []OperatorEvent{{At: time.Second, End: time.Second, What: "put", Version: 1, Status: 200, Entries: entries}}
@@ -20,7 +20,7 @@
 			a.Service, a.Instance, a.Path, a.Method, a.IsUnsafe, a.Key = "pay", "pay-1", "/p", "POST", true, "k"
 		}
 		h.Arrivals = append(h.Arrivals, a)
-		h.Replies = append(h.Replies, &Reply{At: at, End: a.End, Service: a.Service, Path: a.Path, Attempt: attempt, Send: a.Send, Outcome: "sealed", Status: 200, Digest: a.Digest, IsUnsafe: a.IsUnsafe, District: "north-a", Proxy: "p1"})
+		h.Replies = append(h.Replies, &Reply{At: at, End: a.End, Service: a.Service, Path: a.Path, Attempt: attempt, Send: a.Send, Outcome: "sealed", Status: 200, Digest: a.Digest, IsUnsafe: a.IsUnsafe, Zone: "north-a", Proxy: "p1"})
 		h.Calls = append(h.Calls, &Call{At: at, End: a.End, Attempt: attempt, IsUnsafe: a.IsUnsafe, Outcome: "sealed"})
 		h.Matches = append(h.Matches, MatchSeen{At: at, Door: "n1", Version: 1, Status: 200})
 	}
@@ -108,7 +108,7 @@
 		{"home", "home-bound traffic in another region", func(h *History) { h.Arrivals[5].Instance = "ledger-3" }},
 		{"emptied", "a request 5.1 s after the emptying", func(h *History) {
 			at := h.Arrivals[len(h.Arrivals)-1].At - 5100*time.Millisecond
-			h.Operators = append(h.Operators, OperatorEvent{At: at, End: at, What: "empty", District: "north-a", Status: 200})
+			h.Operators = append(h.Operators, OperatorEvent{At: at, End: at, What: "empty", Zone: "north-a", Status: 200})
 		}},
 		{"keys", "one key at two back ends at once", func(h *History) {
 			other := *h.Arrivals[0]
--- a/internal/keys/homes.go
+++ b/internal/keys/homes.go
@@ -58,7 +58,7 @@
 }
 
 func (s *step) regionOf(backend *schema.Backend) string {
-	return s.f.View.Districts[backend.GetZone()].GetRegion()
+	return s.f.View.Zones[backend.GetZone()].GetRegion()
 }
 
 // isAbroad tells that a holder lies where fewer routes allow it than where an eligible one lies.
--- a/internal/keys/homes_test.go
+++ b/internal/keys/homes_test.go
@@ -59,8 +59,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, 1, 6, "a")
 			for i := range 3 {
-				district := fmt.Sprintf("d%d", i)
-				w.put("", image.Put(image.DistrictKey(district), &schema.Zone{Name: district, Region: fmt.Sprintf("r%d", i)}))
+				zone := fmt.Sprintf("d%d", i)
+				w.put("", image.Put(image.ZoneKey(zone), &schema.Zone{Name: zone, Region: fmt.Sprintf("r%d", i)}))
 			}
 			w.setRoutes(1, c.routes...)
 			w.run(4 * time.Second)
@@ -84,8 +84,8 @@
 func TestKeysFollowTheHomesOfAChangedRoute(t *testing.T) {
 	w := newWorld(t, 1, 6, "a")
 	for i := range 3 {
-		district := fmt.Sprintf("d%d", i)
-		w.put("", image.Put(image.DistrictKey(district), &schema.Zone{Name: district, Region: fmt.Sprintf("r%d", i)}))
+		zone := fmt.Sprintf("d%d", i)
+		w.put("", image.Put(image.ZoneKey(zone), &schema.Zone{Name: zone, Region: fmt.Sprintf("r%d", i)}))
 	}
 	w.setRoutes(1, route("/x/", 1, "r0"))
 	w.run(4 * time.Second)
@@ -96,7 +96,7 @@
 	}
 	w.cold = 0
 	w.empty("d1", true)
-	w.put("", image.Put(image.DistrictKey("d1"), &schema.Zone{Name: "d1", Region: "r1", Emptied: true}))
+	w.put("", image.Put(image.ZoneKey("d1"), &schema.Zone{Name: "d1", Region: "r1", Emptied: true}))
 	w.run(10 * time.Second)
 	if got := w.holding(); got != "[d2]" || w.unheld() > 0 || w.breaches > 0 {
 		t.Fatalf("with an emptied home keys are held in %s, %d not held, %d with two holders", got, w.unheld(), w.breaches)
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -259,7 +259,7 @@
 			table := image.NewTable()
 			rows := []*schema.Row{image.Put(image.PolicyKey("a"), &schema.ServicePolicy{Service: "a", Keyed: true})}
 			for _, zone := range []string{"d0", "d1"} {
-				rows = append(rows, image.Put(image.DistrictKey(zone), &schema.Zone{Name: zone, Settling: slices.Contains(c.settling, zone)}),
+				rows = append(rows, image.Put(image.ZoneKey(zone), &schema.Zone{Name: zone, Settling: slices.Contains(c.settling, zone)}),
 					image.Put(image.BackendKey("a", "i-"+zone), &schema.Backend{Service: "a", Instance: "i-" + zone, Address: zone, Zone: zone, State: schema.BackendState_BACKEND_READY}))
 			}
 			if _, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows}, nil); err != nil {
--- a/internal/keys/step.go
+++ b/internal/keys/step.go
@@ -145,7 +145,7 @@
 			continue
 		}
 		all = append(all, backend.Instance)
-		isColdOne[backend.Instance] = backend.Cold || s.f.View.Districts[backend.Zone].GetSettling()
+		isColdOne[backend.Instance] = backend.Cold || s.f.View.Zones[backend.Zone].GetSettling()
 	}
 	for _, instance := range s.atHome(all) {
 		if isColdOne[instance] {
@@ -162,8 +162,8 @@
 }
 
 func (s *step) isEmptied(backend *schema.Backend) bool {
-	district := s.f.View.Districts[backend.Zone]
-	return district != nil && district.Emptied
+	zone := s.f.View.Zones[backend.Zone]
+	return zone != nil && zone.Emptied
 }
 
 func (s *step) layOut() {
--- a/internal/keys/world_test.go
+++ b/internal/keys/world_test.go
@@ -136,8 +136,8 @@
 	w.apply(&schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{row}})
 }
 
-func (w *world) empty(district string, isEmptied bool) {
-	w.put("", image.Put(image.DistrictKey(district), &schema.Zone{Name: district, Emptied: isEmptied}))
+func (w *world) empty(zone string, isEmptied bool) {
+	w.put("", image.Put(image.ZoneKey(zone), &schema.Zone{Name: zone, Emptied: isEmptied}))
 }
 
 func (w *world) list(h *holder) {
@@ -150,9 +150,9 @@
 	w.put("", image.Gone(image.BackendKey(h.row.Service, h.row.Instance)))
 }
 
-func (w *world) start(service, address, district string) *holder {
+func (w *world) start(service, address, zone string) *holder {
 	w.serial++
-	h := &holder{row: &schema.Backend{Service: service, Instance: fmt.Sprintf("i%03d", w.serial), Address: address, Zone: district, State: schema.BackendState_BACKEND_READY},
+	h := &holder{row: &schema.Backend{Service: service, Instance: fmt.Sprintf("i%03d", w.serial), Address: address, Zone: zone, State: schema.BackendState_BACKEND_READY},
 		isAlive: true, seen: make([]uint64, len(w.cells)), until: make([]time.Duration, len(w.cells)), fence: make([]uint64, len(w.cells)),
 		slowness: 1 / (1 - 0.02*w.random.Float64())}
 	w.holders = append(w.holders, h)
@@ -459,9 +459,9 @@
 			}
 		})
 	case 3:
-		district := h.row.Zone
-		w.empty(district, true)
-		w.at(w.now+time.Second+w.span(6*time.Second), func() { w.empty(district, false) })
+		zone := h.row.Zone
+		w.empty(zone, true)
+		w.at(w.now+time.Second+w.span(6*time.Second), func() { w.empty(zone, false) })
 	case 4:
 		h.cutUntil = w.now + w.span(9*time.Second)
 	case 5: // taken off the list although it runs on
--- a/internal/node/native.go
+++ b/internal/node/native.go
@@ -84,7 +84,7 @@
 	var items []roster.Listed
 	for _, item := range sweep.Items {
 		own := beside[item.Service+"/"+item.Instance]
-		items = append(items, roster.Listed{Service: item.Service, Instance: item.Instance, Address: item.Address, District: item.District, Slots: own.Slots,
+		items = append(items, roster.Listed{Service: item.Service, Instance: item.Instance, Address: item.Address, Zone: item.Zone, Slots: own.Slots,
 			IsDraining: item.State == "draining", ColdLeft: time.Duration(own.ColdLeftMS) * time.Millisecond})
 	}
 	if fault == "" {
--- a/internal/node/native_seam_test.go
+++ b/internal/node/native_seam_test.go
@@ -57,7 +57,7 @@
 			if len(items) != c.items || count != c.calls {
 				t.Errorf("%d items by %d calls, want %d by %d", len(items), count, c.items, c.calls)
 			}
-			if c.want == "" && (items[0].ColdLeft != 1500*time.Millisecond || items[0].Slots != 6 || items[0].IsDraining || !items[1].IsDraining || items[1].District != "mu-b") {
+			if c.want == "" && (items[0].ColdLeft != 1500*time.Millisecond || items[0].Slots != 6 || items[0].IsDraining || !items[1].IsDraining || items[1].Zone != "mu-b") {
 				t.Errorf("%+v", items)
 			}
 		})
--- a/internal/node/native_test.go
+++ b/internal/node/native_test.go
@@ -120,9 +120,9 @@
 
 func TestNativeRoutedFleet(t *testing.T) {
 	copper, copper2, nickel := newNativeHolder(t, "c-1", false), newNativeHolder(t, "c-2", false), newNativeHolder(t, "n-1", true)
-	list := &nativeList{items: []roster.RoutedItem{{Item: roster.Item{Service: "copper", Instance: "c-1", Address: copper.address(), District: "mu-a", State: "ready"}, Slots: 6},
-		{Item: roster.Item{Service: "copper", Instance: "c-2", Address: copper2.address(), District: "mu-b", State: "ready"}, Slots: 6},
-		{Item: roster.Item{Service: "nickel", Instance: "n-1", Address: nickel.address(), District: "mu-a", State: "ready"}, Slots: 6}}}
+	list := &nativeList{items: []roster.RoutedItem{{Item: roster.Item{Service: "copper", Instance: "c-1", Address: copper.address(), Zone: "mu-a", State: "ready"}, Slots: 6},
+		{Item: roster.Item{Service: "copper", Instance: "c-2", Address: copper2.address(), Zone: "mu-b", State: "ready"}, Slots: 6},
+		{Item: roster.Item{Service: "nickel", Instance: "n-1", Address: nickel.address(), Zone: "mu-a", State: "ready"}, Slots: 6}}}
 	platform := httptest.NewServer(list)
 	t.Cleanup(platform.Close)
 	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableCompression: true}}
@@ -130,7 +130,7 @@
 	var seeds []string
 	for i := range 4 {
 		ip := fmt.Sprintf("127.0.78.%d", i+1)
-		s := &settings.Settings{Peer: free(t, ip), Proxy: free(t, ip), Door: free(t, ip), District: []string{"mu-a", "mu-b", "xi-a", "mu-b"}[i], Region: []string{"mu", "mu", "xi", "mu"}[i], DiskBytes: 16 << 20, Routes: settings.DefaultRoutes()}
+		s := &settings.Settings{Peer: free(t, ip), Proxy: free(t, ip), Door: free(t, ip), Zone: []string{"mu-a", "mu-b", "xi-a", "mu-b"}[i], Region: []string{"mu", "mu", "xi", "mu"}[i], DiskBytes: 16 << 20, Routes: settings.DefaultRoutes()}
 		s.Routes.ListLagMS, s.Routes.StopGraceMS = 100, 1500
 		s.PeerShown, s.ProxyShow, s.DoorShown = s.Peer, s.Proxy, s.Door
 		if i < 3 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -126,7 +126,7 @@
 func (n *Node) Now() time.Duration { return time.Since(n.begun) + time.Hour }
 
 func (n *Node) start() error {
-	n.self = &schema.Node{Id: newID(), Address: n.settings.PeerShown, Proxy: n.settings.ProxyShow, Admin: n.settings.DoorShown, Zone: n.settings.District,
+	n.self = &schema.Node{Id: newID(), Address: n.settings.PeerShown, Proxy: n.settings.ProxyShow, Admin: n.settings.DoorShown, Zone: n.settings.Zone,
 		Region: n.settings.Region, Disk: n.settings.Data != "", Incarnation: uint64(time.Now().UnixMilli()), State: schema.NodeState_NODE_READY}
 	options := core.Options{Self: n.self, Seeds: n.settings.Seeds, Draw: draw, Log: n.log.With("part", "core"), Rejoin: n.settings.Rejoin, Epoch: n.begun.Add(-time.Hour)}
 	if n.seam != nil {
@@ -183,7 +183,7 @@
 		n.tasks.Go(n.watchList)
 	}
 	n.tasks.Go(n.keep)
-	n.log.Info("started", "peer", n.settings.Peer, "proxy", n.settings.Proxy, "door", n.settings.Door, "district", n.settings.District, "region", n.settings.Region, "disk", n.self.Disk, "restart", options.Restart)
+	n.log.Info("started", "peer", n.settings.Peer, "proxy", n.settings.Proxy, "door", n.settings.Door, "district", n.settings.Zone, "region", n.settings.Region, "disk", n.self.Disk, "restart", options.Restart)
 	return nil
 }
 
@@ -520,8 +520,8 @@
 				continue
 			}
 			for _, b := range service.Backends {
-				district := view.Districts[b.Zone]
-				if district == nil || district.Region != n.self.Region {
+				zone := view.Zones[b.Zone]
+				if zone == nil || zone.Region != n.self.Region {
 					continue
 				}
 				listed[b.Instance] = true
--- a/internal/node/routed.go
+++ b/internal/node/routed.go
@@ -41,7 +41,7 @@
 	Names  gateway.Names
 	Bounds Bounds
 	// Districts are the deployment's, each with its region, also those without a machine.
-	Districts map[string]string
+	Zones map[string]string
 	// List reads the platform's whole list once, and tells how many calls it took. It takes its turn before each call; an error of the turn
 	// ends the read.
 	List func(ctx context.Context, turn Turn) ([]roster.Listed, int, error)
@@ -61,7 +61,7 @@
 	// Operate carries an operator's query to the leader.
 	Operate func(ctx context.Context, query *schema.OperatorRequest) (*schema.OperatorResponse, error)
 	// Resolve gives the addresses of nodes for a caller and how long they may be used; none if this node does not know.
-	Resolve func(region, district string) ([]string, time.Duration)
+	Resolve func(region, zone string) ([]string, time.Duration)
 	// IsReady tells whether this node may get requests.
 	IsReady func() bool
 	// Door is the product's own door for directory and operators; Insight is the part of it that only reads: status and standings.
@@ -73,7 +73,7 @@
 	bounds := n.seam.Bounds
 	reckon := gateway.NewLoads(n.Now(), bounds.Bounds)
 	sizes := journal.Sized(n.settings.DiskBytes)
-	return &core.Routed{Fits: sizes.Fits, FitsWhole: sizes.FitsImage, HoldMost: bounds.HoldMost, ListLag: bounds.ListLag, Districts: n.seam.Districts, Quiet: bounds.Quiet, ColdBearable: reckon.ColdBearable,
+	return &core.Routed{Fits: sizes.Fits, FitsWhole: sizes.FitsImage, HoldMost: bounds.HoldMost, ListLag: bounds.ListLag, Zones: n.seam.Zones, Quiet: bounds.Quiet, ColdBearable: reckon.ColdBearable,
 		Heat:   func(span time.Duration) []*schema.ShardLoad { return n.gateway.Loads().TakeHeat(span) },
 		Vitals: func() []*schema.HealthReport { return n.gateway.Vitals() }}
 }
@@ -103,19 +103,19 @@
 	if n.seam.List != nil {
 		n.tasks.Go(n.readList)
 	}
-	n.log.Info("started", "peer", n.settings.Peer, "proxy", n.settings.Proxy, "door", n.settings.Door, "district", n.settings.District, "region", n.settings.Region, "disk", n.self.Disk)
+	n.log.Info("started", "peer", n.settings.Peer, "proxy", n.settings.Proxy, "door", n.settings.Door, "district", n.settings.Zone, "region", n.settings.Region, "disk", n.self.Disk)
 	return nil
 }
 
 func (n *Node) isReady() bool { return !n.stopping.Load() && gateway.IsFit(n.local.Load()) }
 
-func (n *Node) resolve(region, district string) ([]string, time.Duration) {
+func (n *Node) resolve(region, zone string) ([]string, time.Duration) {
 	view := n.local.Load().View
 	var own, near, far []string
 	for _, node := range view.Nodes {
 		switch {
 		case node.State != schema.NodeState_NODE_READY:
-		case node.Zone == district:
+		case node.Zone == zone:
 			own = append(own, node.Proxy)
 		case node.Region == region:
 			near = append(near, node.Proxy)
--- a/internal/node/routed_test.go
+++ b/internal/node/routed_test.go
@@ -225,15 +225,15 @@
 func TestRoutedFleet(t *testing.T) {
 	copper, nickel1, nickel2 := newHolder(t, "c-1", false), newHolder(t, "n-1", true), newHolder(t, "n-2", true)
 	p := &platform{holders: map[string]*holder{"c-1": copper, "n-1": nickel1, "n-2": nickel2}, items: []roster.Listed{
-		{Service: "copper", Instance: "c-1", Address: copper.address(), District: "mu-a", Slots: 6},
-		{Service: "nickel", Instance: "n-1", Address: nickel1.address(), District: "mu-a", Slots: 6},
-		{Service: "nickel", Instance: "n-2", Address: nickel2.address(), District: "mu-b", Slots: 6}}}
+		{Service: "copper", Instance: "c-1", Address: copper.address(), Zone: "mu-a", Slots: 6},
+		{Service: "nickel", Instance: "n-1", Address: nickel1.address(), Zone: "mu-a", Slots: 6},
+		{Service: "nickel", Instance: "n-2", Address: nickel2.address(), Zone: "mu-b", Slots: 6}}}
 	var machines []*machine
 	var all []*settings.Settings
 	var seeds []string
 	for i := range 4 {
 		ip := fmt.Sprintf("127.0.77.%d", i+1)
-		s := &settings.Settings{Peer: free(t, ip), Proxy: free(t, ip), Door: ip + ":1", District: []string{"mu-a", "mu-b", "xi-a", "mu-a"}[i], Region: []string{"mu", "mu", "xi", "mu"}[i], DiskBytes: 16 << 20}
+		s := &settings.Settings{Peer: free(t, ip), Proxy: free(t, ip), Door: ip + ":1", Zone: []string{"mu-a", "mu-b", "xi-a", "mu-a"}[i], Region: []string{"mu", "mu", "xi", "mu"}[i], DiskBytes: 16 << 20}
 		s.PeerShown, s.ProxyShow, s.DoorShown = s.Peer, s.Proxy, s.Door
 		if i < 3 {
 			s.Data = t.TempDir()
--- a/internal/proxy/decider.go
+++ b/internal/proxy/decider.go
@@ -145,17 +145,17 @@
 		return park("no-standing", "%v", err)
 	}
 	d.Owner = owner
-	if owner.District != s.Self.Zone {
+	if owner.Zone != s.Self.Zone {
 		if len(q.Forwarded) > 0 {
-			return park("moved", "number %d makes district %s the owner; ask the directory again", owner.Number, owner.District)
+			return park("moved", "number %d makes district %s the owner; ask the directory again", owner.Number, owner.Zone)
 		}
 		for _, node := range view.Nodes {
-			if node.Zone == owner.District && node.State == schema.NodeState_NODE_READY {
+			if node.Zone == owner.Zone && node.State == schema.NodeState_NODE_READY {
 				d.Nodes = append(d.Nodes, node)
 			}
 		}
 		if len(d.Nodes) == 0 {
-			return park("no-proxy", "district %s has no ready proxy; ask the directory again", owner.District)
+			return park("no-proxy", "district %s has no ready proxy; ask the directory again", owner.Zone)
 		}
 		slices.SortFunc(d.Nodes, func(a, b *schema.Node) int { return compare(a.Id, b.Id) })
 		d.Turn = TurnForward
@@ -164,7 +164,7 @@
 	if q.Forwarded.IsNewer(owner.Trail) {
 		return park("behind", "this proxy has not seen number %v yet; send again", q.Forwarded)
 	}
-	if district := view.Districts[s.Self.Zone]; district == nil || district.Emptied {
+	if zone := view.Zones[s.Self.Zone]; zone == nil || zone.Emptied {
 		return park("emptied", "district %s is emptied; ask the directory again", s.Self.Zone)
 	}
 	needsGrant := !d.IsSafe || entry.Keyed
@@ -307,7 +307,7 @@
 	}
 	part := Part{}
 	for id, node := range view.Nodes {
-		if district := view.Districts[node.Zone]; district == nil || !groups[uint64(district.Residue)] || !isAble(node) {
+		if zone := view.Zones[node.Zone]; zone == nil || !groups[uint64(zone.Residue)] || !isAble(node) {
 			continue
 		}
 		part.Of++
@@ -326,8 +326,8 @@
 }
 
 func usable(view *image.View, backend *schema.Backend, region string) bool {
-	district := view.Districts[backend.Zone]
-	return district != nil && district.Region == region && !district.Emptied && backend.State == schema.BackendState_BACKEND_READY && !backend.Failing
+	zone := view.Zones[backend.Zone]
+	return zone != nil && zone.Region == region && !zone.Emptied && backend.State == schema.BackendState_BACKEND_READY && !backend.Failing
 }
 
 // Slot is the slot of a key.
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -38,7 +38,7 @@
 	}
 	for i, name := range []string{"north-a", "north-b", "south-a"} {
 		region, _, _ := strings.Cut(name, "-")
-		w.put("", image.Put(image.DistrictKey(name), &schema.Zone{Name: name, Region: region, Residue: uint32(2 * i)}))
+		w.put("", image.Put(image.ZoneKey(name), &schema.Zone{Name: name, Region: region, Residue: uint32(2 * i)}))
 		w.put("", image.Put(image.NodeKey("n"+name), &schema.Node{Id: "n" + name, Zone: name, Region: region, Proxy: name + ":1", State: schema.NodeState_NODE_READY}))
 	}
 	w.put("", image.Put(image.EntryKey("ledger", "/balances"), &schema.Entry{Service: "ledger", Path: "/balances", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, BodyLimit: 64, ResponseLimit: 4096, ColdRate: 6}))
@@ -66,8 +66,8 @@
 	return &core.Local{View: view, IsFull: true, FreshAt: noon, TickAt: noon, PeersAt: noon, GrantUntil: noon + constants.GrantTime}
 }
 
-func backend(instance, district string) *schema.Backend {
-	return &schema.Backend{Service: "ledger", Instance: instance, Address: "127.0.0.1:1", Zone: district, State: schema.BackendState_BACKEND_READY}
+func backend(instance, zone string) *schema.Backend {
+	return &schema.Backend{Service: "ledger", Instance: instance, Address: "127.0.0.1:1", Zone: zone, State: schema.BackendState_BACKEND_READY}
 }
 
 func TestDecide(t *testing.T) {
@@ -155,7 +155,7 @@
 		{"a region's origin does not fit a bound entry", base(all...), func(s *Situation) { s.Query.Origin = standing.Origin{Region: "north"} }, unsafe(), TurnDecline, "bad-origin", ""},
 		{"an emptied district serves nothing", func() *world {
 			w := base(all...)
-			w.put("", image.Put(image.DistrictKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Emptied: true}))
+			w.put("", image.Put(image.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Emptied: true}))
 			return w
 		}(), nil, safe(), TurnPark, "", ""},
 		{"a draining back end gets nothing", base(func() *schema.Backend {
--- a/internal/roster/jury.go
+++ b/internal/roster/jury.go
@@ -29,8 +29,8 @@
 }
 
 type vote struct {
-	at       time.Duration
-	district string
+	at   time.Duration
+	zone string
 }
 
 // Jury decides for a routed fleet which back ends are failing, by what nodes tell of their own attempts. A node that meets one seldom so gains by the others' losses.
@@ -44,7 +44,7 @@
 func NewJury() *Jury { return &Jury{votes: map[string]map[string]vote{}, trials: map[string]*trial{}} }
 
 // Report takes what a node tells of the back ends that failed it, or that served it although they are failing, since it last told.
-func (j *Jury) Report(now time.Duration, node, district string, vitals []*schema.HealthReport) {
+func (j *Jury) Report(now time.Duration, node, zone string, vitals []*schema.HealthReport) {
 	for _, vital := range vitals {
 		id := vital.Instance
 		if !vital.Failing {
@@ -56,7 +56,7 @@
 		if j.votes[id] == nil {
 			j.votes[id] = map[string]vote{}
 		}
-		j.votes[id][node] = vote{now, district}
+		j.votes[id][node] = vote{now, zone}
 	}
 }
 
@@ -203,20 +203,20 @@
 
 // isSeenWidely tells that nodes of the back end's own district see it fail too, or those of several; one that fails the callers of one other district is avoided by those.
 func isSeenWidely(backend *schema.Backend, votes map[string]vote, ready map[string][]string) bool {
-	districts := map[string]bool{}
+	zones := map[string]bool{}
 	for _, v := range votes {
-		districts[v.district] = true
+		zones[v.zone] = true
 	}
-	return len(districts) > 1 || districts[backend.Zone] || len(ready[backend.Zone]) == 0
+	return len(zones) > 1 || zones[backend.Zone] || len(ready[backend.Zone]) == 0
 }
 
 // sponsors are the nodes that alone may try a failing back end: few of its district, others at each trial.
 func sponsors(backend *schema.Backend, view *image.View, ready map[string][]string, turn int) []string {
 	near := ready[backend.Zone]
 	if len(near) == 0 {
-		for _, district := range slices.Sorted(maps.Keys(ready)) {
-			if view.Districts[district].GetRegion() == view.Districts[backend.Zone].GetRegion() {
-				near = append(near, ready[district]...)
+		for _, zone := range slices.Sorted(maps.Keys(ready)) {
+			if view.Zones[zone].GetRegion() == view.Zones[backend.Zone].GetRegion() {
+				near = append(near, ready[zone]...)
 			}
 		}
 	}
--- a/internal/roster/jury_test.go
+++ b/internal/roster/jury_test.go
@@ -24,7 +24,7 @@
 	j := &juried{t: t, table: image.NewTable(), jury: NewJury(), now: time.Hour}
 	rows := []*schema.Row{image.Put(image.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: service == "zinc"})}
 	for i, name := range []string{"kol-a", "kol-b"} {
-		rows = append(rows, image.Put(image.DistrictKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
+		rows = append(rows, image.Put(image.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
 	}
 	for i := range 6 {
 		id := fmt.Sprint("n", i)
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -17,7 +17,7 @@
 	Service  string `json:"service"`
 	Instance string `json:"instance"`
 	Address  string `json:"address"`
-	District string `json:"district"`
+	Zone     string `json:"district"`
 	State    string `json:"state"`
 }
 
@@ -160,8 +160,8 @@
 			if old != nil && old.State == schema.BackendState_BACKEND_DRAINING && old.Address == item.Address {
 				state = schema.BackendState_BACKEND_DRAINING
 			}
-			if old == nil || old.Address != item.Address || old.State != state || old.Zone != item.District {
-				put(&schema.Backend{Service: item.Service, Instance: item.Instance, Address: item.Address, Zone: item.District, State: state, Cold: count[item.Service] > 0 && (old == nil || old.Cold || old.Address != item.Address)})
+			if old == nil || old.Address != item.Address || old.State != state || old.Zone != item.Zone {
+				put(&schema.Backend{Service: item.Service, Instance: item.Instance, Address: item.Address, Zone: item.Zone, State: state, Cold: count[item.Service] > 0 && (old == nil || old.Cold || old.Address != item.Address)})
 				known[name] = nil
 			}
 		}
--- a/internal/roster/watch.go
+++ b/internal/roster/watch.go
@@ -17,7 +17,7 @@
 	Service    string
 	Instance   string
 	Address    string
-	District   string
+	Zone       string
 	Slots      uint32
 	IsDraining bool
 	ColdLeft   time.Duration
@@ -56,8 +56,8 @@
 
 // Plan gives the record that is due, or nil.
 func (w *Watch) Plan(f WatchFacts) *schema.Record {
-	for name, district := range f.View.Districts {
-		if !district.Settling {
+	for name, zone := range f.View.Zones {
+		if !zone.Settling {
 			delete(w.settledAt, name)
 		} else if _, isNoted := w.settledAt[name]; !isNoted {
 			w.settledAt[name] = f.Now
@@ -87,7 +87,7 @@
 		if service != nil {
 			old = service.Backend(item.Instance)
 		}
-		fresh := &schema.Backend{Service: item.Service, Instance: item.Instance, Address: item.Address, Zone: item.District, Slots: item.Slots, State: schema.BackendState_BACKEND_READY}
+		fresh := &schema.Backend{Service: item.Service, Instance: item.Instance, Address: item.Address, Zone: item.Zone, Slots: item.Slots, State: schema.BackendState_BACKEND_READY}
 		if item.IsDraining || old.GetState() == schema.BackendState_BACKEND_DRAINING && old.GetAddress() == item.Address {
 			fresh.State = schema.BackendState_BACKEND_DRAINING
 		}
@@ -143,9 +143,9 @@
 	}
 	for name, at := range w.settledAt {
 		if f.Listing.BegunAt >= at+w.lag+constants.SettleMargin {
-			fresh := proto.Clone(f.View.Districts[name]).(*schema.Zone)
+			fresh := proto.Clone(f.View.Zones[name]).(*schema.Zone)
 			fresh.Settling = false
-			put(image.DistrictKey(name), fresh)
+			put(image.ZoneKey(name), fresh)
 		}
 	}
 	return whole(record)
@@ -164,7 +164,7 @@
 		bearable = f.ColdBearable(service.Policy)
 	}
 	var near, far []string
-	region := f.View.Districts[backend.Zone].GetRegion()
+	region := f.View.Zones[backend.Zone].GetRegion()
 	for id, node := range f.View.Nodes {
 		switch {
 		case node.State != schema.NodeState_NODE_READY:
--- a/internal/roster/watch_test.go
+++ b/internal/roster/watch_test.go
@@ -25,7 +25,7 @@
 	w := &watched{t: t, table: image.NewTable(), watch: NewWatch(lag), bearable: 30, now: time.Hour}
 	rows := []*schema.Row{image.Put(image.RegionKey("kol"), &schema.Region{Name: "kol", Residue: 1}), image.Put(image.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 17})}
 	for i, name := range []string{"kol-a", "kol-b"} {
-		rows = append(rows, image.Put(image.DistrictKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
+		rows = append(rows, image.Put(image.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
 	}
 	for i := range nodes {
 		id := fmt.Sprintf("node-%02d", i)
@@ -82,7 +82,7 @@
 func whole1(items ...Listed) *Listing { return &Listing{Items: items, IsWhole: true} }
 
 func item(instance string) Listed {
-	return Listed{Service: "copper", Instance: instance, Address: instance + ":1", District: "kol-a", Slots: 6}
+	return Listed{Service: "copper", Instance: instance, Address: instance + ":1", Zone: "kol-a", Slots: 6}
 }
 
 func draining(instance string) Listed {
@@ -232,7 +232,7 @@
 	}
 }
 
-func TestWatchClearsASettlingDistrict(t *testing.T) {
+func TestWatchClearsASettlingZone(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		begun time.Duration
@@ -248,14 +248,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newWatched(t, 1)
 			w.plan(whole1(item("a")))
-			w.put(image.Put(image.DistrictKey("kol-a"), &schema.Zone{Name: "kol-a", Region: "kol", Settling: true}))
+			w.put(image.Put(image.ZoneKey("kol-a"), &schema.Zone{Name: "kol-a", Region: "kol", Settling: true}))
 			w.plan(nil)
 			at := w.now
 			w.now += 5 * time.Second
 			w.plan(&Listing{Items: []Listed{item("a")}, IsWhole: c.whole, BegunAt: at + c.begun})
-			district := image.Decode[schema.Zone](w.table.Get(image.DistrictKey("kol-a")))
-			if district.Settling != c.want || district.Region != "kol" {
-				t.Fatalf("settling %v, want %v", district.Settling, c.want)
+			zone := image.Decode[schema.Zone](w.table.Get(image.ZoneKey("kol-a")))
+			if zone.Settling != c.want || zone.Region != "kol" {
+				t.Fatalf("settling %v, want %v", zone.Settling, c.want)
 			}
 		})
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,7 +21,7 @@
 	ProxyShow string   `json:"proxy_shown"`
 	Door      string   `json:"door"`
 	DoorShown string   `json:"door_shown"`
-	District  string   `json:"district"`
+	Zone      string   `json:"district"`
 	Region    string   `json:"region"`
 	Seeds     []string `json:"seeds"`
 	Data      string   `json:"data"`
@@ -60,7 +60,7 @@
 	flags.StringVar(&given.ProxyShow, "proxy-shown", "", "IP:port others reach the proxy address by (default: proxy)")
 	flags.StringVar(&given.Door, "door", "", "IP:port for directory and operators")
 	flags.StringVar(&given.DoorShown, "door-shown", "", "IP:port others reach the door by (default: door)")
-	flags.StringVar(&given.District, "district", "", "district (zone) of this machine")
+	flags.StringVar(&given.Zone, "district", "", "district (zone) of this machine")
 	flags.StringVar(&given.Region, "region", "", "region of the district")
 	flags.StringVar(&given.Data, "data", "", "data folder; only on machines with a disk")
 	flags.StringVar(&given.Platform, "platform", "", "http URL of the platform's back-end list")
@@ -85,7 +85,7 @@
 		}{
 			{given.Peer, &settings.Peer}, {given.PeerShown, &settings.PeerShown}, {given.Proxy, &settings.Proxy},
 			{given.ProxyShow, &settings.ProxyShow}, {given.Door, &settings.Door}, {given.DoorShown, &settings.DoorShown},
-			{given.District, &settings.District}, {given.Region, &settings.Region}, {given.Data, &settings.Data},
+			{given.Zone, &settings.Zone}, {given.Region, &settings.Region}, {given.Data, &settings.Data},
 			{given.Platform, &settings.Platform}, {given.LogLevel, &settings.LogLevel},
 		} {
 			if pair.from != "" {
@@ -138,8 +138,8 @@
 	if s.Peer != "" && (s.Peer == s.Proxy || s.Peer == s.Door) || s.Proxy != "" && s.Proxy == s.Door {
 		add("peer, proxy, door", "must differ; give each its own port")
 	}
-	if !compileNameForm().MatchString(s.District) {
-		add("district", "%q is no name; use up to 31 small letters, digits and hyphens, a letter first", s.District)
+	if !compileNameForm().MatchString(s.Zone) {
+		add("district", "%q is no name; use up to 31 small letters, digits and hyphens, a letter first", s.Zone)
 	}
 	if !compileNameForm().MatchString(s.Region) {
 		add("region", "%q is no name; use up to 31 small letters, digits and hyphens, a letter first", s.Region)
--- a/internal/sim/failover.go
+++ b/internal/sim/failover.go
@@ -35,7 +35,7 @@
 			return result, err
 		}
 		at := f.Now
-		f.killAll(isIn(owner.District))
+		f.killAll(isIn(owner.Zone))
 		isServed := false
 		for i := 0; !isServed && f.Now < at+30*time.Second; i++ {
 			f.Query(fmt.Sprintf("failover-%s-%d", kind.service, i), kind.method, kind.service, kind.probe, "r0", 2*time.Second, func(o string) { isServed = isServed || o == "sealed" })
--- a/internal/sim/scenarios.go
+++ b/internal/sim/scenarios.go
@@ -58,7 +58,7 @@
 			}
 		}
 	}
-	return standing.Owner{Region: "r0", District: "r0-d0"}
+	return standing.Owner{Region: "r0", Zone: "r0-d0"}
 }
 
 const finalLoss = 15 * time.Second
@@ -142,8 +142,8 @@
 	return list
 }
 
-func isIn(district string) func(*Node) bool {
-	return func(n *Node) bool { return n.District == district }
+func isIn(zone string) func(*Node) bool {
+	return func(n *Node) bool { return n.Zone == zone }
 }
 func isInRegion(region string) func(*Node) bool {
 	return func(n *Node) bool { return n.Region == region }
@@ -210,7 +210,7 @@
 	}},
 	{"district-lost", "the machines of the district that owns the payments are lost for good", Options{}, func(f *Fleet) error {
 		f.RunFor(3 * time.Second)
-		lost := f.owner("service1", "/pay").District
+		lost := f.owner("service1", "/pay").Zone
 		f.killAll(isIn(lost))
 		if err := f.serves("the loss of "+lost, finalLoss); err != nil {
 			return err
@@ -223,7 +223,7 @@
 		lost := f.owner("service1", "/pay").Region
 		f.killAll(isInRegion(lost))
 		for _, b := range f.Backends {
-			if regionOf(b.District) == lost {
+			if regionOf(b.Zone) == lost {
 				f.Crash(b)
 			}
 		}
@@ -243,7 +243,7 @@
 		return f.settled()
 	}},
 	{"core-split", "the disk machines are split three to three", Options{}, func(f *Fleet) error {
-		f.Split(func(n *Node) bool { return n.District == "r0-d0" || n.District == "r1-d0" || n.District == "r2-d0" }, true)
+		f.Split(func(n *Node) bool { return n.Zone == "r0-d0" || n.Zone == "r1-d0" || n.Zone == "r2-d0" }, true)
 		f.RunFor(9 * time.Second)
 		f.Split(func(*Node) bool { return false }, false)
 		for _, a := range f.Nodes {
@@ -433,17 +433,17 @@
 		return f.settled()
 	}},
 	{"emptied", "districts are emptied and restored amid a leader's end", Options{}, func(f *Fleet) error {
-		for _, district := range []string{"r0-d0", "r1-d1"} {
-			if !f.Move(district, true) {
-				return fmt.Errorf("emptying %s was not accepted", district)
+		for _, zone := range []string{"r0-d0", "r1-d1"} {
+			if !f.Move(zone, true) {
+				return fmt.Errorf("emptying %s was not accepted", zone)
 			}
 			if leader := f.Leader(); leader != nil {
 				f.Kill(leader)
 				f.after(4*time.Second, func() { f.Start(leader) })
 			}
 			f.RunFor(9 * time.Second)
-			if !f.Move(district, false) {
-				return fmt.Errorf("restoring %s was not accepted", district)
+			if !f.Move(zone, false) {
+				return fmt.Errorf("restoring %s was not accepted", zone)
 			}
 			f.RunFor(5 * time.Second)
 		}
@@ -458,7 +458,7 @@
 			case 1:
 				f.drain(b)
 			case 2:
-				f.AddBackend(b.Service, b.District)
+				f.AddBackend(b.Service, b.Zone)
 			}
 			f.RunFor(2 * time.Second)
 		}
@@ -467,7 +467,7 @@
 	{"release", "the back ends of a service are replaced one by one; the new ones are cold and slow", Options{}, func(f *Fleet) error {
 		for _, service := range []string{"service0", "service3"} {
 			for _, b := range f.of(service)[:4] {
-				f.AddBackend(b.Service, b.District)
+				f.AddBackend(b.Service, b.Zone)
 				f.RunFor(1500 * time.Millisecond)
 				f.drain(b)
 				f.RunFor(1500 * time.Millisecond)
@@ -535,7 +535,7 @@
 				busiest, most = f.backend(a.Instance), counts[a.Instance]
 			}
 		}
-		f.AddBackend("service3", busiest.District)
+		f.AddBackend("service3", busiest.Zone)
 		f.drain(busiest)
 		f.RunFor(15 * time.Second)
 		return f.settled()
@@ -592,12 +592,12 @@
 		if lacking := f.status(); lacking == nil || len(lacking) > 0 {
 			return fmt.Errorf("after the region healed status tells that %v lack the emptying", lacking)
 		}
-		f.Split(func(n *Node) bool { return n.District == "r0-d0" || n.District == "r1-d1" }, true)
+		f.Split(func(n *Node) bool { return n.Zone == "r0-d0" || n.Zone == "r1-d1" }, true)
 		if !f.Move("r2-d0", true) {
 			return fmt.Errorf("emptying r2-d0 was not accepted")
 		}
 		f.RunFor(7 * time.Second)
-		f.Split(func(n *Node) bool { return n.District == "r0-d0" || n.District == "r1-d1" }, false)
+		f.Split(func(n *Node) bool { return n.Zone == "r0-d0" || n.Zone == "r1-d1" }, false)
 		f.RunFor(4 * time.Second)
 		return f.settled()
 	}},
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -32,8 +32,8 @@
 type Options struct {
 	Seed         int64
 	Regions      int
-	Districts    int
-	PerDistrict  int
+	Zones        int
+	PerZone      int
 	Services     int
 	Backends     int
 	LossPercent  int
@@ -47,7 +47,7 @@
 // Node is one simulated machine.
 type Node struct {
 	Name      string
-	District  string
+	Zone      string
 	Region    string
 	HasDisk   bool
 	Boot      int
@@ -136,7 +136,7 @@
 // New makes a fleet and starts every machine.
 func New(o Options) *Fleet {
 	if o.Regions == 0 {
-		o.Regions, o.Districts, o.PerDistrict = 3, 2, 0
+		o.Regions, o.Zones, o.PerZone = 3, 2, 0
 	}
 	if o.Services == 0 {
 		o.Services, o.Backends = 4, 12
@@ -149,17 +149,17 @@
 		leaders: map[uint64]string{}, applied: map[uint64][32]byte{}, numbers: map[string]uint64{}, trails: map[string]standing.Trail{}, matches: map[string]*found{}, cutAt: map[string]time.Duration{}, votes: map[string]string{}, stale: map[string]*core.Local{}, shown: map[string]string{}, accepts: map[uint64]time.Duration{}}
 	f.History = judge.NewHistory(func() time.Duration { return f.Now }, regionOf)
 	f.log = slog.New(slog.NewTextHandler(writer, nil))
-	var districts []string
+	var zones []string
 	for r := range o.Regions {
-		for d := range o.Districts {
-			region, district := fmt.Sprintf("r%d", r), fmt.Sprintf("r%d-d%d", r, d)
-			districts = append(districts, district)
-			count := o.PerDistrict
+		for d := range o.Zones {
+			region, zone := fmt.Sprintf("r%d", r), fmt.Sprintf("r%d-d%d", r, d)
+			zones = append(zones, zone)
+			count := o.PerZone
 			if count == 0 {
 				count = 3 - d%2
 			}
 			for i := range count {
-				n := &Node{Name: fmt.Sprintf("%s-n%d", district, i), District: district, Region: region, HasDisk: i == 0 && r < 3, disk: NewDisk()}
+				n := &Node{Name: fmt.Sprintf("%s-n%d", zone, i), Zone: zone, Region: region, HasDisk: i == 0 && r < 3, disk: NewDisk()}
 				n.address = n.Name
 				n.rate = 1 + o.ClockError*(2*f.random.Float64()-1)
 				n.offset = time.Hour + time.Duration(f.random.Intn(1000))*time.Second
@@ -169,7 +169,7 @@
 	}
 	for s := range o.Services {
 		for b := range o.Backends {
-			f.AddBackend(fmt.Sprintf("service%d", s), districts[b%len(districts)])
+			f.AddBackend(fmt.Sprintf("service%d", s), zones[b%len(zones)])
 		}
 	}
 	for _, n := range f.Nodes {
@@ -228,7 +228,7 @@
 	n.isShut, n.flying = false, map[uint64]*carried{}
 	n.random = rand.New(rand.NewSource(f.random.Int63()))
 	n.ident = fmt.Sprintf("%012x", f.random.Int63()&0xffffffffffff)
-	self := &schema.Node{Id: n.ident, Address: n.address, Proxy: n.address + ":p", Admin: n.address + ":d", Zone: n.District, Region: n.Region, Disk: n.HasDisk,
+	self := &schema.Node{Id: n.ident, Address: n.address, Proxy: n.address + ":p", Admin: n.address + ":d", Zone: n.Zone, Region: n.Region, Disk: n.HasDisk,
 		Incarnation: uint64(f.Now.Milliseconds()) + 1, State: schema.NodeState_NODE_READY}
 	options := core.Options{Self: self, Seeds: f.seeds(), Draw: n.random.Int63n, Log: f.log.With("node", n.Name)}
 	var j *journal.Journal
@@ -359,7 +359,7 @@
 		var vitals []*schema.HealthReport
 		view := n.core.Local().View
 		for _, b := range f.Backends {
-			if b.State == "gone" || regionOf(b.District) != n.Region || view.Services[b.Service] == nil {
+			if b.State == "gone" || regionOf(b.Zone) != n.Region || view.Services[b.Service] == nil {
 				continue
 			}
 			err := f.reach(n, b)
@@ -376,7 +376,7 @@
 	})
 }
 
-func regionOf(district string) string { return district[:2] }
+func regionOf(zone string) string { return zone[:2] }
 
 func (f *Fleet) list(n *Node, boot int) {
 	f.on(n, boot, func() {
@@ -384,7 +384,7 @@
 			page := roster.Page{Pages: 1, Revision: 1}
 			for _, b := range f.Backends {
 				if b.State != "gone" {
-					page.Backends = append(page.Backends, roster.Item{Service: b.Service, Instance: b.Instance, Address: b.Address, District: b.District, State: b.State})
+					page.Backends = append(page.Backends, roster.Item{Service: b.Service, Instance: b.Instance, Address: b.Address, Zone: b.Zone, State: b.State})
 				}
 			}
 			page.Total = len(page.Backends)
@@ -418,7 +418,7 @@
 func (f *Fleet) delay(a, b *Node) time.Duration {
 	base := 200 * time.Microsecond
 	switch {
-	case a.District == b.District:
+	case a.Zone == b.Zone:
 	case a.Region == b.Region:
 		base = time.Millisecond
 	default:
@@ -594,7 +594,7 @@
 }
 
 func (f *Fleet) told(n *Node, at time.Duration, base uint64, query *schema.OperatorRequest, o *schema.OperatorResponse) {
-	e := judge.OperatorEvent{At: at, End: f.Now, District: query.Zone, Version: o.Version, Base: base, Status: 200, Node: n.Name}
+	e := judge.OperatorEvent{At: at, End: f.Now, Zone: query.Zone, Version: o.Version, Base: base, Status: 200, Node: n.Name}
 	switch query.Kind {
 	case schema.OperatorKind_OPERATOR_PUT:
 		e.What = "put"
@@ -662,7 +662,7 @@
 }
 
 // Move empties or restores a district through any machine, trying until it is accepted.
-func (f *Fleet) Move(district string, isEmpty bool) bool {
+func (f *Fleet) Move(zone string, isEmpty bool) bool {
 	kind := schema.OperatorKind_OPERATOR_RESTORE
 	if isEmpty {
 		kind = schema.OperatorKind_OPERATOR_EMPTY
@@ -673,7 +673,7 @@
 			continue
 		}
 		isDone, isAccepted := false, false
-		f.Operate(n, &schema.OperatorRequest{Kind: kind, Zone: district, Reason: "sim"}, func(o *schema.OperatorResponse) {
+		f.Operate(n, &schema.OperatorRequest{Kind: kind, Zone: zone, Reason: "sim"}, func(o *schema.OperatorResponse) {
 			isDone, isAccepted = true, o.Refusal == schema.RefusalKind_REFUSAL_NONE
 		})
 		for i := 0; i < 100 && !isDone; i++ {
@@ -741,7 +741,7 @@
 			for region, row := range rows {
 				f.rises("standing "+service.Name+path+"@"+region, whole.Index, row.Number)
 				if residue := row.Number % constants.Increment; residue%2 == 0 {
-					for _, d := range local.View.Districts {
+					for _, d := range local.View.Zones {
 						if uint64(d.Residue) == residue && d.Region != region {
 							f.breach("region %s of %s%s has group %s of another region", region, service.Name, path, d.Name)
 						}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -118,7 +118,7 @@
 
 func TestManyNodesAreServedSoon(t *testing.T) {
 	for seed := int64(1); seed <= 3; seed++ {
-		f := begin(t, Options{Seed: seed, Regions: 3, Districts: 2, PerDistrict: 8, Services: 60, Backends: 3})
+		f := begin(t, Options{Seed: seed, Regions: 3, Zones: 2, PerZone: 8, Services: 60, Backends: 3})
 		if f.Now > 5*time.Second {
 			t.Errorf("seed %d: 48 nodes took a configuration only after %v", seed, f.Now)
 		}
--- a/internal/sim/traffic.go
+++ b/internal/sim/traffic.go
@@ -81,7 +81,7 @@
 			for _, b := range service.Backends {
 				row := &schema.Backend{Service: b.Service, Instance: b.Instance, Address: b.Address, Zone: b.Zone, State: b.State, Failing: b.Failing, Cold: b.Cold && f.Options.Breach != "cold"}
 				if f.Options.Breach == "home" {
-					row.Zone = n.District
+					row.Zone = n.Zone
 				}
 				copied.Backends = append(copied.Backends, row)
 			}
@@ -106,7 +106,7 @@
 		q.Seal()
 		n.serial++
 		c := &carried{fleet: f, node: n, boot: n.Boot, id: n.serial, query: q, respond: respond}
-		c.course = proxy.NewCourse(proxy.CourseOptions{Self: &schema.Node{Id: n.ident, Zone: n.District, Region: n.Region}, Loads: n.loads, Kept: n.kept, Draw: n.random.Int63n, Query: q,
+		c.course = proxy.NewCourse(proxy.CourseOptions{Self: &schema.Node{Id: n.ident, Zone: n.Zone, Region: n.Region}, Loads: n.loads, Kept: n.kept, Draw: n.random.Int63n, Query: q,
 			Holder: fmt.Sprintf("%s/%d", n.ident, n.serial), Begun: f.clock(n)})
 		n.flying[c.id] = c
 		c.next(0, proxy.Event{Kind: proxy.EventBegun})
@@ -417,7 +417,7 @@
 					done(&judge.Reply{At: f.Now, End: f.Now, Attempt: a.Attempt, Service: a.Service, Path: a.Path, Outcome: proxy.OutcomeDeclined, Kind: fault.Kind, Status: fault.Status, Later: fault.RetryAfter, IsCutOff: seen.IsCutOff})
 					return
 				}
-				seen.Version, seen.District = match.Version, match.Proxies[0].District
+				seen.Version, seen.Zone = match.Version, match.Proxies[0].Zone
 				f.History.Matches = append(f.History.Matches, seen)
 				m := &found{match, f.Now + time.Duration(match.LiveMilli)*time.Millisecond, seen.IsCutOff}
 				f.matches[a.Region+"/"+a.Service+a.Path] = m
@@ -433,7 +433,7 @@
 	chosen := match.Proxies[f.random.Intn(len(match.Proxies))]
 	n := f.Node(strings.TrimSuffix(chosen.Address, ":p"))
 	left := until - f.Now
-	r := &judge.Reply{At: f.Now, Service: a.Service, Path: a.Path, Method: a.Method, Attempt: a.Attempt, Send: fmt.Sprintf("%s/%d", a.Attempt, serial), District: chosen.District, Proxy: chosen.Address,
+	r := &judge.Reply{At: f.Now, Service: a.Service, Path: a.Path, Method: a.Method, Attempt: a.Attempt, Send: fmt.Sprintf("%s/%d", a.Attempt, serial), Zone: chosen.Zone, Proxy: chosen.Address,
 		IsUnsafe: a.isUnsafe(), IsProper: true, IsCutOff: m.isCutOff || f.isOutOfReach(n)}
 	limit := left
 	if !r.IsUnsafe {
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -38,31 +38,31 @@
 
 // Backend is a simulated back end.
 type Backend struct {
-	Service, Instance, District, Address string
-	IsUp                                 bool
-	State                                string
-	Mode                                 Mode
-	isSilent                             bool
-	downAt                               time.Duration
-	frozen                               time.Duration
-	coldUntil                            time.Duration
-	working                              int
-	waiting                              []func()
-	open                                 map[uint64]func(error)
-	running                              map[*judge.Arrival]bool
+	Service, Instance, Zone, Address string
+	IsUp                             bool
+	State                            string
+	Mode                             Mode
+	isSilent                         bool
+	downAt                           time.Duration
+	frozen                           time.Duration
+	coldUntil                        time.Duration
+	working                          int
+	waiting                          []func()
+	open                             map[uint64]func(error)
+	running                          map[*judge.Arrival]bool
 }
 
 // AddBackend puts a back end into the platform's list.
-func (f *Fleet) AddBackend(service, district string) *Backend {
-	return f.addBackend(service, district, fmt.Sprintf("b%d", len(f.Backends)))
+func (f *Fleet) AddBackend(service, zone string) *Backend {
+	return f.addBackend(service, zone, fmt.Sprintf("b%d", len(f.Backends)))
 }
 
-func (f *Fleet) addBackend(service, district, address string) *Backend {
-	b := &Backend{Service: service, Instance: fmt.Sprintf("%s-%d", service, len(f.Backends)), District: district, Address: address, IsUp: true, State: "ready", open: map[uint64]func(error){}, running: map[*judge.Arrival]bool{}}
+func (f *Fleet) addBackend(service, zone, address string) *Backend {
+	b := &Backend{Service: service, Instance: fmt.Sprintf("%s-%d", service, len(f.Backends)), Zone: zone, Address: address, IsUp: true, State: "ready", open: map[uint64]func(error){}, running: map[*judge.Arrival]bool{}}
 	if f.Now > 0 {
 		f.warm(b)
 	}
-	f.History.Places[b.Instance] = district
+	f.History.Places[b.Instance] = zone
 	f.Backends = append(f.Backends, b)
 	return b
 }
@@ -144,7 +144,7 @@
 func (f *Fleet) Reuse(b *Backend, service string) *Backend {
 	f.Crash(b)
 	b.State = "gone"
-	return f.addBackend(service, b.District, b.Address)
+	return f.addBackend(service, b.Zone, b.Address)
 }
 
 func (f *Fleet) show(page roster.Page) {
--- a/internal/standing/evidence.go
+++ b/internal/standing/evidence.go
@@ -14,11 +14,11 @@
 func evidence(view *image.View, service *image.Service, region string, all, open []string) string {
 	var facts []string
 	for _, name := range all {
-		district := view.Districts[name]
+		zone := view.Zones[name]
 		switch {
 		case slices.Contains(open, name):
-		case district.GetEmptied():
-			facts = append(facts, fmt.Sprintf("%s is emptied (%s)", name, district.GetReason()))
+		case zone.GetEmptied():
+			facts = append(facts, fmt.Sprintf("%s is emptied (%s)", name, zone.GetReason()))
 		default:
 			lost := 0
 			for _, node := range view.Nodes {
--- a/internal/standing/evidence_test.go
+++ b/internal/standing/evidence_test.go
@@ -62,7 +62,7 @@
 	var all []string
 	for _, letter := range strings.Split("abcdefghijkl", "") {
 		name := "zone-" + letter
-		view.Districts[name] = &schema.Zone{Name: name, Region: "zone", Emptied: true, Reason: "operator"}
+		view.Zones[name] = &schema.Zone{Name: name, Region: "zone", Emptied: true, Reason: "operator"}
 		all = append(all, name)
 	}
 	told := evidence(view, nil, "zone", all, nil)
--- a/internal/standing/place.go
+++ b/internal/standing/place.go
@@ -12,14 +12,14 @@
 
 // Place is what an origin region resolves to in a routed fleet: the active group and the numbers that were followed to it.
 type Place struct {
-	Region    string
-	Group     string
-	Districts []string
-	Trail     Trail
+	Region string
+	Group  string
+	Zones  []string
+	Trail  Trail
 }
 
 // Holds tells whether a district belongs to the place's group.
-func (p Place) Holds(district string) bool { return slices.Contains(p.Districts, district) }
+func (p Place) Holds(zone string) bool { return slices.Contains(p.Zones, zone) }
 
 func nextOf(old uint64, residue uint32) uint64 {
 	number := old - old%constants.GroupIncrement + uint64(residue)
@@ -71,7 +71,7 @@
 			if group.Region != region {
 				return place, &ResolveError{fmt.Sprintf("number %d names group %s outside region %s", row.Number, group.Name, region)}
 			}
-			place.Region, place.Group, place.Districts = region, group.Name, group.Zones
+			place.Region, place.Group, place.Zones = region, group.Name, group.Zones
 			return place, nil
 		}
 		region = regionNumbered(view, row.Number)
@@ -115,20 +115,20 @@
 	return places
 }
 
-func groupName(region string, all, districts []string) string {
-	if len(all) == len(districts) {
+func groupName(region string, all, zones []string) string {
+	if len(all) == len(zones) {
 		return region
 	}
-	return region + ":" + strings.Join(districts, "+")
+	return region + ":" + strings.Join(zones, "+")
 }
 
 // PlanPlaces gives the records that bring the rows of a routed fleet in line with its districts, machines and back ends.
 func PlanPlaces(view *image.View, table *image.Table) []*schema.Record {
 	all, open := map[string][]string{}, map[string][]string{}
-	for name, district := range view.Districts {
-		all[district.Region] = append(all[district.Region], name)
-		if !district.Emptied && !isDark(view, name) {
-			open[district.Region] = append(open[district.Region], name)
+	for name, zone := range view.Zones {
+		all[zone.Region] = append(all[zone.Region], name)
+		if !zone.Emptied && !isDark(view, name) {
+			open[zone.Region] = append(open[zone.Region], name)
 		}
 	}
 	var regions []string
@@ -145,16 +145,16 @@
 	}
 	made := map[string]*schema.Group{}
 	groups := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "groups"}
-	residue := func(region string, districts []string) (uint32, bool) {
-		name := groupName(region, all[region], districts)
+	residue := func(region string, zones []string) (uint32, bool) {
+		name := groupName(region, all[region], zones)
 		group := view.Groups[name]
 		if planned := made[name]; planned != nil {
 			return planned.Residue, true
 		}
-		if group != nil && slices.Equal(group.Zones, districts) {
+		if group != nil && slices.Equal(group.Zones, zones) {
 			return group.Residue, true
 		}
-		fresh := &schema.Group{Name: name, Region: region, Zones: districts}
+		fresh := &schema.Group{Name: name, Region: region, Zones: zones}
 		if group != nil {
 			fresh.Residue = group.Residue
 		} else if nextResidue >= constants.GroupIncrement {
@@ -230,10 +230,10 @@
 	return names
 }
 
-func isDark(view *image.View, district string) bool {
+func isDark(view *image.View, zone string) bool {
 	count := 0
 	for _, node := range view.Nodes {
-		if node.Zone == district {
+		if node.Zone == zone {
 			if node.State != schema.NodeState_NODE_LOST {
 				return false
 			}
--- a/internal/standing/place_test.go
+++ b/internal/standing/place_test.go
@@ -17,7 +17,7 @@
 	table *image.Table
 }
 
-var districtsOf = map[string][]string{"hal": {"hal-a"}, "kol": {"kol-a", "kol-b"}, "tor": {"tor-a", "tor-b"}}
+var zonesOf = map[string][]string{"hal": {"hal-a"}, "kol": {"kol-a", "kol-b"}, "tor": {"tor-a", "tor-b"}}
 
 func newAtlas(t *testing.T) *atlas {
 	t.Helper()
@@ -25,10 +25,10 @@
 	residue := uint32(0)
 	for i, region := range []string{"hal", "kol", "tor"} {
 		a.put(image.RegionKey(region), image.Put(image.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)}))
-		for _, district := range districtsOf[region] {
-			a.put(image.DistrictKey(district), image.Put(image.DistrictKey(district), &schema.Zone{Name: district, Region: region, Residue: residue}))
-			a.node(district, schema.NodeState_NODE_READY)
-			a.backend("copper", district, schema.BackendState_BACKEND_READY)
+		for _, zone := range zonesOf[region] {
+			a.put(image.ZoneKey(zone), image.Put(image.ZoneKey(zone), &schema.Zone{Name: zone, Region: region, Residue: residue}))
+			a.node(zone, schema.NodeState_NODE_READY)
+			a.backend("copper", zone, schema.BackendState_BACKEND_READY)
 			residue += 2
 		}
 	}
@@ -43,18 +43,18 @@
 	}
 }
 
-func (a *atlas) node(district string, state schema.NodeState) {
-	key := image.NodeKey("node-" + district)
-	a.put(key, image.Put(key, &schema.Node{Id: "node-" + district, Zone: district, Region: district[:3], State: state}))
+func (a *atlas) node(zone string, state schema.NodeState) {
+	key := image.NodeKey("node-" + zone)
+	a.put(key, image.Put(key, &schema.Node{Id: "node-" + zone, Zone: zone, Region: zone[:3], State: state}))
 }
 
-func (a *atlas) backend(service, district string, state schema.BackendState) {
-	key := image.BackendKey(service, service+"-"+district)
-	a.put(key, image.Put(key, &schema.Backend{Service: service, Instance: service + "-" + district, Zone: district, State: state}))
+func (a *atlas) backend(service, zone string, state schema.BackendState) {
+	key := image.BackendKey(service, service+"-"+zone)
+	a.put(key, image.Put(key, &schema.Backend{Service: service, Instance: service + "-" + zone, Zone: zone, State: state}))
 }
 
-func (a *atlas) empty(district string, isEmptied bool) {
-	key := image.DistrictKey(district)
+func (a *atlas) empty(zone string, isEmptied bool) {
+	key := image.ZoneKey(zone)
 	row := image.Decode[schema.Zone](a.table.Get(key))
 	row.Emptied = isEmptied
 	a.put(key, image.Put(key, row))
@@ -153,7 +153,7 @@
 				a.settle()
 			}
 			place := a.locate("copper", c.region)
-			if got := place.Group + " " + strings.Join(place.Districts, " "); got != c.want || place.Region != c.region {
+			if got := place.Group + " " + strings.Join(place.Zones, " "); got != c.want || place.Region != c.region {
 				t.Fatalf("%q in %s, want %q", got, place.Region, c.want)
 			}
 			if place.Group != was.Group && place.Trail[0] <= was.Trail[0] || len(c.turns) == 2 && place.Trail[0] <= was.Trail[0]+constants.GroupIncrement/2 {
@@ -256,7 +256,7 @@
 }
 
 // A routed fleet's increment is chosen for 46 regions with 182 districts; each of them must get a residue.
-func TestCheckTakesTheRegionsAndDistrictsOfTheSizeToDesignFor(t *testing.T) {
+func TestCheckTakesTheRegionsAndZonesOfTheSizeToDesignFor(t *testing.T) {
 	table := image.NewTable()
 	for i := range uint32(46) {
 		name := fmt.Sprintf("r%02d", i)
@@ -266,7 +266,7 @@
 	}
 	for i := range uint32(182) {
 		name := fmt.Sprintf("d%03d", i)
-		if err := Check(table, image.Put(image.DistrictKey(name), &schema.Zone{Name: name, Region: "r00"})); err != nil {
+		if err := Check(table, image.Put(image.ZoneKey(name), &schema.Zone{Name: name, Region: "r00"})); err != nil {
 			t.Fatalf("district %d: %v", i, err)
 		}
 	}
@@ -348,16 +348,16 @@
 		residues := map[string]uint32{}
 		for range 60 {
 			region := []string{"hal", "kol", "tor"}[random.IntN(3)]
-			district := districtsOf[region][random.IntN(len(districtsOf[region]))]
+			zone := zonesOf[region][random.IntN(len(zonesOf[region]))]
 			switch random.IntN(4) {
 			case 0:
-				a.empty(district, true)
+				a.empty(zone, true)
 			case 1:
-				a.empty(district, false)
+				a.empty(zone, false)
 			case 2:
-				a.node(district, []schema.NodeState{schema.NodeState_NODE_READY, schema.NodeState_NODE_LOST}[random.IntN(2)])
+				a.node(zone, []schema.NodeState{schema.NodeState_NODE_READY, schema.NodeState_NODE_LOST}[random.IntN(2)])
 			case 3:
-				a.backend("copper", district, []schema.BackendState{schema.BackendState_BACKEND_READY, schema.BackendState_BACKEND_DRAINING}[random.IntN(2)])
+				a.backend("copper", zone, []schema.BackendState{schema.BackendState_BACKEND_READY, schema.BackendState_BACKEND_DRAINING}[random.IntN(2)])
 			}
 			a.settle()
 			view := a.view()
@@ -377,8 +377,8 @@
 			}
 			for name := range view.Regions {
 				hasOpen := false
-				for _, other := range districtsOf[name] {
-					d := view.Districts[other]
+				for _, other := range zonesOf[name] {
+					d := view.Zones[other]
 					b := view.Services["copper"].Backend("copper-" + other)
 					hasOpen = hasOpen || !d.Emptied && view.Nodes["node-"+other].State != schema.NodeState_NODE_LOST && b.State == schema.BackendState_BACKEND_READY
 				}
--- a/internal/standing/standing.go
+++ b/internal/standing/standing.go
@@ -63,14 +63,14 @@
 
 // Owner is what an origin resolves to.
 type Owner struct {
-	Region   string
-	District string
-	Number   uint64
-	Trail    Trail
-	Fenced   bool
-	Fence    string
-	Far      bool
-	Moved    bool
+	Region string
+	Zone   string
+	Number uint64
+	Trail  Trail
+	Fenced bool
+	Fence  string
+	Far    bool
+	Moved  bool
 }
 
 // Trail is the numbers that were followed, in order: entity row, region rows. The first that differs decides which is newer.
@@ -145,11 +145,11 @@
 		}
 		hold(row.Fenced, row.Far, image.StandingKey(entry.Service, entry.Path, region))
 		owner.Trail = append(owner.Trail, row.Number)
-		if district := districtOf(view, row.Number); district != nil {
-			if district.Region != region {
-				return Owner{}, &ResolveError{fmt.Sprintf("number %d names district %s outside region %s", row.Number, district.Name, region)}
+		if zone := zoneOf(view, row.Number); zone != nil {
+			if zone.Region != region {
+				return Owner{}, &ResolveError{fmt.Sprintf("number %d names district %s outside region %s", row.Number, zone.Name, region)}
 			}
-			owner.Region, owner.District, owner.Number = region, district.Name, row.Number
+			owner.Region, owner.Zone, owner.Number = region, zone.Name, row.Number
 			return owner, nil
 		}
 		region = regionOf(view, row.Number)
@@ -157,10 +157,10 @@
 	return Owner{}, &ResolveError{"entry " + entry.Service + entry.Path + " has no active group"}
 }
 
-func districtOf(view *image.View, number uint64) *schema.Zone {
-	for _, district := range view.Districts {
-		if number > 0 && uint64(district.Residue) == number%constants.Increment {
-			return district
+func zoneOf(view *image.View, number uint64) *schema.Zone {
+	for _, zone := range view.Zones {
+		if number > 0 && uint64(zone.Residue) == number%constants.Increment {
+			return zone
 		}
 	}
 	return nil
@@ -177,8 +177,8 @@
 
 // GroupName names what a number's residue stands for.
 func GroupName(view *image.View, number uint64) string {
-	if district := districtOf(view, number); district != nil {
-		return district.Name
+	if zone := zoneOf(view, number); zone != nil {
+		return zone.Name
 	}
 	if region := regionOf(view, number); region != "" {
 		return "region " + region
@@ -257,8 +257,8 @@
 	near := map[string]int{}
 	inRegion := 0
 	for _, backend := range service.Backends {
-		district := view.Districts[backend.Zone]
-		if district == nil || district.Region != region || district.Emptied || backend.Failing || backend.State != schema.BackendState_BACKEND_READY {
+		zone := view.Zones[backend.Zone]
+		if zone == nil || zone.Region != region || zone.Emptied || backend.Failing || backend.State != schema.BackendState_BACKEND_READY {
 			continue
 		}
 		near[backend.Zone]++
@@ -274,8 +274,8 @@
 		}
 	}
 	var names []string
-	for name, district := range view.Districts {
-		if district.Region == region && !district.Emptied && proxies[name] > 0 {
+	for name, zone := range view.Zones {
+		if zone.Region == region && !zone.Emptied && proxies[name] > 0 {
 			names = append(names, name)
 		}
 	}
@@ -361,10 +361,10 @@
 		var residue uint32
 		if groups := usable[region]; len(groups) > 0 {
 			target = groups[0]
-			residue = view.Districts[target].Residue
+			residue = view.Zones[target].Residue
 			reason = "best usable group of its region"
 			if row != nil {
-				if current := districtOf(view, row.Number); current != nil && slices.Contains(groups, current.Name) {
+				if current := zoneOf(view, row.Number); current != nil && slices.Contains(groups, current.Name) {
 					target = ""
 				} else if current != nil {
 					reason = why(view, entry, region, current)
@@ -383,7 +383,7 @@
 			}
 		} else if row == nil && len(regionGroups(view, region)) > 0 {
 			target = regionGroups(view, region)[0]
-			residue = view.Districts[target].Residue
+			residue = view.Zones[target].Residue
 			reason = "no back end and no proxy is known yet"
 		}
 		switch {
@@ -441,8 +441,8 @@
 
 func regionGroups(view *image.View, region string) []string {
 	var names []string
-	for name, district := range view.Districts {
-		if district.Region == region {
+	for name, zone := range view.Zones {
+		if zone.Region == region {
 			names = append(names, name)
 		}
 	}
--- a/internal/standing/standing_test.go
+++ b/internal/standing/standing_test.go
@@ -50,7 +50,7 @@
 		want string
 	}{
 		{"a lower failover number", image.Put(key, &schema.FailoverAssignment{Number: 204}), "only rise"},
-		{"a group with an odd residue", image.Put(image.DistrictKey("a"), &schema.Zone{Name: "a", Residue: 3}), "even"},
+		{"a group with an odd residue", image.Put(image.ZoneKey("a"), &schema.Zone{Name: "a", Residue: 3}), "even"},
 		{"a region with an even residue", image.Put(image.RegionKey("n"), &schema.Region{Name: "n", Residue: 2}), "odd"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 		all = append(all, image.Put(image.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)}))
 		for j, side := range []string{"-a", "-b"} {
 			name := region + side
-			all = append(all, image.Put(image.DistrictKey(name), &schema.Zone{Name: name, Region: region, Residue: uint32(4*i + 2*j)}),
+			all = append(all, image.Put(image.ZoneKey(name), &schema.Zone{Name: name, Region: region, Residue: uint32(4*i + 2*j)}),
 				image.Put(image.NodeKey(name), &schema.Node{Id: name, Zone: name, Region: region, State: schema.NodeState_NODE_READY}),
 				image.Put(image.BackendKey("ledger", name), &schema.Backend{Service: "ledger", Instance: name, Zone: name, State: schema.BackendState_BACKEND_READY}))
 		}
@@ -115,7 +115,7 @@
 			}
 			got := "error"
 			if owner, err := Resolve(view, entry, origin); err == nil {
-				got = owner.District + " " + owner.Trail.String()
+				got = owner.Zone + " " + owner.Trail.String()
 			}
 			if got != c.want {
 				t.Fatalf("got %q, want %q", got, c.want)
@@ -131,7 +131,7 @@
 	}
 	emptied := func(name string, residue uint32) *schema.Row {
 		region, _, _ := strings.Cut(name, "-")
-		return image.Put(image.DistrictKey(name), &schema.Zone{Name: name, Region: region, Residue: residue, Emptied: true, Reason: "test"})
+		return image.Put(image.ZoneKey(name), &schema.Zone{Name: name, Region: region, Residue: residue, Emptied: true, Reason: "test"})
 	}
 	for _, c := range []struct {
 		name       string
