--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -181,13 +181,13 @@
 	// ConnectWait (time) bounds a connection with its identity exchange.
 	ConnectWait = 700 * time.Millisecond
 	// SafeLegMost (time) bounds one repeat-safe leg so that another back end can still be tried.
-	SafeLegMost = 2 * time.Second
+	SafeAttemptMost = 2 * time.Second
 	// IdleLife (time) is how long a proved connection may lie idle.
 	IdleLife = 4 * time.Second
 	// IdlePerBackend (connections) are kept at most.
 	IdlePerBackend = 8
 	// LegsMost (tries) bounds the legs of one repeat-safe query.
-	LegsMost = 4
+	AttemptsMost = 4
 	// KeyedAfterglow (time) is how long a keyed leg without a whole answer counts as running: its back end can't be asked, and was told of no longer wait.
 	KeyedAfterglow = ClaimWindow
 	// KeyMoves (slots) of a service are moved at once to even out its back ends; a newly warm one so gets its share little by little.
--- a/internal/gateway/course.go
+++ b/internal/gateway/course.go
@@ -70,7 +70,7 @@
 }
 
 // CourseOptions make a Course.
-type CourseOptions struct {
+type RequestOptions struct {
 	Self  *schema.Node
 	Loads *Loads
 	// Pressure decides what is shed; without it nothing is.
@@ -90,8 +90,8 @@
 }
 
 // Course is one request's way through a gateway: events in, orders out, without I/O.
-type Course struct {
-	CourseOptions
+type RequestMachine struct {
+	RequestOptions
 	sent     int
 	searches int
 	tried    []string
@@ -104,10 +104,12 @@
 }
 
 // NewCourse begins a request's course.
-func NewCourse(options CourseOptions) *Course { return &Course{CourseOptions: options} }
+func NewRequestMachine(options RequestOptions) *RequestMachine {
+	return &RequestMachine{RequestOptions: options}
+}
 
 // Next takes an event and gives the next order.
-func (c *Course) Next(now time.Duration, view *image.View, e Event) Order {
+func (c *RequestMachine) Next(now time.Duration, view *image.View, e Event) Order {
 	switch e.Kind {
 	case EventConnected:
 		c.sent++
@@ -156,9 +158,9 @@
 	return c.seek(now, view)
 }
 
-func (c *Course) most() int { return int(max(1, c.Route.MaxAttempts)) }
+func (c *RequestMachine) most() int { return int(max(1, c.Route.MaxAttempts)) }
 
-func (c *Course) seek(now time.Duration, view *image.View) Order {
+func (c *RequestMachine) seek(now time.Duration, view *image.View) Order {
 	if now >= c.Until {
 		return c.Next(now, view, Event{Kind: EventExpired})
 	}
@@ -188,7 +190,7 @@
 	return Order{Kind: OrderConnect, Backend: choice.Backend, Wait: min(constants.BackendConnect, c.Until-now)}
 }
 
-func (c *Course) isShed(now time.Duration, instance string) bool {
+func (c *RequestMachine) isShed(now time.Duration, instance string) bool {
 	if c.Pressure == nil {
 		return false
 	}
@@ -199,7 +201,7 @@
 }
 
 // park tells whether a request may wait on for its key to be held again: a quarter of its aim, so that a refusal is never late.
-func (c *Course) park(now time.Duration) bool {
+func (c *RequestMachine) park(now time.Duration) bool {
 	if c.parkedAt == 0 {
 		c.parkedAt = now
 	}
@@ -207,14 +209,14 @@
 	return now-c.Begun < most && len(c.tried) == 0
 }
 
-func (c *Course) end(now time.Duration, refusal Refusal) Order {
+func (c *RequestMachine) end(now time.Duration, refusal Refusal) Order {
 	if c.mayRun {
 		return Order{Kind: OrderFail, Status: 502, Reason: c.reason}
 	}
 	return c.refuse(now, refusal)
 }
 
-func (c *Course) refuse(now time.Duration, refusal Refusal) Order {
+func (c *RequestMachine) refuse(now time.Duration, refusal Refusal) Order {
 	after := constants.RefuseAfter
 	if refusal == RefusalMoving || refusal == RefusalCold || refusal == RefusalNotReady {
 		after = constants.RefuseAfterMove
--- a/internal/gateway/course_test.go
+++ b/internal/gateway/course_test.go
@@ -15,12 +15,12 @@
 
 // play feeds a course with events and writes its orders down: "connect", "send", "wait", "pass", "refuse REASON" or "fail STATUS".
 type play struct {
-	course *Course
-	view   *image.View
-	now    time.Duration
-	text   []string
-	used   []string
-	last   Order
+	machine *RequestMachine
+	view    *image.View
+	now     time.Duration
+	text    []string
+	used    []string
+	last    Order
 }
 
 var events = map[string]EventKind{"begun": EventBegun, "connected": EventConnected, "unreached": EventUnreached, "notrun": EventNotRun, "answered": EventAnswered,
@@ -32,7 +32,7 @@
 			p.now += constants.ParkPoll
 			continue
 		}
-		p.last = p.course.Next(p.now, p.view, Event{Kind: events[name], Reason: name})
+		p.last = p.machine.Next(p.now, p.view, Event{Kind: events[name], Reason: name})
 		switch p.last.Kind {
 		case OrderConnect:
 			p.text, p.used = append(p.text, "connect"), append(p.used, p.last.Backend.Instance)
@@ -51,7 +51,7 @@
 	return strings.Join(p.text, ", ")
 }
 
-func newPlay(w *world, turn func(*CourseOptions)) *play {
+func newPlay(w *world, turn func(*RequestOptions)) *play {
 	random := rand.New(rand.NewPCG(1, 2))
 	begun := time.Hour
 	loads := NewLoads(begun-time.Minute, bounds)
@@ -59,23 +59,23 @@
 		loads.First(begun, "copper")
 	}
 	route := &schema.Route{Host: "one.example", Prefix: "/", Repeatable: true, TimeoutMs: 2000, TargetMs: 300, MaxAttempts: 3, Targets: []*schema.Target{{Service: "copper", Weight: 1}}}
-	options := CourseOptions{Self: self, Loads: loads, Draw: random.Int64N, Route: route, Service: "copper", Token: "x", Begun: begun, Until: begun + 2*time.Second, IsReplayable: true}
+	options := RequestOptions{Self: self, Loads: loads, Draw: random.Int64N, Route: route, Service: "copper", Token: "x", Begun: begun, Until: begun + 2*time.Second, IsReplayable: true}
 	if turn != nil {
 		turn(&options)
 	}
-	return &play{course: NewCourse(options), view: w.settle(), now: begun}
+	return &play{machine: NewRequestMachine(options), view: w.settle(), now: begun}
 }
 
-func unsafe1(o *CourseOptions)        { o.Route.Repeatable = false }
-func streamed(o *CourseOptions)       { o.IsReplayable = false }
-func once(o *CourseOptions)           { o.Route.MaxAttempts = 1 }
-func zeroTimes(o *CourseOptions)      { o.Route.MaxAttempts = 0 }
-func twice(o *CourseOptions)          { o.Route.MaxAttempts = 2 }
-func noBudget(o *CourseOptions)       { o.Loads = NewLoads(o.Begun, bounds) }
-func noBudgetUnsafe(o *CourseOptions) { noBudget(o); unsafe1(o) }
-func streamedUnsafe(o *CourseOptions) { streamed(o); unsafe1(o) }
+func unsafe1(o *RequestOptions)        { o.Route.Repeatable = false }
+func streamed(o *RequestOptions)       { o.IsReplayable = false }
+func once(o *RequestOptions)           { o.Route.MaxAttempts = 1 }
+func zeroTimes(o *RequestOptions)      { o.Route.MaxAttempts = 0 }
+func twice(o *RequestOptions)          { o.Route.MaxAttempts = 2 }
+func noBudget(o *RequestOptions)       { o.Loads = NewLoads(o.Begun, bounds) }
+func noBudgetUnsafe(o *RequestOptions) { noBudget(o); unsafe1(o) }
+func streamedUnsafe(o *RequestOptions) { streamed(o); unsafe1(o) }
 
-func TestCourse(t *testing.T) {
+func TestRequestMachine(t *testing.T) {
 	many := func(w *world) {
 		for i := range 6 {
 			w.backend(fmt.Sprint("i-", i), "kol-a", "10.0.0.1:1")
@@ -84,7 +84,7 @@
 	for _, c := range []struct {
 		name   string
 		world  func(*world)
-		turn   func(*CourseOptions)
+		turn   func(*RequestOptions)
 		events string
 		want   string
 	}{
@@ -136,14 +136,14 @@
 			if sorted := slices.Compact(slices.Sorted(slices.Values(p.used))); len(sorted) != len(p.used) {
 				t.Fatalf("a back end was tried twice: %v", p.used)
 			}
-			if p.last.Kind == OrderRefuse && (p.last.RetryAfter <= 0 || p.course.mayRun) {
-				t.Fatalf("refused with %v after it may have run: %v", p.last.RetryAfter, p.course.mayRun)
+			if p.last.Kind == OrderRefuse && (p.last.RetryAfter <= 0 || p.machine.mayRun) {
+				t.Fatalf("refused with %v after it may have run: %v", p.last.RetryAfter, p.machine.mayRun)
 			}
 		})
 	}
 }
 
-func TestCourseNeverBreaksItsPromisesUnderRandomEvents(t *testing.T) {
+func TestRequestMachineKeepsItsInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(3000) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		w := newWorld(t)
@@ -153,7 +153,7 @@
 		}
 		most := uint32(1 + random.IntN(3))
 		isSafe, isReplayable := random.IntN(2) == 0, random.IntN(3) > 0
-		p := newPlay(w, func(o *CourseOptions) {
+		p := newPlay(w, func(o *RequestOptions) {
 			o.Route.Repeatable, o.Route.MaxAttempts, o.IsReplayable = isSafe, most, isReplayable
 			if random.IntN(4) == 0 {
 				noBudget(o)
@@ -161,7 +161,7 @@
 		})
 		sent, mayRun := uint32(0), 0
 		p.feed("begun")
-	course:
+	machine:
 		for range 60 {
 			p.now += time.Duration(random.IntN(40)) * time.Millisecond
 			switch p.last.Kind {
@@ -183,9 +183,9 @@
 				if mayRun > 0 {
 					t.Fatalf("seed %d: refused although it may have run: %v", seed, p.text)
 				}
-				break course
+				break machine
 			case OrderFail, OrderPass:
-				break course
+				break machine
 			case OrderWait:
 				p.feed("woken")
 			}
@@ -205,15 +205,15 @@
 	}
 }
 
-func TestCourseOfAKey(t *testing.T) {
+func TestRequestMachineOfAKey(t *testing.T) {
 	held := &schema.ShardRange{Service: "copper", First: 100, Last: 200, Instance: "holder", Fence: 3}
-	withKey := func(key uint32) func(*CourseOptions) {
-		return func(o *CourseOptions) { o.Key, o.HasKey, o.IsKeyed = key, true, true }
+	withKey := func(key uint32) func(*RequestOptions) {
+		return func(o *RequestOptions) { o.Key, o.HasKey, o.IsKeyed = key, true, true }
 	}
 	for _, c := range []struct {
 		name   string
 		world  func(*world)
-		turn   func(*CourseOptions)
+		turn   func(*RequestOptions)
 		events string
 		want   string
 	}{
@@ -232,7 +232,7 @@
 		}, withKey(150), "begun", "wait"},
 		{"not run by its holder: no other may", func(w *world) { keyed(w, held) }, withKey(150), "begun connected notrun", "connect, send, refuse key-moving"},
 		{"broken off by its holder", func(w *world) { keyed(w, held) }, withKey(150), "begun connected broken", "connect, send, fail 502"},
-		{"a holder in another region that is no home", func(w *world) { keyed(w, held) }, func(o *CourseOptions) {
+		{"a holder in another region that is no home", func(w *world) { keyed(w, held) }, func(o *RequestOptions) {
 			withKey(150)(o)
 			o.Route.HomeRegions = []string{"tor"}
 		}, "begun", "wait"},
@@ -252,11 +252,11 @@
 	}
 }
 
-func TestCourseParksOnlyAPartOfItsAim(t *testing.T) {
+func TestRequestMachineParksOnlyAPartOfItsTarget(t *testing.T) {
 	for _, target := range []uint32{0, 300, 1000, 60000} {
 		w := newWorld(t)
 		keyed(w, nil)
-		p := newPlay(w, func(o *CourseOptions) { o.HasKey, o.Route.TargetMs = true, target })
+		p := newPlay(w, func(o *RequestOptions) { o.HasKey, o.Route.TargetMs = true, target })
 		p.feed("begun")
 		for p.last.Kind == OrderWait {
 			if p.last.Wait <= 0 {
@@ -265,17 +265,17 @@
 			p.now += p.last.Wait
 			p.feed("woken")
 		}
-		took, aim := p.now-p.course.Begun, time.Duration(max(target, 100))*time.Millisecond
+		took, aim := p.now-p.machine.Begun, time.Duration(max(target, 100))*time.Millisecond
 		if took > aim/4 && took > constants.ParkPoll*2 && took < 2*time.Second || took > 2*time.Second || p.last.Kind != OrderRefuse {
 			t.Fatalf("target %d ms: refused after %v, %v", target, took, p.last)
 		}
 	}
 }
 
-func TestCourseParkedGoesOnOnceTheKeyIsHeld(t *testing.T) {
+func TestRequestMachineParkedGoesOnOnceTheKeyIsOwned(t *testing.T) {
 	w := newWorld(t)
 	keyed(w, nil)
-	p := newPlay(w, func(o *CourseOptions) { o.HasKey, o.Key = true, 7 })
+	p := newPlay(w, func(o *RequestOptions) { o.HasKey, o.Key = true, 7 })
 	p.feed("begun", "later", "woken")
 	w.put(image.SpanKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: "holder"})
 	p.view = w.settle()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -220,7 +220,7 @@
 		g.tell(w, id, http.StatusServiceUnavailable, string(RefusalBusy), "this node has too many requests in flight; another may have room", ComeBack(constants.RefuseAfter, left, g.options.Draw))
 		return
 	}
-	options := CourseOptions{Self: g.options.Self, Loads: g.loads, Pressure: g.pressure, Draw: g.options.Draw, Route: route, Service: g.pick(route), Token: id, Begun: begun, Until: begun + left, IsReplayable: true}
+	options := RequestOptions{Self: g.options.Self, Loads: g.loads, Pressure: g.pressure, Draw: g.options.Draw, Route: route, Service: g.pick(route), Token: id, Begun: begun, Until: begun + left, IsReplayable: true}
 	if text := r.Header.Get(names.Key); text != "" {
 		key, err := strconv.ParseUint(text, 10, 16)
 		options.Key, options.HasKey = uint32(key), err == nil
@@ -252,7 +252,7 @@
 	if service := local.View.Services[options.Service]; service != nil {
 		options.IsKeyed = service.Policy.GetKeyed() && options.HasKey
 	}
-	g.run(w, r, x, NewCourse(options))
+	g.run(w, r, x, NewRequestMachine(options))
 }
 
 func (x *exchange) take(r *http.Request) error {
@@ -287,18 +287,18 @@
 	return ""
 }
 
-func (g *Gateway) run(w http.ResponseWriter, r *http.Request, x *exchange, course *Course) {
-	ctx, cancel := context.WithTimeout(r.Context(), course.Until-course.Begun)
+func (g *Gateway) run(w http.ResponseWriter, r *http.Request, x *exchange, machine *RequestMachine) {
+	ctx, cancel := context.WithTimeout(r.Context(), machine.Until-machine.Begun)
 	defer cancel()
-	defer func() { g.stats.Repeats.Add(uint64(course.Repeats)) }()
+	defer func() { g.stats.Repeats.Add(uint64(machine.Repeats)) }()
 	var conn *Conn
 	var answer *Answer
 	isClean := false
 	event := Event{Kind: EventBegun}
 	for {
-		order := course.Next(g.options.Now(), g.options.Local().View, event)
+		order := machine.Next(g.options.Now(), g.options.Local().View, event)
 		if conn != nil && order.Kind != OrderSend && order.Kind != OrderPass {
-			g.end(course, conn, answer, isClean)
+			g.end(machine, conn, answer, isClean)
 			conn = nil
 		}
 		switch order.Kind {
@@ -306,13 +306,13 @@
 			answer = nil
 			instance := order.Backend.Instance
 			g.loads.Begin(instance)
-			fresh, err := g.pool.Get(ctx, order.Backend, order.Wait, course.Route.Repeatable)
+			fresh, err := g.pool.Get(ctx, order.Backend, order.Wait, machine.Route.Repeatable)
 			if err != nil {
 				g.loads.End(g.options.Now(), instance, 0, false)
 				event = Event{Kind: EventUnreached, Reason: err.Error()}
 				if ctx.Err() == nil || errors.Is(err, syscall.ECONNREFUSED) {
 					g.loads.Fail(g.options.Now(), instance)
-					g.loads.Judge(g.options.Now(), course.Service, instance, VerdictFailed, 0)
+					g.loads.Judge(g.options.Now(), machine.Service, instance, VerdictFailed, 0)
 				}
 				if errors.Is(ctx.Err(), context.Canceled) {
 					panic(http.ErrAbortHandler)
@@ -335,7 +335,7 @@
 			case <-time.After(order.Wait):
 			}
 		case OrderSend:
-			answer, isClean, event = g.send(ctx, x, conn, order, course)
+			answer, isClean, event = g.send(ctx, x, conn, order, machine)
 			if event.Kind == EventExpired && errors.Is(ctx.Err(), context.Canceled) {
 				conn.Close()
 				panic(http.ErrAbortHandler)
@@ -345,54 +345,54 @@
 			stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 			isWhole := g.pass(w, r, answer)
 			stop()
-			g.end(course, conn, answer, isClean && isWhole)
+			g.end(machine, conn, answer, isClean && isWhole)
 			if !isWhole {
 				panic(http.ErrAbortHandler)
 			}
 			return
 		case OrderRefuse:
 			g.stats.Refused.Add(1)
-			g.options.Log.Debug("refused", "id", x.id, "service", course.Service, "why", string(order.Refusal), "reason", order.Reason, "ms", (g.options.Now() - course.Begun).Milliseconds())
+			g.options.Log.Debug("refused", "id", x.id, "service", machine.Service, "why", string(order.Refusal), "reason", order.Reason, "ms", (g.options.Now() - machine.Begun).Milliseconds())
 			g.tell(w, x.id, http.StatusServiceUnavailable, string(order.Refusal), "the request has not run; come back after Retry-After", order.RetryAfter)
 			return
 		case OrderFail:
 			g.stats.Failed.Add(1)
-			g.options.Log.Debug("failed", "id", x.id, "service", course.Service, "reason", order.Reason, "ms", (g.options.Now() - course.Begun).Milliseconds())
+			g.options.Log.Debug("failed", "id", x.id, "service", machine.Service, "reason", order.Reason, "ms", (g.options.Now() - machine.Begun).Milliseconds())
 			g.tell(w, x.id, order.Status, "failed", order.Reason, 0)
 			return
 		}
 	}
 }
 
-func (g *Gateway) end(course *Course, conn *Conn, answer *Answer, isClean bool) {
+func (g *Gateway) end(machine *RequestMachine, conn *Conn, answer *Answer, isClean bool) {
 	if isClean && answer != nil && answer.Rest != nil {
 		n, err := answer.Rest.Read(make([]byte, 1))
 		isClean = n == 0 && err == io.EOF
 	}
-	if isClean && answer != nil && conn.reader.Buffered() == 0 && course.choice.Backend != nil {
-		g.pool.Put(course.choice.Backend.Instance, conn)
+	if isClean && answer != nil && conn.reader.Buffered() == 0 && machine.choice.Backend != nil {
+		g.pool.Put(machine.choice.Backend.Instance, conn)
 		return
 	}
 	conn.Close()
 }
 
-func (g *Gateway) send(ctx context.Context, x *exchange, conn *Conn, order Order, course *Course) (*Answer, bool, Event) {
+func (g *Gateway) send(ctx context.Context, x *exchange, conn *Conn, order Order, machine *RequestMachine) (*Answer, bool, Event) {
 	instance := order.Backend.Instance
 	begun := g.options.Now()
 	g.loads.Start(begun, instance)
 	judge := func(verdict Verdict) {
 		now := g.options.Now()
-		g.loads.Judge(now, course.Service, instance, verdict, now-begun)
+		g.loads.Judge(now, machine.Service, instance, verdict, now-begun)
 	}
 	finish := func(isServed bool) {
 		now := g.options.Now()
 		g.loads.Stop(instance, begun)
 		g.loads.End(now, instance, now-begun, isServed)
 		if isServed || ctx.Err() != nil {
-			g.pressure.Note(now, course.Service, instance, now-begun)
+			g.pressure.Note(now, machine.Service, instance, now-begun)
 		}
-		if course.IsKeyed {
-			g.loads.Heat(course.Service, course.Key, now-begun, isServed)
+		if machine.IsKeyed {
+			g.loads.Heat(machine.Service, machine.Key, now-begun, isServed)
 		}
 	}
 	x.target = instance
@@ -401,7 +401,7 @@
 	broken := func(reason string) (*Answer, bool, Event) {
 		finish(false)
 		if ctx.Err() != nil {
-			if errors.Is(ctx.Err(), context.DeadlineExceeded) && g.loads.IsOverdue(course.Service, g.options.Now()-begun) {
+			if errors.Is(ctx.Err(), context.DeadlineExceeded) && g.loads.IsOverdue(machine.Service, g.options.Now()-begun) {
 				judge(VerdictFailed)
 			}
 			return nil, false, Event{Kind: EventExpired, Reason: reason}
@@ -410,7 +410,7 @@
 		judge(VerdictFailed)
 		return nil, false, Event{Kind: EventBroken, Reason: reason}
 	}
-	writeErr := x.write(conn, course.Until-begun)
+	writeErr := x.write(conn, machine.Until-begun)
 	if x.stream != nil && x.stream.err != nil && ctx.Err() == nil {
 		finish(false)
 		var large *http.MaxBytesError
@@ -440,7 +440,7 @@
 		switch {
 		case answer.Status != http.StatusMisdirectedRequest:
 			judge(VerdictDeclined)
-		case !course.IsKeyed:
+		case !machine.IsKeyed:
 			for range constants.FailuresToRest {
 				g.loads.Fail(g.options.Now(), instance)
 			}
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -13,7 +13,7 @@
 
 // Whatever happens to a request, no more back ends than the route allows get it, one that may not be repeated runs once, and one that may
 // have run is never told to have not.
-func TestCoursesKeepTheRoutesLimits(t *testing.T) {
+func TestRequestMachinesKeepTheRoutesLimits(t *testing.T) {
 	kinds := []EventKind{EventUnreached, EventNotRun, EventErrored, EventBroken, EventAnswered, EventExpired}
 	for seed := range uint64(3000) {
 		random := rand.New(rand.NewPCG(seed, 5))
@@ -21,15 +21,15 @@
 		for i := range 2 + random.IntN(6) {
 			w.backend(fmt.Sprint("i-", i), []string{"kol-a", "kol-b", "tor-a"}[random.IntN(3)], fmt.Sprint("10.0.0.", i, ":80"))
 		}
-		p := newPlay(w, func(o *CourseOptions) {
+		p := newPlay(w, func(o *RequestOptions) {
 			o.Route = &schema.Route{TimeoutMs: 2000, TargetMs: 400, MaxAttempts: uint32(random.IntN(5)), Repeatable: random.IntN(2) == 0,
 				HomeRegions: [][]string{nil, {"kol"}, {"tor"}, {"kol", "tor"}}[random.IntN(4)]}
 			o.IsReplayable = random.IntN(4) > 0
 		})
-		route := p.course.Route
+		route := p.machine.Route
 		sent, mayRun, isOver := []string{}, 0, false
 		for event := (Event{Kind: EventBegun}); !isOver; {
-			order := p.course.Next(p.now, p.view, event)
+			order := p.machine.Next(p.now, p.view, event)
 			switch order.Kind {
 			case OrderConnect:
 				region := p.view.Zones[order.Backend.Zone].Region
@@ -113,28 +113,28 @@
 	random := rand.New(rand.NewPCG(7, 7))
 	loads := NewLoads(0, bounds)
 	type pending struct {
-		course *Course
-		at     time.Duration
+		machine *RequestMachine
+		at      time.Duration
 	}
 	var connecting []pending
 	var sends []time.Duration
 	for now := time.Hour; now < time.Hour+12*time.Second; now += 10 * time.Millisecond {
 		connecting = slices.DeleteFunc(connecting, func(p pending) bool {
 			if p.at <= now {
-				p.course.Next(now, view, Event{Kind: EventConnected})
+				p.machine.Next(now, view, Event{Kind: EventConnected})
 				sends = append(sends, now)
 			}
 			return p.at <= now
 		})
 		for range 3 {
-			course := NewCourse(CourseOptions{Self: self, Loads: loads, Draw: random.Int64N, Service: "copper", Token: "x", Begun: now, Until: now + 2*time.Second, IsReplayable: true,
+			machine := NewRequestMachine(RequestOptions{Self: self, Loads: loads, Draw: random.Int64N, Service: "copper", Token: "x", Begun: now, Until: now + 2*time.Second, IsReplayable: true,
 				Route: &schema.Route{TimeoutMs: 2000, TargetMs: 300, MaxAttempts: 1}})
-			if order := course.Next(now, view, Event{Kind: EventBegun}); order.Kind == OrderConnect {
+			if order := machine.Next(now, view, Event{Kind: EventBegun}); order.Kind == OrderConnect {
 				wait := time.Duration(0)
 				if now.Truncate(2*time.Second) == now.Truncate(time.Second) {
 					wait = 350 * time.Millisecond
 				}
-				connecting = append(connecting, pending{course, now + wait})
+				connecting = append(connecting, pending{machine, now + wait})
 			}
 		}
 	}
--- a/internal/gateway/pressure_test.go
+++ b/internal/gateway/pressure_test.go
@@ -92,27 +92,27 @@
 	}
 }
 
-func TestCourseSheds(t *testing.T) {
+func TestRequestMachineSheds(t *testing.T) {
 	draws := func(n int64) func(int64) int64 { return func(int64) int64 { return n } }
 	for _, c := range []struct {
 		name   string
 		took   time.Duration
-		turn   func(*CourseOptions)
+		turn   func(*RequestOptions)
 		events []string
 		want   string
 	}{
 		{"a slow holder: refused at once, nothing sent", time.Second, nil, []string{"begun"}, "refuse busy"},
-		{"a slow holder, but this one is let in", time.Second, func(o *CourseOptions) { o.Draw = draws(999) }, []string{"begun", "connected", "answered"}, "connect, send, pass"},
+		{"a slow holder, but this one is let in", time.Second, func(o *RequestOptions) { o.Draw = draws(999) }, []string{"begun", "connected", "answered"}, "connect, send, pass"},
 		{"a quick holder", 50 * time.Millisecond, nil, []string{"begun", "connected", "answered"}, "connect, send, pass"},
-		{"a long aim", time.Second, func(o *CourseOptions) { o.Route.TargetMs = 5000 }, []string{"begun", "connected", "answered"}, "connect, send, pass"},
-		{"the highest priority is let in where the lowest is shed", 270 * time.Millisecond, func(o *CourseOptions) { o.Route.Priority = 0 }, []string{"begun", "connected", "answered"}, "connect, send, pass"},
+		{"a long aim", time.Second, func(o *RequestOptions) { o.Route.TargetMs = 5000 }, []string{"begun", "connected", "answered"}, "connect, send, pass"},
+		{"the highest priority is let in where the lowest is shed", 270 * time.Millisecond, func(o *RequestOptions) { o.Route.Priority = 0 }, []string{"begun", "connected", "answered"}, "connect, send, pass"},
 		{"the lowest there", 270 * time.Millisecond, nil, []string{"begun"}, "refuse busy"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t)
 			w.backend("i-0", "kol-a", "x")
 			w.backend("i-1", "kol-a", "y")
-			p := newPlay(w, func(o *CourseOptions) {
+			p := newPlay(w, func(o *RequestOptions) {
 				o.Pressure, o.Draw, o.Route.Priority = NewPressure(), draws(0), 3
 				for range 10 {
 					o.Pressure.Note(o.Begun, "copper", "i-0", c.took)
@@ -125,20 +125,20 @@
 			if got := p.feed(c.events...); got != c.want {
 				t.Fatalf("orders %q, want %q", got, c.want)
 			}
-			if p.last.Kind == OrderRefuse && (p.last.RetryAfter <= 0 || p.course.sent > 0) {
-				t.Fatalf("refused with %v after %d were sent", p.last.RetryAfter, p.course.sent)
+			if p.last.Kind == OrderRefuse && (p.last.RetryAfter <= 0 || p.machine.sent > 0) {
+				t.Fatalf("refused with %v after %d were sent", p.last.RetryAfter, p.machine.sent)
 			}
 		})
 	}
 }
 
-func TestCourseShedsNothingThatWasTried(t *testing.T) {
+func TestRequestMachineShedsNothingThatWasTried(t *testing.T) {
 	for name, tried := range map[string][]string{"sent": {"begun", "connected", "broken"}, "not run": {"begun", "connected", "notrun"}, "unreached": {"begun", "unreached"}} {
 		w := newWorld(t)
 		w.backend("i-0", "kol-a", "x")
 		w.backend("i-1", "kol-a", "y")
 		pressure := NewPressure()
-		p := newPlay(w, func(o *CourseOptions) { o.Pressure, o.Draw = pressure, func(int64) int64 { return 0 } })
+		p := newPlay(w, func(o *RequestOptions) { o.Pressure, o.Draw = pressure, func(int64) int64 { return 0 } })
 		p.feed(tried[:len(tried)-1]...)
 		for range 10 {
 			pressure.Note(p.now, "copper", "i-0", time.Minute)
@@ -210,7 +210,7 @@
 		for i := range int64(50) {
 			w := newWorld(t)
 			w.backend("i-0", "kol-a", "x", isDraining)
-			p := newPlay(w, func(o *CourseOptions) { o.Until, o.Draw = o.Begun+left, func(n int64) int64 { return n * i / 50 } })
+			p := newPlay(w, func(o *RequestOptions) { o.Until, o.Draw = o.Begun+left, func(n int64) int64 { return n * i / 50 } })
 			if p.feed("begun"); p.last.Kind != OrderRefuse || p.last.RetryAfter <= 0 || p.last.RetryAfter > left/3 {
 				t.Fatalf("%v left: told %v", left, p.last.RetryAfter)
 			}
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -44,17 +44,17 @@
 	now    func() time.Duration
 	lock   sync.Mutex
 	serial uint64
-	keyed  map[uint64]keyedLeg
+	keyed  map[uint64]keyedAttempt
 }
 
-type keyedLeg struct {
+type keyedAttempt struct {
 	version uint64
 	until   time.Duration
 }
 
 // NewLoads makes empty tables.
 func NewLoads(now func() time.Duration) *Loads {
-	l := &Loads{now: now, keyed: map[uint64]keyedLeg{}}
+	l := &Loads{now: now, keyed: map[uint64]keyedAttempt{}}
 	for i := range l.shards {
 		l.shards[i] = loadShard{inFlight: map[string]int{}, bad: map[string]int{}, down: map[string]bool{}, back: map[string]time.Duration{}, ramps: map[string]*ramp{}, windows: map[string]*budget.Bucket{}, keys: map[string]int{}, all: map[string]int{}}
 	}
@@ -227,12 +227,12 @@
 	defer l.lock.Unlock()
 	l.serial++
 	id := l.serial
-	l.keyed[id] = keyedLeg{version: version}
+	l.keyed[id] = keyedAttempt{version: version}
 	return func(isOpen bool) {
 		l.lock.Lock()
 		defer l.lock.Unlock()
 		if isOpen {
-			l.keyed[id] = keyedLeg{version, l.now() + constants.KeyedAfterglow}
+			l.keyed[id] = keyedAttempt{version, l.now() + constants.KeyedAfterglow}
 		} else {
 			delete(l.keyed, id)
 		}
@@ -245,11 +245,11 @@
 	defer l.lock.Unlock()
 	var floor uint64
 	now := l.now()
-	for id, leg := range l.keyed {
-		if leg.until > 0 && now >= leg.until {
+	for id, attempt := range l.keyed {
+		if attempt.until > 0 && now >= attempt.until {
 			delete(l.keyed, id)
-		} else if floor == 0 || leg.version < floor {
-			floor = leg.version
+		} else if floor == 0 || attempt.version < floor {
+			floor = attempt.version
 		}
 	}
 	return floor
--- a/internal/proxy/course.go
+++ b/internal/proxy/course.go
@@ -91,13 +91,13 @@
 	phaseClaim
 	phaseClaimPause
 	phaseConnect
-	phaseLeg
+	phaseAttempt
 	phaseRelease
 	phaseReplay
 )
 
 // CourseOptions make a Course.
-type CourseOptions struct {
+type RequestOptions struct {
 	Self   *schema.Node
 	Loads  *Loads
 	Kept   *Kept
@@ -108,8 +108,8 @@
 }
 
 // Course is one query's way through a proxy: events in, orders out, without I/O. The shell and the simulator both drive it.
-type Course struct {
-	CourseOptions
+type RequestMachine struct {
+	RequestOptions
 	Repeats   int
 	phase     phase
 	now       time.Duration
@@ -129,7 +129,7 @@
 	elsewhere int
 	holder    string
 	silence   time.Duration
-	legs      int
+	attempts  int
 	isTouched bool
 	tried     map[string]bool
 	lastFault string
@@ -139,14 +139,14 @@
 }
 
 // NewCourse begins a query's course.
-func NewCourse(options CourseOptions) *Course {
+func NewRequestMachine(options RequestOptions) *RequestMachine {
 	wait := options.Query.Wait
 	wait -= min(constants.AnswerMargin, wait/constants.AnswerShare)
-	return &Course{CourseOptions: options, until: options.Begun + wait, tried: map[string]bool{}}
+	return &RequestMachine{RequestOptions: options, until: options.Begun + wait, tried: map[string]bool{}}
 }
 
 // Next takes an event and gives the next order.
-func (c *Course) Next(now time.Duration, local *core.Local, e Event) Order {
+func (c *RequestMachine) Next(now time.Duration, local *core.Local, e Event) Order {
 	c.now, c.local = now, local
 	if e.Kind == EventGone {
 		if c.phase == phaseForwardPause {
@@ -173,7 +173,7 @@
 		}
 	case phaseConnect:
 		return c.connected(e)
-	case phaseLeg:
+	case phaseAttempt:
 		return c.answered(e)
 	case phaseRelease:
 		return c.released()
@@ -183,14 +183,14 @@
 	return c.turn(false)
 }
 
-func (c *Course) parked() time.Duration {
+func (c *RequestMachine) parked() time.Duration {
 	if c.parkedAt == 0 {
 		return 0
 	}
 	return c.now - c.parkedAt
 }
 
-func (c *Course) situation() Situation {
+func (c *RequestMachine) situation() Situation {
 	s := Situation{Now: c.now, Local: c.local, Self: c.Self, Query: c.Query, Load: c.Loads, Tried: c.tried, IsClaimed: c.isClaimed, Parked: c.parked(), Left: c.until - c.now, Draw: c.Draw}
 	if c.Query.Age > 0 {
 		s.FirstSent = c.Begun - c.Query.Age
@@ -198,7 +198,7 @@
 	return s
 }
 
-func (c *Course) turn(keeps bool) Order {
+func (c *RequestMachine) turn(keeps bool) Order {
 	c.phase = phaseTurn
 	d := Decide(c.situation())
 	if d.Entry != nil && !d.IsSafe {
@@ -220,16 +220,18 @@
 		order = c.forward()
 	case TurnClaim:
 		order = c.claim()
-	case TurnLeg:
-		order = c.leg()
+	case TurnAttempt:
+		order = c.attempt()
 	}
 	order.Keeps = order.Keeps || keeps
 	return order
 }
 
-func (c *Course) reply(fault *DeclineError) Order { return Order{Kind: OrderReply, Fault: fault} }
+func (c *RequestMachine) reply(fault *DeclineError) Order {
+	return Order{Kind: OrderReply, Fault: fault}
+}
 
-func (c *Course) giveUp(fault *DeclineError) Order {
+func (c *RequestMachine) giveUp(fault *DeclineError) Order {
 	if c.isTouched {
 		e := *fault
 		e.Status, e.Kind, e.Outcome = http.StatusBadGateway, "failed", OutcomeDoubtful
@@ -240,7 +242,7 @@
 	return c.release(fault, true)
 }
 
-func (c *Course) release(fault *DeclineError, isFinal bool) Order {
+func (c *RequestMachine) release(fault *DeclineError, isFinal bool) Order {
 	c.fault, c.isFinal = fault, isFinal
 	if len(c.held) == 0 {
 		return c.released()
@@ -254,7 +256,7 @@
 	return order
 }
 
-func (c *Course) released() Order {
+func (c *RequestMachine) released() Order {
 	if c.isFinal {
 		return c.replay()
 	}
@@ -262,7 +264,7 @@
 	return Order{Kind: OrderWait, For: constants.ParkStep}
 }
 
-func (c *Course) replay() Order {
+func (c *RequestMachine) replay() Order {
 	id, _, _ := strings.Cut(c.holder, "/")
 	c.holder = ""
 	if id == c.Self.Id {
@@ -276,21 +278,21 @@
 	return Order{Kind: OrderReplay, For: constants.ClaimWait, Address: node.Address, Replay: &schema.ReplayRequest{Attempt: c.Query.Attempt, Digest: c.Query.Digest}}
 }
 
-func (c *Course) replayed(e Event) Order {
+func (c *RequestMachine) replayed(e Event) Order {
 	if !e.Replayed.GetKept() {
 		return c.reply(c.fault)
 	}
 	return c.sealedBefore(replayed(e.Replayed))
 }
 
-func (c *Course) sealedBefore(o *Outcome) Order {
+func (c *RequestMachine) sealedBefore(o *Outcome) Order {
 	if o == nil || o.Header.Get(HeaderAttempt) != c.Query.Attempt || o.Header.Get(HeaderDigest) != Seal(o.Body) {
 		return c.reply(c.fault)
 	}
 	return Order{Kind: OrderReply, Outcome: o}
 }
 
-func (c *Course) claim() Order {
+func (c *RequestMachine) claim() Order {
 	d := c.decision
 	members := claim.Match(d.Keepers, c.Query.Attempt)
 	c.phase = phaseClaim
@@ -305,14 +307,14 @@
 	return order
 }
 
-func (c *Course) age() time.Duration {
+func (c *RequestMachine) age() time.Duration {
 	if c.Query.Age == 0 {
 		return 0
 	}
 	return c.Query.Age + c.now - c.Begun
 }
 
-func (c *Course) claimed(e Event) Order {
+func (c *RequestMachine) claimed(e Event) Order {
 	c.asked--
 	switch e.Claimed.GetState() {
 	case schema.ReservationState_RESERVATION_TAKEN:
@@ -339,9 +341,9 @@
 	return c.release(nil, false)
 }
 
-func (c *Course) leg() Order {
+func (c *RequestMachine) attempt() Order {
 	b := c.decision.Backend
-	if c.legs > 0 && (c.legs >= constants.LegsMost || !c.Loads.Repeat(c.now, b.Service, c.part())) {
+	if c.attempts > 0 && (c.attempts >= constants.AttemptsMost || !c.Loads.Repeat(c.now, b.Service, c.part())) {
 		return c.giveUp(declineLater("no-repeat", "the repeat budget of %s is spent; send again later", b.Service))
 	}
 	c.Loads.Begin(b.Instance)
@@ -350,15 +352,15 @@
 	return Order{Kind: OrderConnect, For: constants.ConnectWait, Address: b.Address, Who: Identity{b.Service, b.Instance}}
 }
 
-func (c *Course) endLeg() {
+func (c *RequestMachine) endAttempt() {
 	c.Loads.End(c.decision.Backend.Instance)
 	c.Loads.EndKey(c.decision.Backend.Service, c.Query.Key)
 }
 
-func (c *Course) connected(e Event) Order {
+func (c *RequestMachine) connected(e Event) Order {
 	d := c.decision
 	if e.Err != nil {
-		c.endLeg()
+		c.endAttempt()
 		c.Loads.Report(d.Backend.Instance, e.Err)
 		c.tried[d.Backend.Instance] = true
 		c.lastFault = e.Err.Error()
@@ -367,7 +369,7 @@
 	s := c.situation()
 	again, isOwn := Check(s)
 	if !isOwn || !isStill(c.local, again, d) {
-		c.endLeg()
+		c.endAttempt()
 		return c.turn(true)
 	}
 	c.endKeyed = func(bool) {}
@@ -376,15 +378,15 @@
 	}
 	left := c.until - c.now
 	if d.IsSafe {
-		left = min(left, constants.SafeLegMost)
+		left = min(left, constants.SafeAttemptMost)
 	}
 	switch {
-	case c.legs > 0:
+	case c.attempts > 0:
 		c.Repeats++
 	case len(c.Query.Forwarded) == 0:
 		c.Loads.First(c.now, d.Backend.Service)
 	}
-	c.legs++
+	c.attempts++
 	header := c.header(left)
 	header.Set(HeaderService, d.Backend.Service)
 	header.Set(HeaderInstance, d.Backend.Instance)
@@ -392,17 +394,17 @@
 	if d.Entry.Keyed {
 		header.Set(HeaderSlot, fmt.Sprintf("%d;%d", d.Slot, d.SlotNo))
 	}
-	c.phase = phaseLeg
+	c.phase = phaseAttempt
 	return Order{Kind: OrderSend, For: left, Path: c.Query.Path, Header: header, Limit: d.Entry.ResponseLimit}
 }
 
-func (c *Course) answered(e Event) Order {
+func (c *RequestMachine) answered(e Event) Order {
 	d := c.decision
 	err := e.Err
 	if err == nil {
 		err = verify(e.Outcome, c.Query, d.Backend)
 	}
-	c.endLeg()
+	c.endAttempt()
 	c.isTouched = c.isTouched || e.IsTouched
 	c.endKeyed(err != nil)
 	if err == nil {
@@ -421,7 +423,7 @@
 	return c.turn(false)
 }
 
-func (c *Course) forward() Order {
+func (c *RequestMachine) forward() Order {
 	if c.forwards == 0 {
 		c.Loads.First(c.now, c.Query.Service)
 	}
@@ -443,7 +445,7 @@
 	return Order{Kind: OrderConnect, For: constants.ConnectWait, Address: best.Proxy, Who: Identity{"topazshed", best.Id}}
 }
 
-func (c *Course) forwardConnected(e Event) Order {
+func (c *RequestMachine) forwardConnected(e Event) Order {
 	if e.Err != nil {
 		c.Loads.End(c.node.Id)
 		c.Loads.Report(c.node.Id, e.Err)
@@ -459,7 +461,7 @@
 	return Order{Kind: OrderSend, For: left, Path: "/" + c.Query.Service + c.Query.Path, Header: header, Limit: c.decision.Entry.ResponseLimit + 4096, IsBound: true}
 }
 
-func (c *Course) forwardAnswered(e Event) Order {
+func (c *RequestMachine) forwardAnswered(e Event) Order {
 	c.Loads.End(c.node.Id)
 	doubt := func(err error) Order {
 		c.Loads.Report(c.node.Id, err)
@@ -497,7 +499,7 @@
 	return order
 }
 
-func (c *Course) forwardEnded(fault *DeclineError, mayRepeat bool) Order {
+func (c *RequestMachine) forwardEnded(fault *DeclineError, mayRepeat bool) Order {
 	c.forwards++
 	if !mayRepeat || c.forwards >= 3 || fault.Outcome == OutcomeDoubtful && !c.Loads.Repeat(c.now, c.Query.Service, c.part()) {
 		return c.reply(fault)
@@ -525,14 +527,14 @@
 	return true
 }
 
-func (c *Course) part() Part {
+func (c *RequestMachine) part() Part {
 	view := c.local.View
 	return partOf(view, view.Services[c.decision.Entry.Service], c.Self.Id, func(string) bool { return true }, func(*schema.Node) bool { return true })
 }
 
 var dropped = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host", "Expect", HeaderForwarded, HeaderOutcome, HeaderProxy}
 
-func (c *Course) header(left time.Duration) http.Header {
+func (c *RequestMachine) header(left time.Duration) http.Header {
 	header := c.Query.Header.Clone()
 	if header == nil {
 		header = http.Header{}
--- a/internal/proxy/course_test.go
+++ b/internal/proxy/course_test.go
@@ -23,7 +23,7 @@
 	return o
 }
 
-func TestCourse(t *testing.T) {
+func TestRequestMachine(t *testing.T) {
 	begun := Event{Kind: EventBegun}
 	up := Event{Kind: EventConnected}
 	down := Event{Kind: EventConnected, Err: errors.New("refused")}
@@ -89,12 +89,12 @@
 			if c.other == 0 {
 				kept.Put(noon, q, sealed("attempt-1", "l-1", "before"))
 			}
-			course := NewCourse(CourseOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Query: q, Holder: "h/1", Begun: noon})
+			machine := NewRequestMachine(RequestOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Query: q, Holder: "h/1", Begun: noon})
 			var kinds []string
 			var last Order
 			now := noon
 			for _, e := range c.events {
-				last = course.Next(now, local, e)
+				last = machine.Next(now, local, e)
 				kinds = append(kinds, names[last.Kind])
 				now += c.after
 				local.FreshAt, local.TickAt = now, now
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestAKeyedLegWithoutAWholeAnswerCountsAsRunning(t *testing.T) {
+func TestAKeyedAttemptWithoutAWholeAnswerCountsAsRunning(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		event     Event
@@ -136,14 +136,14 @@
 			loads, kept := NewLoads(func() time.Duration { return now }), NewKept()
 			local := fresh(w.view())
 			q := &Query{Service: "ledger", Path: "/keyed", Method: "GET", Key: "k", Attempt: "attempt-1", Wait: time.Second, Origin: standing.Origin{Service: "ledger", Path: "/keyed"}}
-			course := NewCourse(CourseOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Query: q, Begun: noon})
+			machine := NewRequestMachine(RequestOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Query: q, Begun: noon})
 			for _, e := range []Event{{Kind: EventBegun}, {Kind: EventConnected}} {
-				course.Next(now, local, e)
+				machine.Next(now, local, e)
 			}
 			if loads.Floor() != local.View.Version {
 				t.Fatalf("a leg in flight has floor %d", loads.Floor())
 			}
-			course.Next(now, local, c.event)
+			machine.Next(now, local, c.event)
 			if isRunning := loads.Floor() != 0; isRunning != c.isRunning {
 				t.Fatalf("running %v, want %v", isRunning, c.isRunning)
 			}
--- a/internal/proxy/decider.go
+++ b/internal/proxy/decider.go
@@ -23,7 +23,7 @@
 	TurnPark
 	TurnForward
 	TurnClaim
-	TurnLeg
+	TurnAttempt
 )
 
 // Decision is the decider's answer.
@@ -242,7 +242,7 @@
 				if !s.Load.MayBegin(s.Now, backend, s.part(service, owner.Region), entry.ColdRate) {
 					return park("key-cold", "the key's back end is cold and takes little yet; send again")
 				}
-				d.Backend, d.Turn = backend, TurnLeg
+				d.Backend, d.Turn = backend, TurnAttempt
 				return d
 			}
 		}
@@ -280,7 +280,7 @@
 	}
 	for _, isNear := range []bool{true, false} {
 		if backend := choose(isNear); backend != nil {
-			d.Backend, d.Turn = backend, TurnLeg
+			d.Backend, d.Turn = backend, TurnAttempt
 			return d
 		}
 	}
--- a/internal/proxy/executor.go
+++ b/internal/proxy/executor.go
@@ -128,9 +128,9 @@
 
 // Run carries a query until it has its one outcome.
 func (x *Executor) Run(ctx context.Context, q *Query, begun time.Duration) (*Outcome, *DeclineError) {
-	course := NewCourse(CourseOptions{Self: x.options.Self, Loads: x.options.Loads, Kept: x.options.Kept, Draw: x.options.Draw, Query: q, Begun: begun,
+	machine := NewRequestMachine(RequestOptions{Self: x.options.Self, Loads: x.options.Loads, Kept: x.options.Kept, Draw: x.options.Draw, Query: q, Begun: begun,
 		Holder: fmt.Sprintf("%s/%d", x.options.Self.Id, x.serial.Add(1))})
-	defer func() { x.stats[3].Add(uint64(course.Repeats)) }()
+	defer func() { x.stats[3].Add(uint64(machine.Repeats)) }()
 	ctx, cancel := context.WithTimeout(ctx, q.Wait)
 	defer cancel()
 	var conn *Proved
@@ -138,7 +138,7 @@
 	var answers chan *schema.ReservationResponse
 	event := Event{Kind: EventBegun}
 	for {
-		order := course.Next(x.options.Now(), x.options.Local(), event)
+		order := machine.Next(x.options.Now(), x.options.Local(), event)
 		if conn != nil && order.Kind != OrderSend {
 			if order.Keeps && isClean {
 				x.options.Pool.Put(conn)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -88,10 +88,10 @@
 		kind   string
 		chosen string
 	}{
-		{"a safe query goes to the nearest back end", base(all...), nil, safe(), TurnLeg, "", "l-1"},
-		{"or to another district of the region", base(all[1:]...), nil, safe(), TurnLeg, "", "l-2"},
+		{"a safe query goes to the nearest back end", base(all...), nil, safe(), TurnAttempt, "", "l-1"},
+		{"or to another district of the region", base(all[1:]...), nil, safe(), TurnAttempt, "", "l-2"},
 		{"but never outside the owner's region", base(all[2:]...), nil, safe(), TurnPark, "", ""},
-		{"a tried back end is not tried again", base(all...), func(s *Situation) { s.Tried["l-1"] = true }, safe(), TurnLeg, "", "l-2"},
+		{"a tried back end is not tried again", base(all...), func(s *Situation) { s.Tried["l-1"] = true }, safe(), TurnAttempt, "", "l-2"},
 		{"a stale isolated proxy declines at once", base(all...), func(s *Situation) {
 			s.Now += constants.IsolatedAfter
 			s.Local.TickAt = s.Now
@@ -99,9 +99,9 @@
 		{"one cut off with its region serves on", base(all...), func(s *Situation) {
 			s.Now += constants.IsolatedAfter
 			s.Local.TickAt, s.Local.PeersAt = s.Now, s.Now
-		}, safe(), TurnLeg, "", "l-1"},
+		}, safe(), TurnAttempt, "", "l-1"},
 		{"one that was told of changes which it lacks declines", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.BehindMost - time.Millisecond }, safe(), TurnDecline, "isolated", ""},
-		{"but not at once", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.BehindMost }, safe(), TurnLeg, "", "l-1"},
+		{"but not at once", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.BehindMost }, safe(), TurnAttempt, "", "l-1"},
 		{"a thawed proxy refreshes first", base(all...), func(s *Situation) { s.Local.ThawedAt = noon }, safe(), TurnPark, "", ""},
 		{"one that has not ticked is taken as frozen", base(all...), func(s *Situation) { s.Local.TickAt = noon - 2*time.Second }, safe(), TurnPark, "", ""},
 		{"an unknown service", base(all...), func(s *Situation) { s.Query.Service = "nobody" }, safe(), TurnDecline, "unknown-entry", ""},
@@ -109,7 +109,7 @@
 		{"a path is matched by whole parts", base(all...), func(s *Situation) { s.Query.Path = "/balancesheet" }, safe(), TurnDecline, "unknown-entry", ""},
 		{"a method that the entry lacks", base(all...), func(s *Situation) { s.Query.Method = "POST" }, safe(), TurnDecline, "bad-method", ""},
 		{"a slice that is not held is asked for", base(all...), func(s *Situation) { s.Local.IsFull = false }, safe(), TurnPark, "", ""},
-		{"another group's query is forwarded", base(all...), func(s *Situation) { s.Query.Origin.Region = "south" }, safe(), TurnLeg, "", "l-1"},
+		{"another group's query is forwarded", base(all...), func(s *Situation) { s.Query.Origin.Region = "south" }, safe(), TurnAttempt, "", "l-1"},
 		{"to the group that the number names", func() *world {
 			w := base(all...)
 			w.put("", image.Put(image.StandingKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
@@ -122,7 +122,7 @@
 		}(), func(s *Situation) { s.Query.Forwarded = standing.Trail{100}; s.Parked = constants.ParkMost }, safe(), TurnDecline, "moved", ""},
 		{"a higher forwarded number waits for the image", base(all...), func(s *Situation) { s.Query.Forwarded = standing.Trail{200} }, safe(), TurnPark, "", ""},
 		{"an unsafe query is claimed first", base(all...), nil, unsafe(), TurnClaim, "", ""},
-		{"and then has its leg", base(all...), func(s *Situation) { s.IsClaimed = true }, unsafe(), TurnLeg, "", "l-1"},
+		{"and then has its leg", base(all...), func(s *Situation) { s.IsClaimed = true }, unsafe(), TurnAttempt, "", "l-1"},
 		{"it needs a live grant", base(all...), func(s *Situation) { s.Local.GrantUntil = noon; s.IsClaimed = true }, unsafe(), TurnPark, "", ""},
 		{"and an open fence", func() *world {
 			w := base(all...)
@@ -187,7 +187,7 @@
 func at(rank, of int) func() Part { return func() Part { return Part{rank, of} } }
 
 func TestRepeatsFitEveryWindow(t *testing.T) {
-	type leg struct {
+	type attempt struct {
 		at      time.Duration
 		isFirst bool
 	}
@@ -204,7 +204,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			random := rand.New(rand.NewSource(1))
-			var legs []leg
+			var attempts []attempt
 			proxies := make([]*Loads, c.of)
 			for i := range proxies {
 				proxies[i] = NewLoads(func() time.Duration { return noon })
@@ -217,17 +217,17 @@
 						continue
 					}
 					l.First(now, "s")
-					legs = append(legs, leg{now, true})
+					attempts = append(attempts, attempt{now, true})
 					if c.fails(second) && l.Repeat(now, "s", Part{rank, c.of}) {
-						legs = append(legs, leg{now, false})
+						attempts = append(attempts, attempt{now, false})
 						repeats++
 					}
 				}
 			}
-			for i, last := range legs {
+			for i, last := range attempts {
 				over := 0
-				for j := i; j >= 0 && last.at-legs[j].at <= constants.RepeatWindow; j-- {
-					if over += 100; legs[j].isFirst {
+				for j := i; j >= 0 && last.at-attempts[j].at <= constants.RepeatWindow; j-- {
+					if over += 100; attempts[j].isFirst {
 						over -= 100 + constants.RepeatShare
 					}
 				}
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestSteadyFirstLegsPayForAFifthOfRepeats(t *testing.T) {
+func TestSteadyFirstAttemptsPayForAFifthOfRepeats(t *testing.T) {
 	l := NewLoads(func() time.Duration { return noon })
 	firsts, repeats := 0, 0
 	for now := noon; now < noon+60*time.Second; now += 20 * time.Millisecond {
@@ -416,7 +416,7 @@
 	}
 }
 
-func TestReusedAddressGetsNoLeg(t *testing.T) {
+func TestReusedAddressGetsNoAttempt(t *testing.T) {
 	stranger, good := &stand{identity: Identity{"payments", "p-1"}}, &stand{}
 	x := executor(t, stranger, good)
 	for _, method := range []string{"GET", "POST"} {
@@ -431,7 +431,7 @@
 	}
 }
 
-func TestBadQueriesGetNoLeg(t *testing.T) {
+func TestBadRequestsGetNoAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		path   string
--- a/internal/sim/scenarios.go
+++ b/internal/sim/scenarios.go
@@ -603,7 +603,7 @@
 	}},
 	{"frozen-leg", "a proxy freezes between the last check of an unsafe leg and its writing; its caller repeats the id", Options{}, func(f *Fleet) error {
 		for range 3 {
-			f.freezeLeg = time.Duration(3+f.random.Intn(18)) * time.Second
+			f.freezeAttempt = time.Duration(3+f.random.Intn(18)) * time.Second
 			f.RunFor(9 * time.Second)
 		}
 		f.RunFor(14 * time.Second)
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -98,39 +98,39 @@
 
 // Fleet is the simulated system and its checker.
 type Fleet struct {
-	Options   Options
-	Now       time.Duration
-	Nodes     []*Node
-	Backends  []*Backend
-	History   *judge.History
-	Verdicts  []*judge.Verdict
-	Breaches  []string
-	Counts    map[string]int
-	Lost      map[string]int
-	Back      map[string]time.Duration
-	hotKey    bool
-	lacking   []string
-	freezeLeg time.Duration
-	staleFrom time.Duration
-	Effect    []time.Duration
-	queue     events
-	order     uint64
-	random    *rand.Rand
-	cuts      map[[2]string]bool
-	lastAt    map[[2]string]time.Duration
-	leaders   map[uint64]string
-	applied   map[uint64][32]byte
-	numbers   map[string]uint64
-	trails    map[string]standing.Trail
-	matches   map[string]*found
-	votes     map[string]string
-	cutAt     map[string]time.Duration
-	accepted  uint64
-	accepts   map[uint64]time.Duration
-	stale     map[string]*core.Local
-	shown     map[string]string
-	log       *slog.Logger
-	listFault string
+	Options       Options
+	Now           time.Duration
+	Nodes         []*Node
+	Backends      []*Backend
+	History       *judge.History
+	Verdicts      []*judge.Verdict
+	Breaches      []string
+	Counts        map[string]int
+	Lost          map[string]int
+	Back          map[string]time.Duration
+	hotKey        bool
+	lacking       []string
+	freezeAttempt time.Duration
+	staleFrom     time.Duration
+	Effect        []time.Duration
+	queue         events
+	order         uint64
+	random        *rand.Rand
+	cuts          map[[2]string]bool
+	lastAt        map[[2]string]time.Duration
+	leaders       map[uint64]string
+	applied       map[uint64][32]byte
+	numbers       map[string]uint64
+	trails        map[string]standing.Trail
+	matches       map[string]*found
+	votes         map[string]string
+	cutAt         map[string]time.Duration
+	accepted      uint64
+	accepts       map[uint64]time.Duration
+	stale         map[string]*core.Local
+	shown         map[string]string
+	log           *slog.Logger
+	listFault     string
 }
 
 // New makes a fleet and starts every machine.
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestRepeatsFitTheirWindowWhenFirstLegsEnd(t *testing.T) {
+func TestRepeatsFitTheirWindowWhenFirstAttemptsEnd(t *testing.T) {
 	for _, seed := range []int64{903, 3000} {
 		f, err := Play(*Find("bad-outcomes"), seed, "")
 		if err != nil {
--- a/internal/sim/traffic.go
+++ b/internal/sim/traffic.go
@@ -43,7 +43,7 @@
 	boot    int
 	id      uint64
 	query   *proxy.Query
-	course  *proxy.Course
+	machine *proxy.RequestMachine
 	respond func(o *proxy.Outcome, broken string)
 	step    int
 	isOver  bool
@@ -106,7 +106,7 @@
 		q.Seal()
 		n.serial++
 		c := &carried{fleet: f, node: n, boot: n.Boot, id: n.serial, query: q, respond: respond}
-		c.course = proxy.NewCourse(proxy.CourseOptions{Self: &schema.Node{Id: n.ident, Zone: n.Zone, Region: n.Region}, Loads: n.loads, Kept: n.kept, Draw: n.random.Int63n, Query: q,
+		c.machine = proxy.NewRequestMachine(proxy.RequestOptions{Self: &schema.Node{Id: n.ident, Zone: n.Zone, Region: n.Region}, Loads: n.loads, Kept: n.kept, Draw: n.random.Int63n, Query: q,
 			Holder: fmt.Sprintf("%s/%d", n.ident, n.serial), Begun: f.clock(n)})
 		n.flying[c.id] = c
 		c.next(0, proxy.Event{Kind: proxy.EventBegun})
@@ -135,9 +135,9 @@
 				n.loads.First(f.clock(n), c.query.Service)
 			}
 		}
-		before := c.course.Repeats
-		order := c.course.Next(f.clock(n), f.local(n), e)
-		f.Counts["repeats"] += c.course.Repeats - before
+		before := c.machine.Repeats
+		order := c.machine.Next(f.clock(n), f.local(n), e)
+		f.Counts["repeats"] += c.machine.Repeats - before
 		if order.Kind != proxy.OrderListen {
 			c.step++
 		}
@@ -244,9 +244,9 @@
 	if c.peer == nil {
 		b := c.backend
 		f.began(c.query, order.Header.Get(proxy.HeaderNumber))
-		if f.freezeLeg > 0 && c.query.Method != http.MethodGet {
-			f.Freeze(n, f.freezeLeg)
-			f.freezeLeg = 0
+		if f.freezeAttempt > 0 && c.query.Method != http.MethodGet {
+			f.Freeze(n, f.freezeAttempt)
+			f.freezeAttempt = 0
 		}
 		f.after(500*time.Microsecond, func() {
 			f.onWire(n, c.boot, func() {
