--- a/cmd/rig/caller.go
+++ b/cmd/rig/caller.go
@@ -167,11 +167,11 @@
 		judge.Record(h, &h.Replies, reply)
 		call.Last = reply.Kind + " " + reply.Broken
 		switch {
-		case reply.Outcome == "sealed":
-			call.Outcome = "sealed"
-		case reply.Outcome == "declined":
+		case reply.Result == "sealed":
+			call.Result = "sealed"
+		case reply.Result == "declined":
 			if reply.Status < 500 && reply.Status != 409 {
-				call.Outcome = "declined"
+				call.Result = "declined"
 				break
 			}
 			c.forget(kind, zone)
@@ -179,12 +179,12 @@
 				time.Sleep(reply.Later + time.Duration(c.draw(200))*time.Millisecond)
 				continue
 			}
-			call.Outcome = "declined"
+			call.Result = "declined"
 		default:
 			c.forget(kind, zone)
 			isDoubtful = true
-			if call.IsUnsafe && reply.Outcome == "doubtful" {
-				call.Outcome = "doubtful"
+			if call.IsUnsafe && reply.Result == "doubtful" {
+				call.Result = "doubtful"
 				break
 			}
 			time.Sleep(time.Duration(100+c.draw(100)*min(call.Sends, 6)) * time.Millisecond)
@@ -192,11 +192,11 @@
 		}
 		break
 	}
-	if call.Outcome == "" {
-		call.Outcome = "none"
+	if call.Result == "" {
+		call.Result = "none"
 	}
-	if isDoubtful && call.Outcome == "declined" {
-		call.Outcome = "doubtful"
+	if isDoubtful && call.Result == "declined" {
+		call.Result = "doubtful"
 	}
 	call.End = h.Now()
 	judge.Record(h, &h.Calls, call)
@@ -310,8 +310,8 @@
 		return r
 	}
 	r.Status = response.StatusCode
-	r.Outcome = response.Header.Get("Topazshed-Outcome")
-	if r.Outcome == "sealed" {
+	r.Result = response.Header.Get("Topazshed-Outcome")
+	if r.Result == "sealed" {
 		r.Digest = seal(text)
 		var told struct{ Attempt string }
 		if response.Header.Get("Topazshed-Attempt") != attempt || response.StatusCode == 200 && (json.Unmarshal(text, &told) != nil || told.Attempt != attempt) {
--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -58,7 +58,7 @@
 	Deployment string            `json:"deployment"`
 	Seed       int64             `json:"seed"`
 	Calls      int               `json:"calls"`
-	Outcomes   map[string]int    `json:"outcomes"`
+	Results    map[string]int    `json:"outcomes"`
 	Reasons    map[string]int    `json:"reasons"`
 	Spans      map[string][2]int `json:"spans_ms"`
 	Latency    map[string][]int  `json:"latency_ms_p50_p90_p99_max"`
@@ -100,7 +100,7 @@
 
 func print(r *Report) subcommands.ExitStatus {
 	code := subcommands.ExitSuccess
-	fmt.Printf("%s seed %d: %d calls, outcomes %v, longest gap %d ms (unsafe %d ms), served after %d ms (unsafe %d ms)\n", r.Deployment, r.Seed, r.Calls, r.Outcomes, r.Gap, r.UnsafeGap, r.ReadyMs, r.UnsafeMs)
+	fmt.Printf("%s seed %d: %d calls, outcomes %v, longest gap %d ms (unsafe %d ms), served after %d ms (unsafe %d ms)\n", r.Deployment, r.Seed, r.Calls, r.Results, r.Gap, r.UnsafeGap, r.ReadyMs, r.UnsafeMs)
 	names := make([]string, 0, len(r.Latency))
 	for name := range r.Latency {
 		names = append(names, name)
@@ -197,7 +197,7 @@
 	}
 	callers := newCallers(history, fleet, dep, c.seed)
 	runner := &Runner{fleet: fleet, world: world, callers: callers, history: history, dep: dep}
-	report := &Report{Deployment: dep.Name, Seed: c.seed, Outcomes: map[string]int{}, Reasons: map[string]int{}, Spans: map[string][2]int{}, Latency: map[string][]int{}}
+	report := &Report{Deployment: dep.Name, Seed: c.seed, Results: map[string]int{}, Reasons: map[string]int{}, Spans: map[string][2]int{}, Latency: map[string][]int{}}
 	isPut := false
 	for !isPut && ctx.Err() == nil && history.Now()-begun < 30*time.Second {
 		isPut = runner.put()
@@ -211,7 +211,7 @@
 	for i, kind := range dep.Kinds {
 		for n := 0; ctx.Err() == nil; n++ {
 			call := callers.Do(kind, kind.Path, fmt.Sprintf("warm-%d", n), fmt.Sprintf("warm-up-%d-%d", i, n), 0, 2*time.Second)
-			if call.Outcome == "sealed" {
+			if call.Result == "sealed" {
 				break
 			}
 			if history.Now()-begun > 60*time.Second {
@@ -280,8 +280,8 @@
 		}
 		until = max(until, call.At)
 		report.Calls++
-		report.Outcomes[call.Outcome]++
-		if call.Outcome == "sealed" {
+		report.Results[call.Result]++
+		if call.Result == "sealed" {
 			latencies[call.Service] = append(latencies[call.Service], int((call.End - call.At).Milliseconds()))
 			if call.IsUnsafe {
 				goodUnsafe = append(goodUnsafe, call.End)
@@ -289,7 +289,7 @@
 				good = append(good, call.End)
 			}
 		} else {
-			reason := call.Service + ": " + call.Outcome + " " + call.Last
+			reason := call.Service + ": " + call.Result + " " + call.Last
 			report.Reasons[reason]++
 			span, at := report.Spans[reason], int((call.At - since).Milliseconds())
 			if report.Reasons[reason] == 1 {
@@ -317,7 +317,7 @@
 		if cells[at][call.Service] == nil {
 			cells[at][call.Service] = &cell{}
 		}
-		if c := cells[at][call.Service]; call.Outcome == "sealed" {
+		if c := cells[at][call.Service]; call.Result == "sealed" {
 			c.sealed++
 			c.milliseconds += int((call.End - call.At).Milliseconds())
 		} else {
--- a/cmd/rig/routed.go
+++ b/cmd/rig/routed.go
@@ -181,7 +181,7 @@
 	}
 	id := r.Header.Get("Topazshed-Attempt")
 	rw.Header().Set("Topazshed-Attempt", id)
-	decline := func(status int) {
+	refusal := func(status int) {
 		rw.Header().Set("Topazshed-Not-Run", "1")
 		rw.WriteHeader(status)
 	}
@@ -195,14 +195,14 @@
 	}
 	w.lock.Unlock()
 	if !isMine {
-		decline(http.StatusMisdirectedRequest)
+		refusal(http.StatusMisdirectedRequest)
 		return
 	}
 	select {
 	case b.work <- true:
 		defer func() { <-b.work }()
 	default:
-		decline(http.StatusServiceUnavailable)
+		refusal(http.StatusServiceUnavailable)
 		return
 	}
 	w.lock.Lock()
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -98,15 +98,15 @@
 		if given.BodyLimit > constants.BodyLimitMost {
 			add(at("body_limit"), "%d is too much; keep it within %d", given.BodyLimit, constants.BodyLimitMost)
 		}
-		if given.OutcomeLimit > constants.BodyLimitMost {
-			add(at("outcome_limit"), "%d is too much; keep it within %d", given.OutcomeLimit, constants.BodyLimitMost)
+		if given.ResponseLimit > constants.BodyLimitMost {
+			add(at("outcome_limit"), "%d is too much; keep it within %d", given.ResponseLimit, constants.BodyLimitMost)
 		}
 		if given.Bearable > 1000 {
 			add(at("bearable"), "%d is too much; keep it within 1000", given.Bearable)
 		}
 		entries = append(entries, &schema.Entry{Service: given.Service, Path: given.Path, Methods: given.Methods, SafeMethods: given.RepeatSafe,
 			HomeRegions: given.HomeRegions, Keyed: given.Keyed, BodyLimit: or(given.BodyLimit, constants.BodyLimit),
-			ResponseLimit: or(given.OutcomeLimit, constants.OutcomeLimit), ColdRate: uint32(or(uint64(given.Bearable), constants.Bearable))})
+			ResponseLimit: or(given.ResponseLimit, constants.ResponseLimit), ColdRate: uint32(or(uint64(given.Bearable), constants.Bearable))})
 	}
 	if len(faults) > 0 {
 		return nil, faults
--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -9,13 +9,13 @@
 
 // Entry is one service entry: where its traffic may go and what may be repeated.
 type Entry struct {
-	Service      string   `json:"service"`
-	Path         string   `json:"path"`
-	Methods      []string `json:"methods"`
-	RepeatSafe   []string `json:"repeat_safe"`
-	HomeRegions  []string `json:"home_regions,omitempty"`
-	Keyed        bool     `json:"keyed,omitempty"`
-	BodyLimit    uint64   `json:"body_limit,omitempty"`
-	OutcomeLimit uint64   `json:"outcome_limit,omitempty"`
-	Bearable     uint32   `json:"bearable,omitempty"`
+	Service       string   `json:"service"`
+	Path          string   `json:"path"`
+	Methods       []string `json:"methods"`
+	RepeatSafe    []string `json:"repeat_safe"`
+	HomeRegions   []string `json:"home_regions,omitempty"`
+	Keyed         bool     `json:"keyed,omitempty"`
+	BodyLimit     uint64   `json:"body_limit,omitempty"`
+	ResponseLimit uint64   `json:"outcome_limit,omitempty"`
+	Bearable      uint32   `json:"bearable,omitempty"`
 }
--- a/internal/catalog/document_easyjson.go
+++ b/internal/catalog/document_easyjson.go
@@ -140,7 +140,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.OutcomeLimit = uint64(in.Uint64())
+				out.ResponseLimit = uint64(in.Uint64())
 			}
 		case "bearable":
 			if in.IsNull() {
@@ -232,10 +232,10 @@
 		out.RawString(prefix)
 		out.Uint64(uint64(in.BodyLimit))
 	}
-	if in.OutcomeLimit != 0 {
+	if in.ResponseLimit != 0 {
 		const prefix string = ",\"outcome_limit\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.OutcomeLimit))
+		out.Uint64(uint64(in.ResponseLimit))
 	}
 	if in.Bearable != 0 {
 		const prefix string = ",\"bearable\":"
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -163,38 +163,38 @@
 	if !k.copied[k.id] && !k.isReady {
 		return &schema.ReservationCopyResponse{ReplicaSet: k.set.Number}
 	}
-	outcome := &schema.ReservationCopyResponse{Ready: true, Full: k.isReady && k.isMember, ReplicaSet: k.set.Number}
+	response := &schema.ReservationCopyResponse{Ready: true, Full: k.isReady && k.isMember, ReplicaSet: k.set.Number}
 	since := k.since
 	for i := range k.shards {
 		s := &k.shards[i]
 		s.lock.Lock()
 		since = max(since, s.forgot)
-		if i >= int(query.Page) && outcome.Next == 0 {
+		if i >= int(query.Page) && response.Next == 0 {
 			for attempt, h := range s.claims {
 				if h.until > now {
-					outcome.Reservations = append(outcome.Reservations, &schema.Reservation{Attempt: attempt, Digest: h.digest, Owner: h.holder, Number: h.number, Round: h.round, LeftMs: uint32((h.until - now).Milliseconds())})
+					response.Reservations = append(response.Reservations, &schema.Reservation{Attempt: attempt, Digest: h.digest, Owner: h.holder, Number: h.number, Round: h.round, LeftMs: uint32((h.until - now).Milliseconds())})
 				}
 			}
-			if len(outcome.Reservations) >= constants.ClaimPage && i+1 < shards {
-				outcome.Next = uint32(i + 1)
+			if len(response.Reservations) >= constants.ClaimPage && i+1 < shards {
+				response.Next = uint32(i + 1)
 			}
 		}
 		s.lock.Unlock()
 	}
 	if since > 0 {
-		outcome.ReachMs = uint64(max(1, (now - since).Milliseconds()))
+		response.ReachMs = uint64(max(1, (now - since).Milliseconds()))
 	}
-	return outcome
+	return response
 }
 
 // Copied takes a former keeper's claims.
-func (k *Keeper) Copied(now time.Duration, from string, outcome *schema.ReservationCopyResponse) {
+func (k *Keeper) Copied(now time.Duration, from string, response *schema.ReservationCopyResponse) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
-	if !outcome.Ready || k.set == nil || outcome.ReplicaSet != k.set.Number {
+	if !response.Ready || k.set == nil || response.ReplicaSet != k.set.Number {
 		return
 	}
-	for _, c := range outcome.Reservations {
+	for _, c := range response.Reservations {
 		s := &k.shards[image.Weigh(c.Attempt)%shards]
 		s.lock.Lock()
 		if s.claims[c.Attempt] == nil {
@@ -202,18 +202,18 @@
 		}
 		s.lock.Unlock()
 	}
-	if outcome.ReachMs > 0 {
-		k.reach = max(k.reach, now-time.Duration(outcome.ReachMs)*time.Millisecond)
+	if response.ReachMs > 0 {
+		k.reach = max(k.reach, now-time.Duration(response.ReachMs)*time.Millisecond)
 	}
-	if outcome.Next > 0 {
-		k.pages[from] = outcome.Next
+	if response.Next > 0 {
+		k.pages[from] = response.Next
 		k.askedAt = now - constants.ClaimCopyEvery
 		return
 	}
 	if slices.ContainsFunc(k.set.Former, func(m *schema.Member) bool { return m.Id == from }) {
 		k.copied[from] = true
 	}
-	if outcome.Full {
+	if response.Full {
 		k.copiedIn[from] = true
 	}
 	k.settle(now)
@@ -233,24 +233,24 @@
 func (k *Keeper) Take(now time.Duration, c *schema.ReservationRequest, isGranted bool) *schema.ReservationResponse {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
-	outcome := &schema.ReservationResponse{ReplicaSet: k.set.GetNumber()}
+	response := &schema.ReservationResponse{ReplicaSet: k.set.GetNumber()}
 	if c.Ended {
 		k.end(c)
-		outcome.State = schema.ReservationState_RESERVATION_ENDED
-		return outcome
+		response.State = schema.ReservationState_RESERVATION_ENDED
+		return response
 	}
 	switch {
 	case k.set == nil || !k.isMember || !isGranted:
-		outcome.State = schema.ReservationState_RESERVATION_UNAVAILABLE
-		return outcome
+		response.State = schema.ReservationState_RESERVATION_UNAVAILABLE
+		return response
 	case k.set.Number != c.ReplicaSet || k.set.Region != c.Region:
-		outcome.State = schema.ReservationState_RESERVATION_STALE
-		return outcome
+		response.State = schema.ReservationState_RESERVATION_STALE
+		return response
 	case !k.isReady:
 		if k.clearAt == 0 || now < k.clearAt {
-			outcome.State = schema.ReservationState_RESERVATION_UNAVAILABLE
-			outcome.LeftMs = uint32(k.left(now).Milliseconds())
-			return outcome
+			response.State = schema.ReservationState_RESERVATION_UNAVAILABLE
+			response.LeftMs = uint32(k.left(now).Milliseconds())
+			return response
 		}
 	}
 	s := &k.shards[image.Weigh(c.Attempt)%shards]
@@ -264,26 +264,26 @@
 		s.sweep(now, kept)
 	}
 	if h := s.claims[c.Attempt]; h != nil && h.until > now {
-		outcome.Owner = h.holder
-		outcome.State = schema.ReservationState_RESERVATION_HELD
+		response.Owner = h.holder
+		response.State = schema.ReservationState_RESERVATION_HELD
 		if h.holder == c.Owner && c.Round >= h.round && bytes.Equal(h.digest, c.Digest) {
 			h.round = c.Round
-			outcome.State = schema.ReservationState_RESERVATION_TAKEN
+			response.State = schema.ReservationState_RESERVATION_TAKEN
 		}
-		return outcome
+		return response
 	}
 	if c.AgeMs > 0 && now-time.Duration(c.AgeMs)*time.Millisecond < max(k.since, s.forgot) {
-		outcome.State = schema.ReservationState_RESERVATION_HELD
-		return outcome
+		response.State = schema.ReservationState_RESERVATION_HELD
+		return response
 	}
 	if len(s.claims) >= constants.ClaimsMost/shards {
-		outcome.State, outcome.LeftMs = schema.ReservationState_RESERVATION_UNAVAILABLE, uint32(constants.RetryAfter.Milliseconds())
-		return outcome
+		response.State, response.LeftMs = schema.ReservationState_RESERVATION_UNAVAILABLE, uint32(constants.RetryAfter.Milliseconds())
+		return response
 	}
 	s.claims[c.Attempt] = &held{c.Digest, c.Owner, c.Number, c.Round, now + constants.ClaimKept}
-	outcome.State = schema.ReservationState_RESERVATION_TAKEN
-	outcome.Owner = c.Owner
-	return outcome
+	response.State = schema.ReservationState_RESERVATION_TAKEN
+	response.Owner = c.Owner
+	return response
 }
 
 func (s *shard) sweep(now, kept time.Duration) {
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -52,10 +52,10 @@
 	for range 100 {
 		for _, asking := range fresh.Ask(now) {
 			if from := map[string]*Keeper{"a": source, "b": other}[asking.Member.Id]; from != nil {
-				outcome := from.Copy(now, asking.Query)
+				response := from.Copy(now, asking.Query)
 				pages++
-				largest = max(largest, proto.Size(outcome))
-				fresh.Copied(now, asking.Member.Id, outcome)
+				largest = max(largest, proto.Size(response))
+				fresh.Copied(now, asking.Member.Id, response)
 			}
 		}
 	}
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -128,7 +128,7 @@
 	// KeptBytes (bytes) of sealed outcomes of unsafe queries a proxy keeps for repeats of their ids; the oldest go first.
 	KeptBytes = 16 << 20
 	// KeptOutcome (bytes) is the largest outcome that is kept.
-	KeptOutcome = 64 << 10
+	KeptResponse = 64 << 10
 	// AgeMost (time) is the oldest first sending that a caller may tell.
 	AgeMost = 24 * time.Hour
 	// ClaimReplicas (keepers) hold one claim.
@@ -159,7 +159,7 @@
 	// BodyLimit (bytes) is the default for a query's body.
 	BodyLimit = 1 << 20
 	// OutcomeLimit (bytes) is the default for a back end's outcome.
-	OutcomeLimit = 4 << 20
+	ResponseLimit = 4 << 20
 	// BodyLimitMost (bytes) is the most an entry may ask for.
 	BodyLimitMost = 16 << 20
 	// RepeatShare (percent) of first legs may be repeated: a fifth.
@@ -295,7 +295,7 @@
 	// OutlierOver (times) the share of the others that fail is added, so that a trouble of all ejects none.
 	OutlierOver = 2.0
 	// OutlierDeclines (attempts) that a back end must have declined before that counts, faded: two within some seconds, since full ones decline too.
-	OutlierDeclines = 1.5
+	OutlierRefusals = 1.5
 	// OutlierOut (time) of a first ejection, doubled at each further one: a crashed back end is back in some seconds.
 	OutlierOut = 800 * time.Millisecond
 	// OutlierOutMost (time) of an ejection.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -138,7 +138,7 @@
 	Suspects    []string          `json:"suspects"`
 	Keeper      map[string]any    `json:"keeper"`
 	Disk        *Disk             `json:"disk,omitempty"`
-	Outcomes    map[string]uint64 `json:"outcomes"`
+	Results     map[string]uint64 `json:"outcomes"`
 	Nodes       []NodeStatus      `json:"nodes"`
 	Zones       []ZoneStatus      `json:"districts"`
 	Standings   []Standing        `json:"standings"`
@@ -212,24 +212,24 @@
 func (d *Door) operate(w http.ResponseWriter, r *http.Request, query *schema.OperatorRequest) *schema.OperatorResponse {
 	ctx, cancel := context.WithTimeout(r.Context(), constants.ProposalWait+time.Second)
 	defer cancel()
-	outcome, err := d.options.Operate(ctx, query)
+	response, err := d.options.Operate(ctx, query)
 	if err != nil {
 		write(w, http.StatusGatewayTimeout, Reply{Kind: "doubtful", Message: fmt.Sprintf("%v; the query may still be taken, read back before repeating", err)})
 		return nil
 	}
-	if outcome.Refusal != schema.RefusalKind_REFUSAL_NONE {
-		decline(w, outcome)
+	if response.Refusal != schema.RefusalKind_REFUSAL_NONE {
+		newRefusal(w, response)
 		return nil
 	}
-	return outcome
+	return response
 }
 
-func decline(w http.ResponseWriter, outcome *schema.OperatorResponse) {
-	reply := Reply{Version: outcome.Version, Message: outcome.Message, Kind: strings.ToLower(strings.TrimPrefix(outcome.Refusal.String(), "DECLINE_"))}
-	for _, fault := range outcome.Faults {
+func newRefusal(w http.ResponseWriter, response *schema.OperatorResponse) {
+	reply := Reply{Version: response.Version, Message: response.Message, Kind: strings.ToLower(strings.TrimPrefix(response.Refusal.String(), "DECLINE_"))}
+	for _, fault := range response.Faults {
 		reply.Faults = append(reply.Faults, Fault{fault.Path, fault.Message})
 	}
-	write(w, statuses[outcome.Refusal], reply)
+	write(w, statuses[response.Refusal], reply)
 }
 
 func (d *Door) put(w http.ResponseWriter, r *http.Request) {
@@ -255,30 +255,30 @@
 	if d.options.Routed != nil {
 		config, faults := routes.Read(document, base)
 		if len(faults) > 0 {
-			decline(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_INVALID, Message: "the configuration is declined whole; nothing changed", Faults: faults})
+			newRefusal(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_INVALID, Message: "the configuration is declined whole; nothing changed", Faults: faults})
 			return
 		}
 		query = &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: config}
 	}
-	if outcome := d.operate(w, r, query); outcome != nil {
-		write(w, http.StatusOK, Reply{Version: outcome.Version, Index: outcome.Index, Unconfirmed: outcome.Unconfirmed})
+	if response := d.operate(w, r, query); response != nil {
+		write(w, http.StatusOK, Reply{Version: response.Version, Index: response.Index, Unconfirmed: response.Unconfirmed})
 	}
 }
 
 func (d *Door) show(w http.ResponseWriter, r *http.Request) {
-	outcome := d.operate(w, r, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
-	if outcome == nil {
+	response := d.operate(w, r, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
+	if response == nil {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Topazshed-Version", strconv.FormatUint(outcome.Version, 10))
-	if outcome.Version == 0 {
-		outcome.Document = []byte(`{"entries":[]}`)
+	w.Header().Set("Topazshed-Version", strconv.FormatUint(response.Version, 10))
+	if response.Version == 0 {
+		response.Document = []byte(`{"entries":[]}`)
 		if d.options.Routed != nil {
-			outcome.Document = []byte(`{"routes":[]}`)
+			response.Document = []byte(`{"routes":[]}`)
 		}
 	}
-	w.Write(outcome.Document)
+	w.Write(response.Document)
 }
 
 func (d *Door) ask(w http.ResponseWriter, r *http.Request) {
@@ -286,8 +286,8 @@
 		write(w, http.StatusNotFound, Reply{Kind: "unknown", Message: "this fleet keeps no operator keys; put the same document on the same base again: it is taken once"})
 		return
 	}
-	if outcome := d.operate(w, r, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_ASK, Key: r.URL.Query().Get("key")}); outcome != nil {
-		write(w, http.StatusOK, Reply{Version: outcome.Version, Index: outcome.Index})
+	if response := d.operate(w, r, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_ASK, Key: r.URL.Query().Get("key")}); response != nil {
+		write(w, http.StatusOK, Reply{Version: response.Version, Index: response.Index})
 	}
 }
 
@@ -297,16 +297,16 @@
 		if query.Reason == "" {
 			query.Reason = "operator"
 		}
-		if outcome := d.operate(w, r, query); outcome != nil {
-			write(w, http.StatusOK, Reply{Index: outcome.Index, Unconfirmed: outcome.Unconfirmed})
+		if response := d.operate(w, r, query); response != nil {
+			write(w, http.StatusOK, Reply{Index: response.Index, Unconfirmed: response.Unconfirmed})
 		}
 	}
 }
 
 func (d *Door) status(w http.ResponseWriter, r *http.Request) {
 	s := d.Status()
-	outcome, err := d.leaderWord(r.Context())
-	s.hear(outcome, err, d.placeName(d.options.Local().View))
+	response, err := d.leaderWord(r.Context())
+	s.hear(response, err, d.placeName(d.options.Local().View))
 	write(w, http.StatusOK, s)
 }
 
@@ -316,7 +316,7 @@
 	view := local.View
 	s := &Status{Node: d.options.Self.Id, System: local.System, Role: local.Role, Term: local.Term, Leader: local.Leader, Index: view.Version, Rows: local.Rows,
 		Configuration: view.Head.Version, Fleet: view.Fleet, Newest: versions.Newest, Fit: d.isFit(now, local), ClockMs: now.Milliseconds(), FreshMs: (now - local.FreshAt).Milliseconds(), Strays: local.Strays, GrantMs: max(0, local.GrantUntil-now).Milliseconds(),
-		ListMs: -1, ListFault: local.ListFault, Suspects: local.Suspects, Outcomes: d.options.Stats()}
+		ListMs: -1, ListFault: local.ListFault, Suspects: local.Suspects, Results: d.options.Stats()}
 	if local.ListAt > 0 {
 		s.ListMs = (now - local.ListAt).Milliseconds()
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -16,7 +16,7 @@
 	"topazshed/internal/schema"
 )
 
-func door(outcome *schema.OperatorResponse, fault error, seen *schema.OperatorRequest) http.Handler {
+func door(response *schema.OperatorResponse, fault error, seen *schema.OperatorRequest) http.Handler {
 	table := image.NewTable()
 	table.Apply(9, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
 		image.Put(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}),
@@ -30,7 +30,7 @@
 			if seen != nil {
 				*seen = schema.OperatorRequest{Kind: q.Kind, Base: q.Base, Key: q.Key, Zone: q.Zone, Reason: q.Reason}
 			}
-			return outcome, fault
+			return response, fault
 		},
 		Stats: func() map[string]uint64 { return nil }, Keeper: func() (uint64, bool, bool, int) { return 1, true, true, 0 }, Disk: func() Disk { return Disk{} }, Match: http.NotFoundHandler()})
 }
@@ -38,7 +38,7 @@
 func TestDoor(t *testing.T) {
 	for _, c := range []struct {
 		name, method, path, body string
-		outcome                  *schema.OperatorResponse
+		response                 *schema.OperatorResponse
 		fault                    error
 		status                   int
 		want                     string
@@ -61,7 +61,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := httptest.NewRecorder()
-			door(c.outcome, c.fault, nil).ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
+			door(c.response, c.fault, nil).ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
 			if w.Code != c.status || !strings.Contains(w.Body.String(), c.want) {
 				t.Fatalf("status %d, body %s", w.Code, w.Body)
 			}
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -24,8 +24,8 @@
 		}
 		return 0
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.Outcomes)) {
-		metrics.WriteCounterUint64(&text, "topazshed_requests_total"+labelled([]string{"outcome", name}), s.Outcomes[name])
+	for _, name := range slices.Sorted(maps.Keys(s.Results)) {
+		metrics.WriteCounterUint64(&text, "topazshed_requests_total"+labelled([]string{"outcome", name}), s.Results[name])
 	}
 	gauge("configuration_version", s.Configuration)
 	gauge("state_index", s.Index)
--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -13,7 +13,7 @@
 
 func TestMetrics(t *testing.T) {
 	var seen *schema.OperatorRequest
-	routed := NewInsight(ground{outcome: &schema.OperatorResponse{}}.options(&seen))
+	routed := NewInsight(ground{response: &schema.OperatorResponse{}}.options(&seen))
 	for _, c := range []struct {
 		name string
 		door func() *httptest.ResponseRecorder
--- a/internal/control/routed.go
+++ b/internal/control/routed.go
@@ -95,27 +95,27 @@
 func (d *Door) leaderWord(ctx context.Context) (*schema.OperatorResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, constants.ConfirmWait)
 	defer cancel()
-	outcome, err := d.options.Operate(ctx, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS})
+	response, err := d.options.Operate(ctx, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS})
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("the leader did not answer in time (%w); run doctor if it lasts", err)
-	case outcome == nil:
+	case response == nil:
 		return &schema.OperatorResponse{}, nil
-	case outcome.Refusal != schema.RefusalKind_REFUSAL_NONE:
-		return nil, fmt.Errorf("%s", outcome.Message)
+	case response.Refusal != schema.RefusalKind_REFUSAL_NONE:
+		return nil, fmt.Errorf("%s", response.Message)
 	}
-	return outcome, nil
+	return response, nil
 }
 
 // hear adds what the leader told.
-func (s *Status) hear(outcome *schema.OperatorResponse, err error, name func(number uint64) string) {
+func (s *Status) hear(response *schema.OperatorResponse, err error, name func(number uint64) string) {
 	if err != nil {
 		s.LeaderSilent = err.Error()
 		return
 	}
-	s.Unconfirmed = outcome.Unconfirmed
-	s.LossesBorne, s.SilentVoters = outcome.ToleratedLosses, outcome.UnresponsiveVoters
-	for _, report := range outcome.Reports {
+	s.Unconfirmed = response.Unconfirmed
+	s.LossesBorne, s.SilentVoters = response.ToleratedLosses, response.UnresponsiveVoters
+	for _, report := range response.Reports {
 		for i := range s.Nodes {
 			if s.Nodes[i].ID != report.Id {
 				continue
@@ -126,7 +126,7 @@
 			}
 		}
 	}
-	s.Changes = changesOf(outcome.Changes, name)
+	s.Changes = changesOf(response.Changes, name)
 }
 
 func changesOf(told []*schema.FailoverChange, name func(number uint64) string) []Change {
@@ -259,11 +259,11 @@
 	if own != nil && own.Standings[""][region] != nil {
 		answer.Reason = own.Standings[""][region].Reason
 	}
-	outcome, err := d.leaderWord(r.Context())
+	response, err := d.leaderWord(r.Context())
 	if err != nil {
 		answer.LeaderSilent = err.Error()
 	}
-	for _, change := range changesOf(outcome.GetChanges(), d.placeName(view)) {
+	for _, change := range changesOf(response.GetChanges(), d.placeName(view)) {
 		if change.Region == region && (change.Service == "" || change.Service == service) {
 			answer.Changes = append(answer.Changes, change)
 		}
--- a/internal/control/routed_test.go
+++ b/internal/control/routed_test.go
@@ -16,10 +16,10 @@
 )
 
 type ground struct {
-	outcome *schema.OperatorResponse
-	fault   error
-	isReady bool
-	proxies []string
+	response *schema.OperatorResponse
+	fault    error
+	isReady  bool
+	proxies  []string
 }
 
 func (g ground) options(seen **schema.OperatorRequest) Options {
@@ -47,7 +47,7 @@
 			if seen != nil {
 				*seen = q
 			}
-			return g.outcome, g.fault
+			return g.response, g.fault
 		},
 		Stats: func() map[string]uint64 { return map[string]uint64{"sealed": 12, "declined": 3} }, Disk: func() Disk { return Disk{LastSyncMs: 5, WorstMs: 80} },
 		Resting: func() []string { return []string{"c-9", "c-1"} },
@@ -64,23 +64,23 @@
 		status                   int
 		wants                    []string
 	}{
-		{"a put is accepted", "PUT", "/v1/configuration?base=4", `{"routes":[]}`, ground{outcome: &schema.OperatorResponse{Version: 5}}, 200, []string{`"version":5`}},
+		{"a put is accepted", "PUT", "/v1/configuration?base=4", `{"routes":[]}`, ground{response: &schema.OperatorResponse{Version: 5}}, 200, []string{`"version":5`}},
 		{"a put of a wrong shape is not asked about", "PUT", "/v1/configuration?base=4", `{"entries":[],"routes":{}}`, ground{fault: errors.New("not to be asked")}, 422, []string{`"path":"entries"`, `"path":"routes"`, "declined whole"}},
 		{"above the limit", "PUT", "/v1/configuration?base=4", strings.Repeat(" ", constants.RoutesDocumentLimit+1), ground{}, 413, []string{"send less"}},
-		{"a lost race", "PUT", "/v1/configuration?base=4", `{"routes":[]}`, ground{outcome: &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Version: 7, Message: "m"}}, 409, []string{`"version":7`}},
-		{"nothing was put yet", "GET", "/v1/configuration", "", ground{outcome: &schema.OperatorResponse{}}, 200, []string{`{"routes":[]}`}},
+		{"a lost race", "PUT", "/v1/configuration?base=4", `{"routes":[]}`, ground{response: &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Version: 7, Message: "m"}}, 409, []string{`"version":7`}},
+		{"nothing was put yet", "GET", "/v1/configuration", "", ground{response: &schema.OperatorResponse{}}, 200, []string{`{"routes":[]}`}},
 		{"not ready", "GET", "/v1/ready", "", ground{}, 503, []string{"ask another node"}},
 		{"ready", "GET", "/v1/ready", "", ground{isReady: true}, 200, nil},
 		{"nobody to be named", "GET", "/v1/match?region=mu", "", ground{}, 503, []string{"ask another node"}},
 		{"a match", "GET", "/v1/match", "", ground{proxies: []string{"10.0.0.1:1"}}, 200, []string{`{"proxies":["10.0.0.1:1"],"live_ms":2000}`}},
 		{"all standings", "GET", "/v1/standings", "", ground{}, 200, []string{`"kind":"region","region":"mu","active":"mu:mu-b","number":20002`, `"kind":"service","region":"mu","active":"region xi","number":20003`}},
-		{"one standing with its changes only", "GET", "/v1/standings/mu?service=copper", "", ground{outcome: told}, 200, []string{`"group":"mu:mu-b"`, `"trail":"20002"`, `"changes":[{"region":"mu","from":10000,"to":20002,"was":"mu","is":"mu:mu-b"`, `"leader":"n1","index":8,"term":3}]`}},
+		{"one standing with its changes only", "GET", "/v1/standings/mu?service=copper", "", ground{response: told}, 200, []string{`"group":"mu:mu-b"`, `"trail":"20002"`, `"changes":[{"region":"mu","from":10000,"to":20002,"was":"mu","is":"mu:mu-b"`, `"leader":"n1","index":8,"term":3}]`}},
 		{"one standing while no leader answers", "GET", "/v1/standings/mu", "", ground{fault: errors.New("timed out")}, 200, []string{`"changes":[]`, `"leader_silent":"the leader did not answer in time (timed out); run doctor`}},
 		{"a standing that leads to nobody", "GET", "/v1/standings/mu?service=nickel", "", ground{}, 503, []string{"no-standing"}},
-		{"status", "GET", "/v1/status", "", ground{outcome: told}, 200, []string{`"unconfirmed":["mu-a"]`, `"index":9,"in_force":true`, `"heard_ms":-1`, `"at":"2026-05-04T12:00:00.123Z"`, `"evidence":"mu-a is emptied (new racks)"`,
+		{"status", "GET", "/v1/status", "", ground{response: told}, 200, []string{`"unconfirmed":["mu-a"]`, `"index":9,"in_force":true`, `"heard_ms":-1`, `"at":"2026-05-04T12:00:00.123Z"`, `"evidence":"mu-a is emptied (new racks)"`,
 			`"resting":["c-1","c-9"]`, `"routes":1`, `{"name":"copper","routes":1,"ready":1,"draining":1,"cold":1}`, `"name":"nickel","keyed":true,"routes":0,"ready":0,"draining":0,"cold":0,"unheld":32768`,
 			`"spans":[{"service":"nickel","first":0,"last":32767,"instance":"i-1","fence":7}]`, `"state":"ready, cold"`}},
-		{"status while no leader answers", "GET", "/v1/status", "", ground{outcome: &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "no leader is known; ask again"}}, 200, []string{`"leader_silent":"no leader is known; ask again"`}},
+		{"status while no leader answers", "GET", "/v1/status", "", ground{response: &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "no leader is known; ask again"}}, 200, []string{`"leader_silent":"no leader is known; ask again"`}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := httptest.NewRecorder()
@@ -100,7 +100,7 @@
 func TestARoutedPutCarriesItsRoutes(t *testing.T) {
 	var seen *schema.OperatorRequest
 	text := `{"routes":[{"host":"one.example","prefix":"/c/","timeout_ms":5,"targets":[{"service":"copper","weight":2}]}]}`
-	New(ground{outcome: &schema.OperatorResponse{}}.options(&seen)).ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("PUT", "/v1/configuration?base=6", strings.NewReader(text)))
+	New(ground{response: &schema.OperatorResponse{}}.options(&seen)).ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("PUT", "/v1/configuration?base=6", strings.NewReader(text)))
 	if seen.GetKind() != schema.OperatorKind_OPERATOR_PUT_ROUTES || seen.Routes.Version != 7 || seen.Routes.Base != 6 || string(seen.Routes.Document) != text || seen.Routes.Routes[0].Targets[0].Weight != 2 {
 		t.Errorf("%v", seen)
 	}
@@ -108,7 +108,7 @@
 
 func TestInsightOnlyReads(t *testing.T) {
 	var seen *schema.OperatorRequest
-	handler := NewInsight(ground{outcome: &schema.OperatorResponse{}}.options(&seen))
+	handler := NewInsight(ground{response: &schema.OperatorResponse{}}.options(&seen))
 	for _, c := range []struct {
 		method, path string
 		status       int
--- a/internal/core/changes_test.go
+++ b/internal/core/changes_test.go
@@ -15,12 +15,12 @@
 )
 
 type solo struct {
-	core    *Core
-	now     time.Duration
-	epoch   time.Time
-	items   []*schema.LogItem
-	hard    *schema.HardState
-	outcome *schema.OperatorResponse
+	core     *Core
+	now      time.Duration
+	epoch    time.Time
+	items    []*schema.LogItem
+	hard     *schema.HardState
+	response *schema.OperatorResponse
 }
 
 func (s *solo) options() Options {
@@ -46,8 +46,8 @@
 			if effects.Hard != nil {
 				s.hard = effects.Hard
 			}
-			for _, outcome := range effects.Outcomes {
-				s.outcome = outcome.Outcome
+			for _, response := range effects.Responses {
+				s.response = response.Response
 			}
 			s.items = append(s.items, effects.Quorum.Items...)
 			s.core.Synced(s.now, effects)
@@ -56,10 +56,10 @@
 }
 
 func (s *solo) ask(query *schema.OperatorRequest, zones ...string) *schema.OperatorResponse {
-	s.outcome = nil
+	s.response = nil
 	s.core.Operate(s.now, 7, query)
 	s.run(400*time.Millisecond, zones...)
-	return s.outcome
+	return s.response
 }
 
 func TestChangesOfStandingAreToldFromTheLog(t *testing.T) {
@@ -110,8 +110,8 @@
 	s.core = New(s.now, s.options())
 	s.run(5*time.Second, "mu-a", "mu-b")
 	config := &schema.RouteConfig{Version: 1, Document: []byte("{}")}
-	if outcome := s.ask(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: config}, "mu-a"); outcome.GetRefusal() != schema.RefusalKind_REFUSAL_NONE {
-		t.Fatal(outcome)
+	if response := s.ask(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: config}, "mu-a"); response.GetRefusal() != schema.RefusalKind_REFUSAL_NONE {
+		t.Fatal(response)
 	}
 	for _, report := range s.ask(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}, "mu-a").Reports {
 		if want := report.Id != "of-mu-b"; report.InForce != want {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -51,19 +51,19 @@
 }
 
 // Outcome answers a local operator's query.
-type Outcome struct {
-	Ticket  uint64
-	Outcome *schema.OperatorResponse
+type LocalResponse struct {
+	Ticket   uint64
+	Response *schema.OperatorResponse
 }
 
 // Effects are what the shell performs: sync, then send and answer.
 type Effects struct {
-	Quorum   quorum.Ready
-	Hard     *schema.HardState
-	Sends    []Send
-	Outcomes []Outcome
-	Calls    []GrantCall
-	IsWork   bool
+	Quorum    quorum.Ready
+	Hard      *schema.HardState
+	Sends     []Send
+	Responses []LocalResponse
+	Calls     []GrantCall
+	IsWork    bool
 }
 
 // Local is what the hot path of this node may rely on; it is never changed once published.
@@ -153,76 +153,76 @@
 
 // Core is the machine.
 type Core struct {
-	options    Options
-	log        *slog.Logger
-	self       *schema.Node
-	system     string
-	quorum     *quorum.Quorum
-	table      *image.Table
-	view       *image.View
-	near       *neighbours.Neighbours
-	rost       *roster.Roster
-	effects    Effects
-	now        time.Duration
-	tickedAt   time.Duration
-	thawedAt   time.Duration
-	leader     string
-	leaderAt   time.Duration
-	beatAt     time.Duration
-	beats      map[uint64]asked
-	serial     uint64
-	grantUntil time.Duration
-	freshAt    time.Duration
-	held       map[string]bool
-	wanted     map[string]time.Duration
-	source     source
-	subSerial  uint64
-	subAt      time.Duration
-	subs       map[uint64]asked
-	digestAt   time.Duration
-	subscriber map[string]*subscriber
-	nodes      map[string]*granted
-	planAt     time.Duration
-	wasLeader  bool
-	electedAt  time.Duration
-	releasedAt map[uint64]time.Duration
-	waiters    []*waiter
-	confirming []*waiter
-	undecided  []*waiter
-	strays     uint64
-	reads      map[uint64]*waiter
-	nextRead   uint64
-	whoAt      time.Duration
-	askedSeeds int
-	seeds      map[string]time.Duration
-	empties    map[string]bool
-	emptySince time.Duration
-	listAt     time.Duration
-	listFault  string
-	sweep      *roster.Sweep
-	vitals     []*schema.HealthReport
-	keepers    uint64
-	isKeeping  bool
-	floor      uint64
-	peers      map[string]time.Duration
-	pending    map[string]uint64
-	verdicts   map[uint64]string
-	imageAt    uint64
-	told       uint64
-	fences     map[string]time.Duration
-	behindAt   time.Duration
-	opened     map[string]time.Duration
-	openedAs   map[string]uint64
-	addresses  map[string]string
-	toldAt     time.Duration
-	routed     *routedState
-	changes    []*schema.FailoverChange
-	speaks     versions.Span
-	refused    error
-	risingTo   uint32
-	risingFrom time.Duration
-	proposed   uint32
-	declined   map[string]uint64
+	options      Options
+	log          *slog.Logger
+	self         *schema.Node
+	system       string
+	quorum       *quorum.Quorum
+	table        *image.Table
+	view         *image.View
+	near         *neighbours.Neighbours
+	rost         *roster.Roster
+	effects      Effects
+	now          time.Duration
+	tickedAt     time.Duration
+	thawedAt     time.Duration
+	leader       string
+	leaderAt     time.Duration
+	beatAt       time.Duration
+	beats        map[uint64]asked
+	serial       uint64
+	grantUntil   time.Duration
+	freshAt      time.Duration
+	held         map[string]bool
+	wanted       map[string]time.Duration
+	source       source
+	subSerial    uint64
+	subAt        time.Duration
+	subs         map[uint64]asked
+	digestAt     time.Duration
+	subscriber   map[string]*subscriber
+	nodes        map[string]*granted
+	planAt       time.Duration
+	wasLeader    bool
+	electedAt    time.Duration
+	releasedAt   map[uint64]time.Duration
+	waiters      []*waiter
+	confirming   []*waiter
+	undecided    []*waiter
+	strays       uint64
+	reads        map[uint64]*waiter
+	nextRead     uint64
+	whoAt        time.Duration
+	askedSeeds   int
+	seeds        map[string]time.Duration
+	empties      map[string]bool
+	emptySince   time.Duration
+	listAt       time.Duration
+	listFault    string
+	sweep        *roster.Sweep
+	vitals       []*schema.HealthReport
+	keepers      uint64
+	isKeeping    bool
+	floor        uint64
+	peers        map[string]time.Duration
+	pending      map[string]uint64
+	verdicts     map[uint64]string
+	imageAt      uint64
+	told         uint64
+	fences       map[string]time.Duration
+	behindAt     time.Duration
+	opened       map[string]time.Duration
+	openedAs     map[string]uint64
+	addresses    map[string]string
+	toldAt       time.Duration
+	routed       *routedState
+	changes      []*schema.FailoverChange
+	speaks       versions.Span
+	refused      error
+	risingTo     uint32
+	risingFrom   time.Duration
+	proposed     uint32
+	refusedNodes map[string]uint64
 }
 
 // New restores a node from its journal, or makes an empty one.
@@ -231,7 +231,7 @@
 		table: image.NewTable(), view: image.NewView(), rost: roster.New(), beats: map[uint64]asked{}, held: map[string]bool{},
 		wanted: map[string]time.Duration{}, subs: map[uint64]asked{}, subscriber: map[string]*subscriber{}, nodes: map[string]*granted{},
 		releasedAt: map[uint64]time.Duration{}, reads: map[uint64]*waiter{}, seeds: map[string]time.Duration{}, empties: map[string]bool{},
-		peers: map[string]time.Duration{}, pending: map[string]uint64{}, verdicts: map[uint64]string{}, fences: map[string]time.Duration{}, opened: map[string]time.Duration{}, openedAs: map[string]uint64{}, addresses: map[string]string{}, now: now, tickedAt: now, speaks: options.Speaks.OrOwn(), declined: map[string]uint64{}}
+		peers: map[string]time.Duration{}, pending: map[string]uint64{}, verdicts: map[uint64]string{}, fences: map[string]time.Duration{}, opened: map[string]time.Duration{}, openedAs: map[string]uint64{}, addresses: map[string]string{}, now: now, tickedAt: now, speaks: options.Speaks.OrOwn(), refusedNodes: map[string]uint64{}}
 	if options.Routed != nil {
 		c.routed = newRoutedState(options)
 	}
@@ -449,7 +449,7 @@
 	case *schema.Frame_OperatorRequest:
 		c.operate(&waiter{call: f.Call, to: f.Address, query: body.OperatorRequest})
 	case *schema.Frame_OperatorResponse:
-		c.takeOutcome(f, body.OperatorResponse)
+		c.takeResponse(f, body.OperatorResponse)
 	}
 }
 
@@ -613,10 +613,10 @@
 }
 
 func (c *Core) takeBeat(f *schema.Frame, b *schema.Heartbeat) {
-	outcome := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: c.table.Version()}
+	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: c.table.Version()}
 	isLeader := c.IsLeading() && c.isFitNode(b.Node)
 	if isLeader {
-		outcome.Leader, outcome.Accepted = c.self.Address, true
+		response.Leader, response.Accepted = c.self.Address, true
 		g := c.nodes[b.Node.Id]
 		if g == nil {
 			g = &granted{firstHeard: c.now}
@@ -636,7 +636,7 @@
 		if isKnown {
 			left := c.quorum.Contact() + constants.GrantTime - c.now
 			if left > 0 && b.Version >= c.newestFence() {
-				outcome.LeaseMs = uint32(left.Milliseconds())
+				response.LeaseMs = uint32(left.Milliseconds())
 				g.until = c.now + left + constants.GrantMargin
 			}
 		} else {
@@ -644,10 +644,10 @@
 		}
 	}
 	if f.From == c.self.Id {
-		c.takeGrant(f, outcome)
+		c.takeGrant(f, response)
 		return
 	}
-	c.send(f.Address, &schema.Frame{Body: &schema.Frame_HeartbeatResponse{HeartbeatResponse: outcome}})
+	c.send(f.Address, &schema.Frame{Body: &schema.Frame_HeartbeatResponse{HeartbeatResponse: response}})
 }
 
 func (c *Core) takeGrant(f *schema.Frame, o *schema.HeartbeatResponse) {
@@ -779,7 +779,7 @@
 			effects.Hard.Id, effects.Hard.System, effects.Hard.Version = c.self.Id, c.system, c.shownFleet()
 		}
 	}
-	effects.IsWork = effects.Hard != nil || len(effects.Quorum.Items) > 0 || effects.Quorum.Image != nil || len(effects.Sends) > 0 || len(effects.Outcomes) > 0 || len(effects.Calls) > 0 ||
+	effects.IsWork = effects.Hard != nil || len(effects.Quorum.Items) > 0 || effects.Quorum.Image != nil || len(effects.Sends) > 0 || len(effects.Responses) > 0 || len(effects.Calls) > 0 ||
 		len(effects.Quorum.Reads) > 0 || len(effects.Quorum.LostReads) > 0
 	return effects
 }
@@ -794,7 +794,7 @@
 	if c.refused != nil {
 		return Effects{}
 	}
-	effects := Effects{Sends: c.effects.Sends, Outcomes: c.effects.Outcomes, Calls: c.effects.Calls}
+	effects := Effects{Sends: c.effects.Sends, Responses: c.effects.Responses, Calls: c.effects.Calls}
 	c.effects = Effects{}
 	return effects
 }
--- a/internal/core/districts_test.go
+++ b/internal/core/districts_test.go
@@ -41,7 +41,7 @@
 		name    string
 		zones   map[string]string
 		zone    string
-		decline schema.RefusalKind
+		refusal schema.RefusalKind
 		known   int
 	}{
 		{"its own", map[string]string{"d1": "r1"}, "d1", schema.RefusalKind_REFUSAL_NONE, 1},
@@ -54,7 +54,7 @@
 			self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Admin: "a", Zone: "d1", Region: "r1", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
 			core := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 				Routed: &Routed{Zones: c.zones, HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
-			var outcome *schema.OperatorResponse
+			var response *schema.OperatorResponse
 			for now := time.Hour; now < time.Hour+8*time.Second; now += 20 * time.Millisecond {
 				core.Tick(now)
 				if now == time.Hour+6*time.Second {
@@ -62,8 +62,8 @@
 				}
 				for range 8 {
 					effects := core.Take()
-					for _, o := range effects.Outcomes {
-						outcome = o.Outcome
+					for _, o := range effects.Responses {
+						response = o.Response
 					}
 					if !effects.IsWork {
 						break
@@ -71,10 +71,10 @@
 					core.Synced(now, effects)
 				}
 			}
-			if outcome == nil || outcome.Refusal != c.decline || len(core.view.Zones) != c.known {
-				t.Fatalf("outcome %v, %d districts, want %v and %d", outcome, len(core.view.Zones), c.decline, c.known)
+			if response == nil || response.Refusal != c.refusal || len(core.view.Zones) != c.known {
+				t.Fatalf("outcome %v, %d districts, want %v and %d", response, len(core.view.Zones), c.refusal, c.known)
 			}
-			if got := core.view.Zones[c.zone].GetEmptied(); got != (c.decline == schema.RefusalKind_REFUSAL_NONE) {
+			if got := core.view.Zones[c.zone].GetEmptied(); got != (c.refusal == schema.RefusalKind_REFUSAL_NONE) {
 				t.Fatalf("emptied: %v", got)
 			}
 		})
--- a/internal/core/driver.go
+++ b/internal/core/driver.go
@@ -15,7 +15,7 @@
 	Journal *journal.Journal
 	Now     func() time.Duration
 	Send    func(to string, f *schema.Frame)
-	Answer  func(Outcome)
+	Answer  func(LocalResponse)
 	Granted func(GrantCall)
 	Synced  func(took time.Duration, err error)
 	Publish func()
@@ -94,7 +94,7 @@
 	for _, s := range effects.Sends {
 		d.Send(s.To, s.Frame)
 	}
-	for _, o := range effects.Outcomes {
+	for _, o := range effects.Responses {
 		d.Answer(o)
 	}
 	for _, call := range effects.Calls {
--- a/internal/core/driver_test.go
+++ b/internal/core/driver_test.go
@@ -35,7 +35,7 @@
 				Draw: func(n int64) int64 { return n - 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 			var finish func(error)
 			votes, others := 0, 0
-			driver := &core.Driver{Core: machine, Journal: j, Now: func() time.Duration { return now }, Publish: func() {}, Answer: func(core.Outcome) {}, Synced: func(time.Duration, error) {},
+			driver := &core.Driver{Core: machine, Journal: j, Now: func() time.Duration { return now }, Publish: func() {}, Answer: func(core.LocalResponse) {}, Synced: func(time.Duration, error) {},
 				Send: func(_ string, f *schema.Frame) {
 					if raft := f.GetRaft(); raft != nil && raft.Kind == schema.RaftKind_RAFT_VOTE_RESPONSE && !raft.Rejected {
 						votes++
--- a/internal/core/history_test.go
+++ b/internal/core/history_test.go
@@ -120,16 +120,16 @@
 		if len(up) == 0 {
 			return
 		}
-		w.order(up[w.random.Intn(len(up))], query, func(outcome *schema.OperatorResponse) {
+		w.order(up[w.random.Intn(len(up))], query, func(response *schema.OperatorResponse) {
 			switch {
 			case isDone || w.random.Float64() < o.ackLoss:
-			case outcome.Refusal == schema.RefusalKind_REFUSAL_NO_LEADER || outcome.Refusal == schema.RefusalKind_REFUSAL_AMBIGUOUS:
+			case response.Refusal == schema.RefusalKind_REFUSAL_NO_LEADER || response.Refusal == schema.RefusalKind_REFUSAL_AMBIGUOUS:
 				if tries == number {
 					again(time.Duration(50*number) * time.Millisecond)
 				}
 			case op.isRead:
-				end(answer{version: outcome.Version, text: string(outcome.Document)})
-			case outcome.Refusal == schema.RefusalKind_REFUSAL_NONE:
+				end(answer{version: response.Version, text: string(response.Document)})
+			case response.Refusal == schema.RefusalKind_REFUSAL_NONE:
 				o.taken++
 				end(answer{isTaken: true})
 			default:
--- a/internal/core/losses_test.go
+++ b/internal/core/losses_test.go
@@ -230,10 +230,10 @@
 // The leader tells how many more voters may be lost, and why no more.
 func TestTheLeaderTellsWhatIsBorne(t *testing.T) {
 	w := newWorld(t, 1, 6, 0)
-	ask := func() (outcome *schema.OperatorResponse) {
-		w.order(w.leader(), &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}, func(o *schema.OperatorResponse) { outcome = o })
+	ask := func() (response *schema.OperatorResponse) {
+		w.order(w.leader(), &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}, func(o *schema.OperatorResponse) { response = o })
 		w.run(time.Second)
-		return outcome
+		return response
 	}
 	if got := ask(); got.GetToleratedLosses() != 2 || len(got.GetUnresponsiveVoters()) != 0 {
 		t.Fatalf("of six voters: %v", got)
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -45,12 +45,12 @@
 	}
 }
 
-func (c *Core) reply(w *waiter, outcome *schema.OperatorResponse) {
+func (c *Core) reply(w *waiter, response *schema.OperatorResponse) {
 	if w.to != "" {
-		c.send(w.to, &schema.Frame{Call: w.call, Body: &schema.Frame_OperatorResponse{OperatorResponse: outcome}})
+		c.send(w.to, &schema.Frame{Call: w.call, Body: &schema.Frame_OperatorResponse{OperatorResponse: response}})
 		return
 	}
-	c.effects.Outcomes = append(c.effects.Outcomes, Outcome{w.ticket, outcome})
+	c.effects.Responses = append(c.effects.Responses, LocalResponse{w.ticket, response})
 }
 
 // operateElsewhere has another node decide an order, or refuses it to the node that passed it on.
@@ -81,9 +81,9 @@
 // answer gives an answer that rests on this machine's state and not on a commit of its own: a refusal, or the word that an order changes nothing
 // or was taken before. A machine that leads no more, and does not know it yet, would give it by old state: so a majority must have confirmed,
 // after the order came, that this one leads. The order is then decided anew on the state of that moment.
-func (c *Core) answer(w *waiter, outcome *schema.OperatorResponse) {
+func (c *Core) answer(w *waiter, response *schema.OperatorResponse) {
 	if w.isConfirmed {
-		c.reply(w, outcome)
+		c.reply(w, response)
 		return
 	}
 	c.read(w)
@@ -213,10 +213,10 @@
 
 func (c *Core) confirm() {
 	c.confirming = slices.DeleteFunc(c.confirming, func(w *waiter) bool {
-		outcome := &schema.OperatorResponse{Version: w.version, Index: w.index, Unconfirmed: c.unconfirmed(w.index)}
-		isOver := len(outcome.Unconfirmed) == 0 || c.now >= w.until || !c.IsLeading()
+		response := &schema.OperatorResponse{Version: w.version, Index: w.index, Unconfirmed: c.unconfirmed(w.index)}
+		isOver := len(response.Unconfirmed) == 0 || c.now >= w.until || !c.IsLeading()
 		if isOver {
-			c.reply(w, outcome)
+			c.reply(w, response)
 		}
 		return isOver
 	})
@@ -234,18 +234,18 @@
 		return
 	}
 	document := image.Decode[schema.CatalogDocument](c.table.Get(image.DocumentKey))
-	outcome := &schema.OperatorResponse{Version: document.GetVersion(), Document: document.GetDocument(), Index: c.table.Version()}
+	response := &schema.OperatorResponse{Version: document.GetVersion(), Document: document.GetDocument(), Index: c.table.Version()}
 	if w.query.Kind == schema.OperatorKind_OPERATOR_STATUS {
-		outcome = &schema.OperatorResponse{Version: document.GetVersion(), Index: c.operated(), Unconfirmed: c.unconfirmed(c.operated()),
+		response = &schema.OperatorResponse{Version: document.GetVersion(), Index: c.operated(), Unconfirmed: c.unconfirmed(c.operated()),
 			Reports: c.reports(), Changes: c.changes}
-		outcome.ToleratedLosses, outcome.UnresponsiveVoters = c.lossesBorne()
+		response.ToleratedLosses, response.UnresponsiveVoters = c.lossesBorne()
 	}
 	head := image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey))
 	if w.query.Kind == schema.OperatorKind_OPERATOR_ASK && head.GetOperatorKey() != w.query.Key {
-		outcome = &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Version: head.GetVersion(),
+		response = &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Version: head.GetVersion(),
 			Message: "the newest configuration was not put with that key; read it back and compare"}
 	}
-	c.reply(w, outcome)
+	c.reply(w, response)
 }
 
 // isDecided tells whether an order of that kind is decided by the leader, and not only read from its state.
@@ -390,23 +390,23 @@
 
 // takeOutcome takes another node's answer to an order that was passed on. Only an answer to an order of this life, from a node that it was
 // passed on to, is given to whoever waits for it.
-func (c *Core) takeOutcome(f *schema.Frame, outcome *schema.OperatorResponse) {
+func (c *Core) takeResponse(f *schema.Frame, response *schema.OperatorResponse) {
 	at := slices.IndexFunc(c.waiters, func(w *waiter) bool { return w.isSent && w.ticket == f.Call && slices.Contains(w.asked, f.Address) })
 	if at < 0 {
 		c.strays++
 		return
 	}
 	w := c.waiters[at]
-	if c.mayAskAgain(w, outcome) {
+	if c.mayAskAgain(w, response) {
 		return
 	}
 	c.waiters = slices.Delete(c.waiters, at, at+1)
-	c.effects.Outcomes = append(c.effects.Outcomes, Outcome{w.ticket, outcome})
+	c.effects.Responses = append(c.effects.Responses, LocalResponse{w.ticket, response})
 }
 
 // mayAskAgain tells that an answer only says that another node must be asked, and there is time to: operators wait longer after each failure.
-func (c *Core) mayAskAgain(w *waiter, outcome *schema.OperatorResponse) bool {
-	if c.routed == nil || outcome.Refusal != schema.RefusalKind_REFUSAL_NO_LEADER || c.now >= w.bornAt+constants.OperatorPatience {
+func (c *Core) mayAskAgain(w *waiter, response *schema.OperatorResponse) bool {
+	if c.routed == nil || response.Refusal != schema.RefusalKind_REFUSAL_NO_LEADER || c.now >= w.bornAt+constants.OperatorPatience {
 		return false
 	}
 	w.hasWay = false
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -15,19 +15,19 @@
 
 // fleet is three disk machines and a reader of a routed fleet, with links that can be cut.
 type fleet struct {
-	t        testing.TB
-	now      time.Duration
-	names    []string
-	cores    map[string]*Core
-	isDown   map[string]bool
-	outcomes map[uint64]*schema.OperatorResponse
-	ticket   uint64
+	t         testing.TB
+	now       time.Duration
+	names     []string
+	cores     map[string]*Core
+	isDown    map[string]bool
+	responses map[uint64]*schema.OperatorResponse
+	ticket    uint64
 }
 
 func newFleet(t *testing.T) *fleet { return newFleetOf(t) }
 
 func newFleetOf(t testing.TB) *fleet {
-	f := &fleet{t: t, now: time.Hour, names: []string{"a", "b", "c", "r"}, cores: map[string]*Core{}, isDown: map[string]bool{}, outcomes: map[uint64]*schema.OperatorResponse{}}
+	f := &fleet{t: t, now: time.Hour, names: []string{"a", "b", "c", "r"}, cores: map[string]*Core{}, isDown: map[string]bool{}, responses: map[uint64]*schema.OperatorResponse{}}
 	random := rand.New(rand.NewSource(3))
 	for _, name := range f.names {
 		self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "g", Disk: name != "r", Incarnation: 1, State: schema.NodeState_NODE_READY}
@@ -51,8 +51,8 @@
 			core.Tick(f.now)
 			for range 12 {
 				effects := core.Take()
-				for _, o := range effects.Outcomes {
-					f.outcomes[o.Ticket] = o.Outcome
+				for _, o := range effects.Responses {
+					f.responses[o.Ticket] = o.Response
 				}
 				if !effects.IsWork {
 					break
@@ -95,13 +95,13 @@
 	return f.ticket
 }
 
-func (f *fleet) declined(ticket uint64) schema.RefusalKind {
+func (f *fleet) refused(ticket uint64) schema.RefusalKind {
 	f.t.Helper()
-	outcome := f.outcomes[ticket]
-	if outcome == nil {
+	response := f.responses[ticket]
+	if response == nil {
 		f.t.Fatalf("order %d has no answer", ticket)
 	}
-	return outcome.Refusal
+	return response.Refusal
 }
 
 func configOf(generation, base uint64, text string) *schema.OperatorRequest {
@@ -156,8 +156,8 @@
 				}
 				ticket := f.order(at, configOf(p.generation, p.base, p.text))
 				f.run(time.Second)
-				if got := f.declined(ticket); got != p.want {
-					t.Fatalf("order %d, %s on %d: %v (%s), want %v", i, p.text, p.base, got, f.outcomes[ticket].Message, p.want)
+				if got := f.refused(ticket); got != p.want {
+					t.Fatalf("order %d, %s on %d: %v (%s), want %v", i, p.text, p.base, got, f.responses[ticket].Message, p.want)
 				}
 			}
 			for _, name := range f.names {
@@ -173,8 +173,8 @@
 	f := newFleet(t)
 	first := f.order(f.leader(), configOf(1, 0, "one"))
 	f.run(time.Second)
-	if f.declined(first) != taken {
-		t.Fatal(f.outcomes[first])
+	if f.refused(first) != taken {
+		t.Fatal(f.responses[first])
 	}
 	var tickets []uint64
 	for i := range 8 {
@@ -187,7 +187,7 @@
 	f.run(2 * time.Second)
 	winners, winner := 0, ""
 	for i, ticket := range tickets {
-		switch got := f.declined(ticket); got {
+		switch got := f.refused(ticket); got {
 		case taken:
 			winners++
 			winner = fmt.Sprintf("of-%d", i)
@@ -208,8 +208,8 @@
 		text := fmt.Sprintf("of-%d", i)
 		again := f.order(f.other(i), configOf(2, 1, text))
 		f.run(time.Second)
-		if f.declined(again) != f.declined(ticket) {
-			t.Errorf("%s again: %v, first %v", text, f.declined(again), f.declined(ticket))
+		if f.refused(again) != f.refused(ticket) {
+			t.Errorf("%s again: %v, first %v", text, f.refused(again), f.refused(ticket))
 		}
 	}
 }
@@ -243,7 +243,7 @@
 				}
 				f.run(time.Second)
 				for _, ticket := range tickets {
-					if got := f.declined(ticket); got != taken {
+					if got := f.refused(ticket); got != taken {
 						t.Errorf("order %d: %v", ticket, got)
 					}
 				}
@@ -256,7 +256,7 @@
 				f.run(5 * time.Second)
 				again := f.order(f.other(0), &schema.OperatorRequest{Kind: c.orders[len(c.orders)-1], Zone: "y", Reason: "operator"})
 				f.run(time.Second)
-				if got := f.declined(again); got != taken {
+				if got := f.refused(again); got != taken {
 					t.Errorf("the last again, after the leader was lost: %v", got)
 				}
 			})
@@ -279,15 +279,15 @@
 				f.cores[leader].Stop(f.now)
 			}
 			f.run(3 * time.Second)
-			if f.declined(ticket) != taken && f.declined(ticket) != schema.RefusalKind_REFUSAL_NO_LEADER {
-				t.Fatalf("%v", f.outcomes[ticket])
+			if f.refused(ticket) != taken && f.refused(ticket) != schema.RefusalKind_REFUSAL_NO_LEADER {
+				t.Fatalf("%v", f.responses[ticket])
 			}
 			f.isDown[leader] = true
 			f.run(4 * time.Second)
 			again := f.order(f.other(0), configOf(1, 0, "one"))
 			f.run(time.Second)
-			if f.declined(again) != taken {
-				t.Fatalf("again: %v", f.outcomes[again])
+			if f.refused(again) != taken {
+				t.Fatalf("again: %v", f.responses[again])
 			}
 			for _, name := range f.names {
 				if !f.isDown[name] && f.cores[name].view.Head.GetVersion() != 1 {
@@ -317,8 +317,8 @@
 			for round := range 4 {
 				ticket := f.order(f.leader(), configOf(version+1, version, fmt.Sprint("of-", round)))
 				f.run(time.Second)
-				if f.declined(ticket) != taken {
-					t.Fatalf("round %d: %v", round, f.outcomes[ticket])
+				if f.refused(ticket) != taken {
+					t.Fatalf("round %d: %v", round, f.responses[ticket])
 				}
 				version++
 				lost := f.leader()
@@ -341,8 +341,8 @@
 				}
 				again := f.order(leader, configOf(version, version-1, fmt.Sprint("of-", round)))
 				f.run(time.Second)
-				if f.declined(again) != taken {
-					t.Fatalf("round %d: what was taken is lost: %v", round, f.outcomes[again])
+				if f.refused(again) != taken {
+					t.Fatalf("round %d: what was taken is lost: %v", round, f.responses[again])
 				}
 			}
 		})
@@ -366,8 +366,8 @@
 			f := newFleet(t)
 			first := f.order(f.leader(), configOf(1, 0, "one"))
 			f.run(time.Second)
-			if f.declined(first) != taken {
-				t.Fatal(f.outcomes[first])
+			if f.refused(first) != taken {
+				t.Fatal(f.responses[first])
 			}
 			core := f.cores[f.leader()]
 			former := configOf(2, 1, "two").Routes
@@ -377,8 +377,8 @@
 			}
 			ticket := f.order(f.leader(), c.order)
 			f.run(2 * time.Second)
-			if got := f.declined(ticket); got != c.want {
-				t.Errorf("%v (%s), want %v", got, f.outcomes[ticket].Message, c.want)
+			if got := f.refused(ticket); got != c.want {
+				t.Errorf("%v (%s), want %v", got, f.responses[ticket].Message, c.want)
 			}
 			if head := core.view.Head.GetVersion(); head != c.head {
 				t.Errorf("version %d is in force, want %d", head, c.head)
@@ -394,8 +394,8 @@
 	for version := range uint64(changes) {
 		ticket := f.order(f.leader(), configOf(version+1, version, fmt.Sprint("of-", version+1)))
 		f.run(100 * time.Millisecond)
-		if f.declined(ticket) != taken {
-			t.Fatalf("version %d: %v", version+1, f.outcomes[ticket])
+		if f.refused(ticket) != taken {
+			t.Fatalf("version %d: %v", version+1, f.responses[ticket])
 		}
 	}
 	f.isDown[f.leader()] = true
@@ -404,8 +404,8 @@
 		same := f.order(f.other(0), configOf(version, version-1, fmt.Sprint("of-", version)))
 		other := f.order(f.leader(), configOf(version, version-1, "another"))
 		f.run(time.Second)
-		if f.declined(same) != taken || f.declined(other) != conflict {
-			t.Errorf("version %d again: %v; another under its number: %v", version, f.outcomes[same], f.outcomes[other])
+		if f.refused(same) != taken || f.refused(other) != conflict {
+			t.Errorf("version %d again: %v; another under its number: %v", version, f.responses[same], f.responses[other])
 		}
 	}
 }
--- a/internal/core/pass_on_test.go
+++ b/internal/core/pass_on_test.go
@@ -15,7 +15,7 @@
 		leader  string
 		answer  *schema.OperatorResponse
 		sends   int
-		decline schema.RefusalKind
+		refusal schema.RefusalKind
 		isDone  bool
 	}
 	ms := time.Millisecond
@@ -28,8 +28,8 @@
 		{"a leader is known after a while", []step{{after: 420 * ms}, {after: 200 * ms, leader: "l"}, {after: 220 * ms, sends: 1}, {answer: &schema.OperatorResponse{}, isDone: true}}},
 		{"the former leader was asked", []step{{leader: "old"}, {after: 420 * ms, sends: 1}, {answer: noLeader}, {after: 20 * ms, leader: "new"}, {after: 100 * ms, sends: 1}, {answer: &schema.OperatorResponse{}, isDone: true}}},
 		{"the query was lost on its way", []step{{leader: "l"}, {after: 420 * ms, sends: 1}, {after: 420 * ms, sends: 1}, {answer: &schema.OperatorResponse{}, isDone: true}}},
-		{"there is no leader", []step{{after: 420 * ms}, {after: 420 * ms}, {after: 420 * ms, decline: schema.RefusalKind_REFUSAL_NO_LEADER, isDone: true}}},
-		{"nobody leads to the end", []step{{leader: "l"}, {after: 420 * ms, sends: 1}, {after: 480 * ms, sends: 1}, {after: 100 * ms}, {answer: noLeader, decline: schema.RefusalKind_REFUSAL_NO_LEADER, isDone: true}}},
+		{"there is no leader", []step{{after: 420 * ms}, {after: 420 * ms}, {after: 420 * ms, refusal: schema.RefusalKind_REFUSAL_NO_LEADER, isDone: true}}},
+		{"nobody leads to the end", []step{{leader: "l"}, {after: 420 * ms, sends: 1}, {after: 480 * ms, sends: 1}, {after: 100 * ms}, {answer: noLeader, refusal: schema.RefusalKind_REFUSAL_NO_LEADER, isDone: true}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Hour
@@ -64,8 +64,8 @@
 				if sends != s.sends {
 					t.Fatalf("step %d: passed on %d times, want %d", i, sends, s.sends)
 				}
-				if isDone := len(effects.Outcomes) > 0; isDone != s.isDone || isDone && effects.Outcomes[0].Outcome.Refusal != s.decline {
-					t.Fatalf("step %d: outcomes %v", i, effects.Outcomes)
+				if isDone := len(effects.Responses) > 0; isDone != s.isDone || isDone && effects.Responses[0].Response.Refusal != s.refusal {
+					t.Fatalf("step %d: outcomes %v", i, effects.Responses)
 				}
 			}
 		})
@@ -94,11 +94,11 @@
 			core.Operate(now, 5, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
 			answer := &schema.Frame{System: "x", From: c.from, Address: c.from, Call: c.call, Response: true, Body: &schema.Frame_OperatorResponse{OperatorResponse: &schema.OperatorResponse{Version: 7}}}
 			core.Receive(now, answer)
-			if got := len(core.Take().Outcomes) == 1; got != c.want {
+			if got := len(core.Take().Responses) == 1; got != c.want {
 				t.Fatalf("given to the caller: %v, want %v", got, c.want)
 			}
 			core.Receive(now, answer)
-			if len(core.Take().Outcomes) != 0 {
+			if len(core.Take().Responses) != 0 {
 				t.Fatal("an answer was given twice")
 			}
 			if strays := core.Local().Strays; c.want && strays != 1 || !c.want && strays != 2 {
--- a/internal/core/startup_world_test.go
+++ b/internal/core/startup_world_test.go
@@ -156,7 +156,7 @@
 	n.core = core.New(f.clock(n), options)
 	n.driver = &core.Driver{Core: n.core, Journal: opened, Now: func() time.Duration { return f.clock(n) },
 		Send:    func(to string, sent *schema.Frame) { f.send(n, to, sent) },
-		Answer:  func(core.Outcome) {},
+		Answer:  func(core.LocalResponse) {},
 		Synced:  func(time.Duration, error) {},
 		Granted: func(call core.GrantCall) { f.grant(n, call) },
 		Write: func(work func() error, done func(error)) {
@@ -170,7 +170,7 @@
 func (f *startupFleet) grant(n *startupNode, call core.GrantCall) {
 	fmt.Fprintln(f.history, "grant", f.now, n.index, call.ID)
 	f.after(startupGrantDelay, func() {
-		f.step(n, func() { n.core.Granted(f.clock(n), call.Life, keys.Answer{ID: call.ID, Outcome: keys.Done}) })
+		f.step(n, func() { n.core.Granted(f.clock(n), call.Life, keys.Answer{ID: call.ID, Result: keys.Done}) })
 	})
 }
 
--- a/internal/core/version.go
+++ b/internal/core/version.go
@@ -50,8 +50,8 @@
 	if err == nil {
 		err = versions.CheckFleet(span, fleet)
 	}
-	if err != nil && c.declined[node.GetId()] != node.GetIncarnation() {
-		c.declined[node.GetId()] = node.GetIncarnation()
+	if err != nil && c.refusedNodes[node.GetId()] != node.GetIncarnation() {
+		c.refusedNodes[node.GetId()] = node.GetIncarnation()
 		c.log.Error("node is declined", "node", node.GetId(), "reason", err.Error())
 	}
 	return err == nil
--- a/internal/core/version_test.go
+++ b/internal/core/version_test.go
@@ -140,7 +140,7 @@
 }
 
 func TestARiseRacedByAJoin(t *testing.T) {
-	joined, declined := 0, 0
+	joined, refused := 0, 0
 	for offset := time.Duration(0); offset < 2*time.Second; offset += 100 * time.Millisecond {
 		w := newMixedWorld(nil)
 		w.run(t, 5*time.Second+offset)
@@ -151,14 +151,14 @@
 		if isIn {
 			joined++
 		} else {
-			declined++
+			refused++
 		}
 		if isIn != (w.cores["f"].refused == nil) || isIn != (fleet == 1) {
 			t.Errorf("joined after %v: in the table %v, refused %v, fleet at %d", offset, isIn, w.cores["f"].refused, fleet)
 		}
 	}
-	if joined == 0 || declined == 0 {
-		t.Errorf("%d joined before the rise and %d came after it; the offsets don't span it", joined, declined)
+	if joined == 0 || refused == 0 {
+		t.Errorf("%d joined before the rise and %d came after it; the offsets don't span it", joined, refused)
 	}
 }
 
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -48,16 +48,16 @@
 func New(options Options) *Directory { return &Directory{options} }
 
 // Decide is the pure part: a match, or a final decline, or neither to be asked again.
-func Decide(now time.Duration, local *core.Local, region, service, path string, parked time.Duration, draw func(int64) int64) (*Match, *proxy.DeclineError, string) {
+func Decide(now time.Duration, local *core.Local, region, service, path string, parked time.Duration, draw func(int64) int64) (*Match, *proxy.RefusalError, string) {
 	entry, early := proxy.Entry(now, local, service, path, parked)
 	if early != nil {
-		return nil, early.Decline, early.Wanted
+		return nil, early.Refusal, early.Wanted
 	}
-	later := func(message string) (*Match, *proxy.DeclineError, string) {
+	later := func(message string) (*Match, *proxy.RefusalError, string) {
 		if parked < constants.ParkMost {
 			return nil, nil, ""
 		}
-		return nil, &proxy.DeclineError{Status: http.StatusServiceUnavailable, Kind: "no-standing", Message: message, Outcome: proxy.OutcomeDeclined, RetryAfter: constants.RetryAfter}, ""
+		return nil, &proxy.RefusalError{Status: http.StatusServiceUnavailable, Kind: "no-standing", Message: message, Result: proxy.ResultRefused, RetryAfter: constants.RetryAfter}, ""
 	}
 	origin := standing.Origin{Region: region}
 	if standing.IsBound(entry) {
@@ -101,7 +101,7 @@
 		region = d.options.Self.Region
 	}
 	if service == "" {
-		(&proxy.DeclineError{Status: http.StatusBadRequest, Kind: "no-service", Message: "name the service: /v1/match?service=NAME&path=/PATH", Outcome: proxy.OutcomeDeclined}).Write(w)
+		(&proxy.RefusalError{Status: http.StatusBadRequest, Kind: "no-service", Message: "name the service: /v1/match?service=NAME&path=/PATH", Result: proxy.ResultRefused}).Write(w)
 		return
 	}
 	var parked time.Duration
@@ -113,9 +113,9 @@
 			return
 		}
 		if fault != nil {
-			var decline *proxy.DeclineError
-			if errors.As(fault, &decline) {
-				decline.Write(w)
+			var refusal *proxy.RefusalError
+			if errors.As(fault, &refusal) {
+				refusal.Write(w)
 			}
 			return
 		}
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestAnAnonymousFirstFrameIsDeclined(t *testing.T) {
+func TestAnAnonymousFirstFrameIsRefused(t *testing.T) {
 	var buffer bytes.Buffer
 	if err := Write(&buffer, &schema.Frame{Call: 5}); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -439,7 +439,7 @@
 		finish(false)
 		switch {
 		case answer.Status != http.StatusMisdirectedRequest:
-			judge(VerdictDeclined)
+			judge(VerdictRefused)
 		case !machine.IsKeyed:
 			for range constants.FailuresToRest {
 				g.loads.Fail(g.options.Now(), instance)
--- a/internal/gateway/outliers.go
+++ b/internal/gateway/outliers.go
@@ -20,7 +20,7 @@
 	// VerdictFailed: an error of the back end's own, a broken or untrustworthy answer, silence, or no connection.
 	VerdictFailed
 	// VerdictDeclined: the back end says that it did not run the request. Full ones say so too, so that it counts only beside the others of the service.
-	VerdictDeclined
+	VerdictRefused
 )
 
 // Standing is how a node takes a back end.
@@ -154,7 +154,7 @@
 		// The others' share is that of the service without this back end.
 		others := (t.bad - s.bad) / max(1, t.bad+t.good-s.bad-s.good)
 		least := constants.OutlierShare + constants.OutlierOver*max(0, others)
-		if verdict == VerdictDeclined && s.bad < constants.OutlierDeclines || s.bad < least*(s.bad+s.good) {
+		if verdict == VerdictRefused && s.bad < constants.OutlierRefusals || s.bad < least*(s.bad+s.good) {
 			return
 		}
 	}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestJournalDeclinesLargeImage(t *testing.T) {
+func TestJournalRefusesLargeSnapshot(t *testing.T) {
 	j, _ := open(t, sim.NewDisk())
 	value := make([]byte, 64<<10)
 	rand.New(rand.NewSource(1)).Read(value)
--- a/internal/judge/history.go
+++ b/internal/judge/history.go
@@ -33,7 +33,7 @@
 	Send     string
 	Zone     string
 	Proxy    string
-	Outcome  string
+	Result   string
 	Kind     string
 	Status   int
 	Digest   string
@@ -51,7 +51,7 @@
 	Path     string
 	Attempt  string
 	IsUnsafe bool
-	Outcome  string
+	Result   string
 	Sends    int
 	Last     string
 }
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -59,12 +59,12 @@
 		sent[a.Send] = sent[a.Send] || a.IsUnsafe && a.IsRun
 	}
 	for _, r := range h.Replies {
-		if r.IsUnsafe && r.Outcome == "declined" && sent[r.Send] {
+		if r.IsUnsafe && r.Result == "declined" && sent[r.Send] {
 			v.breach("send %s ran though its caller was told that it had not", r.Send)
 		}
 	}
 	for _, c := range h.Calls {
-		if c.IsUnsafe && c.Outcome == "declined" && runs[c.Attempt] > 0 {
+		if c.IsUnsafe && c.Result == "declined" && runs[c.Attempt] > 0 {
 			v.breach("attempt %s ran though the caller was told that it had not", c.Attempt)
 		}
 	}
@@ -78,7 +78,7 @@
 		digests[a.Attempt] = append(digests[a.Attempt], a.Digest)
 	}
 	for _, r := range h.Replies {
-		if r.Outcome == "sealed" {
+		if r.Result == "sealed" {
 			v.Count++
 			if !slices.Contains(digests[r.Attempt], r.Digest) {
 				v.breach("send %s got a success that no back end sealed for it", r.Send)
--- a/internal/judge/judge_test.go
+++ b/internal/judge/judge_test.go
@@ -20,8 +20,8 @@
 			a.Service, a.Instance, a.Path, a.Method, a.IsUnsafe, a.Key = "pay", "pay-1", "/p", "POST", true, "k"
 		}
 		h.Arrivals = append(h.Arrivals, a)
-		h.Replies = append(h.Replies, &Reply{At: at, End: a.End, Service: a.Service, Path: a.Path, Attempt: attempt, Send: a.Send, Outcome: "sealed", Status: 200, Digest: a.Digest, IsUnsafe: a.IsUnsafe, Zone: "north-a", Proxy: "p1"})
-		h.Calls = append(h.Calls, &Call{At: at, End: a.End, Attempt: attempt, IsUnsafe: a.IsUnsafe, Outcome: "sealed"})
+		h.Replies = append(h.Replies, &Reply{At: at, End: a.End, Service: a.Service, Path: a.Path, Attempt: attempt, Send: a.Send, Result: "sealed", Status: 200, Digest: a.Digest, IsUnsafe: a.IsUnsafe, Zone: "north-a", Proxy: "p1"})
+		h.Calls = append(h.Calls, &Call{At: at, End: a.End, Attempt: attempt, IsUnsafe: a.IsUnsafe, Result: "sealed"})
 		h.Matches = append(h.Matches, MatchSeen{At: at, Door: "n1", Version: 1, Status: 200})
 	}
 	h.Operators = append(h.Operators, OperatorEvent{At: 40 * time.Second, End: 40 * time.Second, What: "show", Version: 1, Status: 200})
@@ -49,7 +49,7 @@
 			again.End = again.At
 			h.Arrivals = append(h.Arrivals, &again)
 		}},
-		{"once", "it runs although the caller was told that it had not", func(h *History) { h.Calls[0].Outcome = "declined" }},
+		{"once", "it runs although the caller was told that it had not", func(h *History) { h.Calls[0].Result = "declined" }},
 		{"sealed", "another attempt's answer", func(h *History) { h.Replies[5].Digest = h.Replies[6].Digest }},
 		{"sealed", "half an answer", func(h *History) { h.Replies[5].Digest = "half" }},
 		{"allowed", "a path without an entry", func(h *History) { h.Arrivals[5].Path = "/secret" }},
@@ -87,7 +87,7 @@
 		}},
 		{"dropped", "a sending breaks in a planned stop", func(h *History) {
 			h.Fleet = append(h.Fleet, FleetEvent{At: 19 * time.Second, End: 29 * time.Second, What: "stop", Node: "n1", Proxy: "p1"})
-			h.Replies[7].Broken, h.Replies[7].Outcome = "lost", ""
+			h.Replies[7].Broken, h.Replies[7].Result = "lost", ""
 		}},
 		{"repeats", "every safe query is sent twice", func(h *History) {
 			for _, a := range h.Arrivals[:200] {
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -62,12 +62,12 @@
 }
 
 // Outcome is how a call ended.
-type Outcome int
+type CallResult int
 
 // The outcomes of calls.
 const (
 	// Done tells that the back end took the call.
-	Done Outcome = iota + 1
+	Done CallResult = iota + 1
 	// Refused tells that the back end has seen a higher fence.
 	Refused
 	// Failed tells that the call surely was not taken.
@@ -81,7 +81,7 @@
 // Answer ends a call; each call must get one.
 type Answer struct {
 	ID       uint64
-	Outcome  Outcome
+	Result   CallResult
 	Handover string
 }
 
@@ -216,7 +216,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(g.pending)) {
 		if p := g.pending[id]; f.Now >= p.sent+p.call.Wait+constants.KeyAnswerLost {
-			g.Answered(f.Now, Answer{ID: id, Outcome: Unknown})
+			g.Answered(f.Now, Answer{ID: id, Result: Unknown})
 		}
 	}
 	g.exposures = slices.DeleteFunc(g.exposures, func(e *exposure) bool { return !e.isOpen && e.until <= f.Now || len(e.ranges) == 0 })
@@ -270,7 +270,7 @@
 	if p.call.Kind == Release {
 		progress := m.releases[id]
 		progress.isWaiting, progress.next = false, now+constants.KeyRetryPause
-		if a.Outcome == Done {
+		if a.Result == Done {
 			progress.isFreed, progress.handover = true, a.Handover
 			g.released(p.call)
 		}
@@ -278,12 +278,12 @@
 	}
 	if p.call.Kind == Probe {
 		switch quiet := m.silent[p.call.Instance]; {
-		case a.Outcome == Done:
+		case a.Result == Done:
 			delete(m.silent, p.call.Instance)
 		case quiet != nil:
 			quiet.isWaiting, quiet.next = false, now+constants.KeyRetryPause
 		}
-		if a.Outcome == Failed {
+		if a.Result == Failed {
 			m.downAt[p.call.Instance] = p.sent
 		}
 		return
@@ -292,7 +292,7 @@
 	progress.isWaiting = false
 	p.exposure.isOpen = false
 	p.exposure.until = now + lapse(p.call.Hold)
-	switch a.Outcome {
+	switch a.Result {
 	case Done:
 		progress.isDone, progress.next = true, p.sent+g.hold/constants.KeyRenewParts
 		progress.refusals = 0
@@ -313,7 +313,7 @@
 		m.hush(p.call.Instance, now)
 	}
 	progress.next = now + constants.KeyRetryPause
-	if _, isKnown := m.failedAt[p.call.Instance]; !isKnown && a.Outcome != Refused {
+	if _, isKnown := m.failedAt[p.call.Instance]; !isKnown && a.Result != Refused {
 		m.failedAt[p.call.Instance] = max(p.sent, now-constants.KeyGrantWait)
 	}
 }
--- a/internal/keys/silence_test.go
+++ b/internal/keys/silence_test.go
@@ -53,7 +53,7 @@
 func TestWhatAGrantMayHaveGiven(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		outcome Outcome
+		result  CallResult
 		isHeld  bool
 		isQuiet bool
 	}{
@@ -72,7 +72,7 @@
 			}
 			f.Now += constants.KeyGrantWait
 			f.LeaseAt = f.Now
-			g.Answered(f.Now, Answer{ID: calls[0].ID, Outcome: c.outcome})
+			g.Answered(f.Now, Answer{ID: calls[0].ID, Result: c.result})
 			f.Now += constants.KeyRetryPause
 			f.LeaseAt = f.Now
 			next := g.Step(f).Calls
--- a/internal/keys/world_test.go
+++ b/internal/keys/world_test.go
@@ -197,9 +197,9 @@
 	}
 	w.at(sent+call.Wait, func() {
 		if isLost && call.Kind == Grant && call.ID%2 == 0 { // no connection came up
-			answer(Answer{Outcome: Unsent})
+			answer(Answer{Result: Unsent})
 		}
-		answer(Answer{Outcome: Unknown})
+		answer(Answer{Result: Unknown})
 	})
 	arrival := sent + way()
 	if arrival > sent+call.Wait+constants.KeyArrivalMargin-stride || w.isRough && w.random.Intn(25) == 0 {
@@ -221,11 +221,11 @@
 		}
 		switch {
 		case h == nil:
-			reply(Answer{Outcome: Failed})
+			reply(Answer{Result: Failed})
 		case h.cutUntil > w.now:
 			isLost = true
 		case call.Kind == Probe:
-			reply(Answer{Outcome: Done})
+			reply(Answer{Result: Done})
 		case call.Kind == Grant:
 			reply(w.take(h, call))
 		default:
@@ -237,7 +237,7 @@
 func (w *world) take(h *holder, call Call) Answer {
 	for i, key := range w.cells {
 		if key >= call.First && key <= call.Last && h.seen[i] > call.Fence {
-			return Answer{Outcome: Refused}
+			return Answer{Result: Refused}
 		}
 	}
 	for i, key := range w.cells {
@@ -249,7 +249,7 @@
 			h.until[i] = w.now + time.Duration(float64(call.Hold)*h.slowness)
 		}
 	}
-	return Answer{Outcome: Done}
+	return Answer{Result: Done}
 }
 
 // give counts keys as held until the running work on them has ended.
@@ -273,7 +273,7 @@
 			}
 		}
 		*back = w.now + way()
-		reply(Answer{Outcome: Done, Handover: fmt.Sprintf("h%d-%d", call.First, call.Fence)})
+		reply(Answer{Result: Done, Handover: fmt.Sprintf("h%d-%d", call.First, call.Fence)})
 	})
 }
 
--- a/internal/node/native.go
+++ b/internal/node/native.go
@@ -139,14 +139,14 @@
 }
 
 func (c *caller) probe(ctx context.Context, call keys.Call) (keys.Answer, error) {
-	answer := keys.Answer{ID: call.ID, Outcome: keys.Unknown}
+	answer := keys.Answer{ID: call.ID, Result: keys.Unknown}
 	conn, err := c.dial(ctx, "tcp", call.Address)
 	switch {
 	case err == nil:
-		answer.Outcome = keys.Done
+		answer.Result = keys.Done
 		err = conn.Close()
 	case errors.Is(err, syscall.ECONNREFUSED):
-		answer.Outcome = keys.Failed
+		answer.Result = keys.Failed
 	}
 	return answer, err
 }
@@ -162,7 +162,7 @@
 	if call.Kind == keys.Probe {
 		return c.probe(ctx, call)
 	}
-	answer := keys.Answer{ID: call.ID, Outcome: keys.Unknown}
+	answer := keys.Answer{ID: call.ID, Result: keys.Unknown}
 	body, path := KeyCall{Service: call.Service, First: call.First, Last: call.Last, Number: call.Fence}, "/keys/release"
 	if call.Kind == keys.Grant {
 		body.HoldMS, body.Handover, path = call.Hold.Milliseconds(), call.Handover, "/keys/grant"
@@ -183,9 +183,9 @@
 	if err != nil {
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
-			answer.Outcome = keys.Failed
+			answer.Result = keys.Failed
 		case !hadConnection():
-			answer.Outcome = keys.Unsent
+			answer.Result = keys.Unsent
 		}
 		return answer, err
 	}
@@ -193,11 +193,11 @@
 	err = errors.Join(err, response.Body.Close())
 	switch {
 	case response.StatusCode == http.StatusOK:
-		answer.Outcome, answer.Handover = keys.Done, response.Header.Get(HandoverHeader)
+		answer.Result, answer.Handover = keys.Done, response.Header.Get(HandoverHeader)
 	case response.StatusCode == http.StatusConflict:
-		answer.Outcome = keys.Refused
+		answer.Result = keys.Refused
 	case response.StatusCode == http.StatusMisdirectedRequest || response.StatusCode == http.StatusBadRequest || response.Header.Get(names.NotRun) != "":
-		answer.Outcome = keys.Failed
+		answer.Result = keys.Failed
 	}
 	return answer, err
 }
--- a/internal/node/native_seam_test.go
+++ b/internal/node/native_seam_test.go
@@ -80,15 +80,15 @@
 		path   string
 		body   KeyCall
 	}{
-		{"a grant is taken", grant, 200, [2]string{}, false, keys.Answer{ID: 7, Outcome: keys.Done}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
-		{"a higher number was seen", grant, 409, [2]string{}, false, keys.Answer{ID: 7, Outcome: keys.Refused}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
-		{"a release hands over", release, 200, [2]string{HandoverHeader, "h1"}, false, keys.Answer{ID: 7, Outcome: keys.Done, Handover: "h1"}, "/keys/release", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3}},
-		{"another instance answers", grant, 421, [2]string{}, false, keys.Answer{ID: 7, Outcome: keys.Failed}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
-		{"full, and says that it did not run", grant, 503, [2]string{"Topazshed-Not-Run", "1"}, false, keys.Answer{ID: 7, Outcome: keys.Failed}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
-		{"an error that tells nothing", grant, 500, [2]string{}, false, keys.Answer{ID: 7, Outcome: keys.Unknown}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
-		{"nobody listens", grant, 0, [2]string{}, true, keys.Answer{ID: 7, Outcome: keys.Failed}, "", KeyCall{}},
-		{"a probe is answered", probe, 0, [2]string{}, false, keys.Answer{ID: 7, Outcome: keys.Done}, "", KeyCall{}},
-		{"a probe is refused", probe, 0, [2]string{}, true, keys.Answer{ID: 7, Outcome: keys.Failed}, "", KeyCall{}},
+		{"a grant is taken", grant, 200, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Done}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"a higher number was seen", grant, 409, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Refused}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"a release hands over", release, 200, [2]string{HandoverHeader, "h1"}, false, keys.Answer{ID: 7, Result: keys.Done, Handover: "h1"}, "/keys/release", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3}},
+		{"another instance answers", grant, 421, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Failed}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"full, and says that it did not run", grant, 503, [2]string{"Topazshed-Not-Run", "1"}, false, keys.Answer{ID: 7, Result: keys.Failed}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"an error that tells nothing", grant, 500, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Unknown}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"nobody listens", grant, 0, [2]string{}, true, keys.Answer{ID: 7, Result: keys.Failed}, "", KeyCall{}},
+		{"a probe is answered", probe, 0, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Done}, "", KeyCall{}},
+		{"a probe is refused", probe, 0, [2]string{}, true, keys.Answer{ID: 7, Result: keys.Failed}, "", KeyCall{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var path string
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -332,9 +332,9 @@
 }
 
 func (n *Node) driver() *core.Driver {
-	return &core.Driver{Core: n.core, Journal: n.journal, Now: n.Now, Send: n.net.Send, Publish: n.publish, Synced: n.synced, Write: n.write, Granted: n.grant, Answer: func(o core.Outcome) {
+	return &core.Driver{Core: n.core, Journal: n.journal, Now: n.Now, Send: n.net.Send, Publish: n.publish, Synced: n.synced, Write: n.write, Granted: n.grant, Answer: func(o core.LocalResponse) {
 		if answer, isThere := n.operates.LoadAndDelete(o.Ticket); isThere {
-			answer.(chan *schema.OperatorResponse) <- o.Outcome
+			answer.(chan *schema.OperatorResponse) <- o.Response
 		}
 	}}
 }
@@ -458,8 +458,8 @@
 	}
 	n.net.Send(address, f)
 	select {
-	case outcome := <-waiting.answer:
-		return outcome, nil
+	case response := <-waiting.answer:
+		return response, nil
 	case <-ctx.Done():
 		return nil, fmt.Errorf("call to %s: %w", address, ctx.Err())
 	}
@@ -472,8 +472,8 @@
 	defer n.operates.Delete(ticket)
 	n.do(func() { n.core.Operate(n.Now(), ticket, proto.Clone(query).(*schema.OperatorRequest)) })
 	select {
-	case outcome := <-answer:
-		return outcome, nil
+	case response := <-answer:
+		return response, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/internal/node/routed_test.go
+++ b/internal/node/routed_test.go
@@ -125,14 +125,14 @@
 	span := [2]uint32{call.First, call.Last}
 	if call.Kind == keys.Grant {
 		if h.held[span] > call.Fence {
-			return keys.Answer{ID: call.ID, Outcome: keys.Refused}, nil
+			return keys.Answer{ID: call.ID, Result: keys.Refused}, nil
 		}
 		h.held[span] = call.Fence
 		p.grants.Add(1)
-		return keys.Answer{ID: call.ID, Outcome: keys.Done}, nil
+		return keys.Answer{ID: call.ID, Result: keys.Done}, nil
 	}
 	delete(h.held, span)
-	return keys.Answer{ID: call.ID, Outcome: keys.Done, Handover: "h"}, nil
+	return keys.Answer{ID: call.ID, Result: keys.Done, Handover: "h"}, nil
 }
 
 type machine struct {
@@ -146,11 +146,11 @@
 func (m *machine) operate(query *schema.OperatorRequest) *schema.OperatorResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	outcome, err := m.outside.Operate(ctx, query)
+	response, err := m.outside.Operate(ctx, query)
 	if err != nil {
 		return &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_AMBIGUOUS, Message: err.Error()}
 	}
-	return outcome
+	return response
 }
 
 func free(t *testing.T, ip string) string {
@@ -276,12 +276,12 @@
 		Services: []*schema.ServicePolicy{{Service: "copper", ColdRate: 17}, {Service: "nickel", ColdRate: 17, Keyed: true}}}
 	put := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: config}
 	until(t, "the configuration is taken by the machine without a disk", func() bool { return machines[3].operate(put).Refusal == schema.RefusalKind_REFUSAL_NONE })
-	if outcome := machines[1].operate(put); outcome.Refusal != schema.RefusalKind_REFUSAL_NONE {
-		t.Fatalf("the same configuration sent again to another: %v", outcome)
+	if response := machines[1].operate(put); response.Refusal != schema.RefusalKind_REFUSAL_NONE {
+		t.Fatalf("the same configuration sent again to another: %v", response)
 	}
 	other := &schema.RouteConfig{Version: 6, Base: 0, Document: []byte("other"), Services: config.Services}
-	if outcome := machines[0].operate(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: other}); outcome.Refusal != schema.RefusalKind_REFUSAL_CONFLICT {
-		t.Fatalf("a second change on top of version 0: %v", outcome)
+	if response := machines[0].operate(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: other}); response.Refusal != schema.RefusalKind_REFUSAL_CONFLICT {
+		t.Fatalf("a second change on top of version 0: %v", response)
 	}
 
 	for i, m := range machines {
@@ -303,8 +303,8 @@
 	})
 	for i, m := range machines {
 		until(t, fmt.Sprintf("machine %d reads back", i), func() bool {
-			outcome := m.operate(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
-			return outcome.Version == 5 && bytes.Equal(outcome.Document, config.Document)
+			response := m.operate(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
+			return response.Version == 5 && bytes.Equal(response.Document, config.Document)
 		})
 	}
 	until(t, "the directory knows the machines", func() bool {
@@ -363,7 +363,7 @@
 	machines[0] = p.start(t, &s)
 	until(t, "the stopped machine is back with its configuration", func() bool {
 		status, _, err := machines[0].ask(client, "/c/x", "", "work")
-		outcome := machines[0].operate(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
-		return err == nil && status == 200 && outcome.Version == 5
+		response := machines[0].operate(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
+		return err == nil && status == 200 && response.Version == 5
 	})
 }
--- a/internal/proxy/course.go
+++ b/internal/proxy/course.go
@@ -50,8 +50,8 @@
 	IsBound bool
 	Claims  []ClaimCall
 	Replay  *schema.ReplayRequest
-	Outcome *Outcome
-	Fault   *DeclineError
+	Result  *Result
+	Fault   *RefusalError
 	Keeps   bool
 }
 
@@ -74,7 +74,7 @@
 type Event struct {
 	Kind      EventKind
 	Err       error
-	Outcome   *Outcome
+	Result    *Result
 	IsTouched bool
 	IsGone    bool
 	Claimed   *schema.ReservationResponse
@@ -134,7 +134,7 @@
 	tried     map[string]bool
 	lastFault string
 	endKeyed  func(bool)
-	fault     *DeclineError
+	fault     *RefusalError
 	isFinal   bool
 }
 
@@ -152,7 +152,7 @@
 		if c.phase == phaseForwardPause {
 			return c.reply(c.fault)
 		}
-		return c.giveUp(declineLater("gone", "the caller left or the wait is over"))
+		return c.giveUp(newRefusalLater("gone", "the caller left or the wait is over"))
 	}
 	switch c.phase {
 	case phaseForwardConnect:
@@ -167,7 +167,7 @@
 		return c.claimed(e)
 	case phaseClaimPause:
 		if c.now-c.parkedAt >= constants.ParkShort {
-			fault := declineLater("no-claim", "the keepers of this attempt id did not agree; send again")
+			fault := newRefusalLater("no-claim", "the keepers of this attempt id did not agree; send again")
 			fault.RetryAfter = max(constants.RetryAfter, c.silence)
 			return c.giveUp(fault)
 		}
@@ -207,11 +207,11 @@
 	c.decision = d
 	order := Order{}
 	switch d.Turn {
-	case TurnDecline:
-		order = c.giveUp(d.Decline)
+	case TurnRefuse:
+		order = c.giveUp(d.Refusal)
 	case TurnPark:
 		if c.now >= c.until {
-			order = c.giveUp(declineLater("late", "the wait is over"))
+			order = c.giveUp(newRefusalLater("late", "the wait is over"))
 			break
 		}
 		c.parkedAt = cmp.Or(c.parkedAt, c.now)
@@ -227,14 +227,14 @@
 	return order
 }
 
-func (c *RequestMachine) reply(fault *DeclineError) Order {
+func (c *RequestMachine) reply(fault *RefusalError) Order {
 	return Order{Kind: OrderReply, Fault: fault}
 }
 
-func (c *RequestMachine) giveUp(fault *DeclineError) Order {
+func (c *RequestMachine) giveUp(fault *RefusalError) Order {
 	if c.isTouched {
 		e := *fault
-		e.Status, e.Kind, e.Outcome = http.StatusBadGateway, "failed", OutcomeDoubtful
+		e.Status, e.Kind, e.Result = http.StatusBadGateway, "failed", ResultAmbiguous
 		e.Message = "a leg was begun and gave no sealed answer: " + c.lastFault
 		e.RetryAfter = constants.RetryAfter
 		return c.reply(&e)
@@ -242,7 +242,7 @@
 	return c.release(fault, true)
 }
 
-func (c *RequestMachine) release(fault *DeclineError, isFinal bool) Order {
+func (c *RequestMachine) release(fault *RefusalError, isFinal bool) Order {
 	c.fault, c.isFinal = fault, isFinal
 	if len(c.held) == 0 {
 		return c.released()
@@ -285,11 +285,11 @@
 	return c.sealedBefore(replayed(e.Replayed))
 }
 
-func (c *RequestMachine) sealedBefore(o *Outcome) Order {
+func (c *RequestMachine) sealedBefore(o *Result) Order {
 	if o == nil || o.Header.Get(HeaderAttempt) != c.Query.Attempt || o.Header.Get(HeaderDigest) != Seal(o.Body) {
 		return c.reply(c.fault)
 	}
-	return Order{Kind: OrderReply, Outcome: o}
+	return Order{Kind: OrderReply, Result: o}
 }
 
 func (c *RequestMachine) claim() Order {
@@ -334,7 +334,7 @@
 		return Order{Kind: OrderListen}
 	}
 	if c.elsewhere > 0 {
-		return c.release(&DeclineError{Status: http.StatusConflict, Kind: "attempt-held", Outcome: OutcomeDoubtful, RetryAfter: constants.RetryAfter,
+		return c.release(&RefusalError{Status: http.StatusConflict, Kind: "attempt-held", Result: ResultAmbiguous, RetryAfter: constants.RetryAfter,
 			Message: "another leg of this attempt id runs or ran, or may have run before its keepers' memory begins; its outcome is not known here"}, true)
 	}
 	c.parkedAt = cmp.Or(c.parkedAt, c.now)
@@ -344,7 +344,7 @@
 func (c *RequestMachine) attempt() Order {
 	b := c.decision.Backend
 	if c.attempts > 0 && (c.attempts >= constants.AttemptsMost || !c.Loads.Repeat(c.now, b.Service, c.part())) {
-		return c.giveUp(declineLater("no-repeat", "the repeat budget of %s is spent; send again later", b.Service))
+		return c.giveUp(newRefusalLater("no-repeat", "the repeat budget of %s is spent; send again later", b.Service))
 	}
 	c.Loads.Begin(b.Instance)
 	c.Loads.BeginKey(b.Service, c.Query.Key)
@@ -402,23 +402,23 @@
 	d := c.decision
 	err := e.Err
 	if err == nil {
-		err = verify(e.Outcome, c.Query, d.Backend)
+		err = verify(e.Result, c.Query, d.Backend)
 	}
 	c.endAttempt()
 	c.isTouched = c.isTouched || e.IsTouched
 	c.endKeyed(err != nil)
 	if err == nil {
 		c.Loads.Report(d.Backend.Instance, nil)
-		outcome := &Outcome{e.Outcome.Status, strip(e.Outcome.Header), e.Outcome.Body}
+		result := &Result{e.Result.Status, strip(e.Result.Header), e.Result.Body}
 		if !d.IsSafe {
-			c.Kept.Put(c.now, c.Query, outcome)
+			c.Kept.Put(c.now, c.Query, result)
 		}
-		return Order{Kind: OrderReply, Outcome: outcome, Keeps: true}
+		return Order{Kind: OrderReply, Result: result, Keeps: true}
 	}
 	c.tried[d.Backend.Instance] = true
 	c.lastFault = err.Error()
 	if c.now >= c.until || e.IsGone || !d.IsSafe && c.isTouched {
-		return c.giveUp(declineLater("failed", "%v", err))
+		return c.giveUp(newRefusalLater("failed", "%v", err))
 	}
 	return c.turn(false)
 }
@@ -449,7 +449,7 @@
 	if e.Err != nil {
 		c.Loads.End(c.node.Id)
 		c.Loads.Report(c.node.Id, e.Err)
-		return c.forwardEnded(declineLater("no-proxy", "the owner's proxy is not reached (%v); send again", e.Err), true)
+		return c.forwardEnded(newRefusalLater("no-proxy", "the owner's proxy is not reached (%v); send again", e.Err), true)
 	}
 	left := c.until - c.now
 	header := c.header(left)
@@ -465,43 +465,43 @@
 	c.Loads.End(c.node.Id)
 	doubt := func(err error) Order {
 		c.Loads.Report(c.node.Id, err)
-		return c.forwardEnded(&DeclineError{Status: http.StatusBadGateway, Kind: "failed", Outcome: OutcomeDoubtful, RetryAfter: constants.RetryAfter,
+		return c.forwardEnded(&RefusalError{Status: http.StatusBadGateway, Kind: "failed", Result: ResultAmbiguous, RetryAfter: constants.RetryAfter,
 			Message: fmt.Sprintf("the owner's proxy gave no whole answer: %v", err)}, c.decision.IsSafe)
 	}
 	if e.Err != nil {
 		return doubt(e.Err)
 	}
-	o := e.Outcome
+	o := e.Result
 	if o.Header.Get(HeaderAttempt) != c.Query.Attempt || o.Header.Get(HeaderProxy) != c.node.Id {
 		return doubt(errors.New("the answer is for another query"))
 	}
 	kind := o.Header.Get(HeaderOutcome)
-	if kind == OutcomeSealed && o.Header.Get(HeaderDigest) != Seal(o.Body) && c.Query.Method != http.MethodHead {
+	if kind == ResultSealed && o.Header.Get(HeaderDigest) != Seal(o.Body) && c.Query.Method != http.MethodHead {
 		return doubt(errors.New("the answer's digest does not fit its body"))
 	}
 	c.Loads.Report(c.node.Id, nil)
-	if kind == OutcomeSealed {
-		return Order{Kind: OrderReply, Outcome: &Outcome{o.Status, strip(o.Header), o.Body}, Keeps: true}
+	if kind == ResultSealed {
+		return Order{Kind: OrderReply, Result: &Result{o.Status, strip(o.Header), o.Body}, Keeps: true}
 	}
-	fault := &DeclineError{Status: o.Status, Kind: "forwarded", Outcome: OutcomeDoubtful, Message: strings.TrimSpace(string(o.Body))}
+	fault := &RefusalError{Status: o.Status, Kind: "forwarded", Result: ResultAmbiguous, Message: strings.TrimSpace(string(o.Body))}
 	var text errorBody
 	if jsonRead(o.Body, &text) {
 		fault.Kind, fault.Message = text.Kind, text.Message
 	}
-	if kind == OutcomeDeclined {
-		fault.Outcome = OutcomeDeclined
+	if kind == ResultRefused {
+		fault.Result = ResultRefused
 	}
 	if seconds, err := strconv.Atoi(o.Header.Get("Retry-After")); err == nil {
 		fault.RetryAfter = time.Duration(seconds) * time.Second
 	}
-	order := c.forwardEnded(fault, kind == OutcomeDeclined && (text.Kind == "moved" || text.Kind == "behind"))
+	order := c.forwardEnded(fault, kind == ResultRefused && (text.Kind == "moved" || text.Kind == "behind"))
 	order.Keeps = true
 	return order
 }
 
-func (c *RequestMachine) forwardEnded(fault *DeclineError, mayRepeat bool) Order {
+func (c *RequestMachine) forwardEnded(fault *RefusalError, mayRepeat bool) Order {
 	c.forwards++
-	if !mayRepeat || c.forwards >= 3 || fault.Outcome == OutcomeDoubtful && !c.Loads.Repeat(c.now, c.Query.Service, c.part()) {
+	if !mayRepeat || c.forwards >= 3 || fault.Result == ResultAmbiguous && !c.Loads.Repeat(c.now, c.Query.Service, c.part()) {
 		return c.reply(fault)
 	}
 	c.lastFault, c.fault = fault.Message, fault
@@ -556,7 +556,7 @@
 	return header
 }
 
-func verify(o *Outcome, q *Query, b *schema.Backend) error {
+func verify(o *Result, q *Query, b *schema.Backend) error {
 	h := o.Header
 	switch {
 	case h.Get(HeaderAttempt) != q.Attempt:
--- a/internal/proxy/course_test.go
+++ b/internal/proxy/course_test.go
@@ -14,8 +14,8 @@
 	"topazshed/internal/standing"
 )
 
-func sealed(attempt, instance, body string) *Outcome {
-	o := &Outcome{Status: http.StatusOK, Header: http.Header{}, Body: []byte(body)}
+func sealed(attempt, instance, body string) *Result {
+	o := &Result{Status: http.StatusOK, Header: http.Header{}, Body: []byte(body)}
 	o.Header.Set(HeaderAttempt, attempt)
 	o.Header.Set(HeaderService, "ledger")
 	o.Header.Set(HeaderInstance, instance)
@@ -27,9 +27,9 @@
 	begun := Event{Kind: EventBegun}
 	up := Event{Kind: EventConnected}
 	down := Event{Kind: EventConnected, Err: errors.New("refused")}
-	good := Event{Kind: EventAnswered, Outcome: sealed("attempt-1", "l-1", "ok"), IsTouched: true}
-	other := Event{Kind: EventAnswered, Outcome: sealed("attempt-1", "l-2", "ok"), IsTouched: true}
-	foreign := Event{Kind: EventAnswered, Outcome: sealed("attempt-2", "l-1", "ok"), IsTouched: true}
+	good := Event{Kind: EventAnswered, Result: sealed("attempt-1", "l-1", "ok"), IsTouched: true}
+	other := Event{Kind: EventAnswered, Result: sealed("attempt-1", "l-2", "ok"), IsTouched: true}
+	foreign := Event{Kind: EventAnswered, Result: sealed("attempt-2", "l-1", "ok"), IsTouched: true}
 	lost := Event{Kind: EventAnswered, Err: errors.New("reset"), IsTouched: true}
 	claimed := func(state schema.ReservationState) Event {
 		return Event{Kind: EventClaimed, Claimed: &schema.ReservationResponse{State: state}}
@@ -53,7 +53,7 @@
 		after    time.Duration
 		events   []Event
 		orders   string
-		outcome  string
+		result   string
 		other    byte
 	}{
 		{"a sealed answer is passed on", false, time.Second, nil, 0, []Event{begun, up, good}, "connect send reply", "sealed", 0},
@@ -99,12 +99,12 @@
 				now += c.after
 				local.FreshAt, local.TickAt = now, now
 			}
-			outcome := ""
+			result := ""
 			if last.Kind == OrderReply {
-				outcome = Tell("self", q.Attempt, last.Outcome, last.Fault).Header.Get(HeaderOutcome)
+				result = Tell("self", q.Attempt, last.Result, last.Fault).Header.Get(HeaderOutcome)
 			}
-			if got := strings.Join(kinds, " "); got != c.orders || outcome != c.outcome {
-				t.Fatalf("orders %q outcome %q, want %q %q (%v)", got, outcome, c.orders, c.outcome, last.Fault)
+			if got := strings.Join(kinds, " "); got != c.orders || result != c.result {
+				t.Fatalf("orders %q outcome %q, want %q %q (%v)", got, result, c.orders, c.result, last.Fault)
 			}
 			if last.Kind == OrderReply && loads.InFlight("l-1")+loads.InFlight("l-2")+loads.InFlight("l-3") != 0 {
 				t.Error("a leg is still counted after the reply")
@@ -122,9 +122,9 @@
 		event     Event
 		isRunning bool
 	}{
-		{"a sealed answer ends it", Event{Kind: EventAnswered, Outcome: sealed("attempt-1", "l-1", "ok"), IsTouched: true}, false},
+		{"a sealed answer ends it", Event{Kind: EventAnswered, Result: sealed("attempt-1", "l-1", "ok"), IsTouched: true}, false},
 		{"a lost connection does not", Event{Kind: EventAnswered, Err: errors.New("reset"), IsTouched: true}, true},
-		{"nor does another's answer", Event{Kind: EventAnswered, Outcome: sealed("attempt-2", "l-1", "ok"), IsTouched: true}, true},
+		{"nor does another's answer", Event{Kind: EventAnswered, Result: sealed("attempt-2", "l-1", "ok"), IsTouched: true}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := base(backend("l-1", "north-a"))
--- a/internal/proxy/decider.go
+++ b/internal/proxy/decider.go
@@ -19,7 +19,7 @@
 
 // The turns of a query.
 const (
-	TurnDecline Turn = iota
+	TurnRefuse Turn = iota
 	TurnPark
 	TurnForward
 	TurnClaim
@@ -29,7 +29,7 @@
 // Decision is the decider's answer.
 type Decision struct {
 	Turn    Turn
-	Decline *DeclineError
+	Refusal *RefusalError
 	Wanted  string
 	Entry   *schema.Entry
 	Owner   standing.Owner
@@ -80,13 +80,13 @@
 func Entry(now time.Duration, local *core.Local, service, path string, parked time.Duration) (*schema.Entry, *Decision) {
 	park := func(kind, message, wanted string) *Decision {
 		if parked >= constants.ParkMost {
-			return &Decision{Turn: TurnDecline, Decline: declineLater(kind, "%s", message)}
+			return &Decision{Turn: TurnRefuse, Refusal: newRefusalLater(kind, "%s", message)}
 		}
 		return &Decision{Turn: TurnPark, Wanted: wanted}
 	}
 	if !IsFit(now, local) {
 		if local.View.Version > 0 && now-local.TickAt < time.Second && local.ThawedAt < local.FreshAt {
-			return nil, &Decision{Turn: TurnDecline, Decline: declineLater("isolated", "this proxy is cut off; ask the directory for another")}
+			return nil, &Decision{Turn: TurnRefuse, Refusal: newRefusalLater("isolated", "this proxy is cut off; ask the directory for another")}
 		}
 		return nil, park("unready", "this proxy has no fresh state; ask the directory for another", "")
 	}
@@ -95,11 +95,11 @@
 	}
 	known := local.View.Services[service]
 	if known == nil {
-		return nil, &Decision{Turn: TurnDecline, Decline: decline(http.StatusNotFound, "unknown-entry", "no entry for service %q; mend the path or put a configuration", service)}
+		return nil, &Decision{Turn: TurnRefuse, Refusal: newRefusal(http.StatusNotFound, "unknown-entry", "no entry for service %q; mend the path or put a configuration", service)}
 	}
 	entry := known.Entry(path)
 	if entry == nil {
-		return nil, &Decision{Turn: TurnDecline, Decline: decline(http.StatusNotFound, "unknown-entry", "no entry of service %q covers path %q; mend the path or put a configuration", service, path)}
+		return nil, &Decision{Turn: TurnRefuse, Refusal: newRefusal(http.StatusNotFound, "unknown-entry", "no entry of service %q covers path %q; mend the path or put a configuration", service, path)}
 	}
 	return entry, nil
 }
@@ -121,26 +121,26 @@
 		return *early, false
 	}
 	d := Decision{Entry: entry, IsSafe: slices.Contains(entry.SafeMethods, q.Method), Version: s.Local.View.Version}
-	refuse := func(e *DeclineError) (Decision, bool) {
-		d.Turn, d.Decline = TurnDecline, e
+	refuse := func(e *RefusalError) (Decision, bool) {
+		d.Turn, d.Refusal = TurnRefuse, e
 		return d, false
 	}
 	park := func(kind, form string, args ...any) (Decision, bool) { return s.park(d, kind, form, args...), false }
 	if !slices.Contains(entry.Methods, q.Method) {
-		return refuse(decline(http.StatusMethodNotAllowed, "bad-method", "entry %s%s allows %v; use one of them or change the configuration", entry.Service, entry.Path, entry.Methods))
+		return refuse(newRefusal(http.StatusMethodNotAllowed, "bad-method", "entry %s%s allows %v; use one of them or change the configuration", entry.Service, entry.Path, entry.Methods))
 	}
 	if entry.Keyed && q.Key == "" {
-		return refuse(decline(http.StatusBadRequest, "no-key", "entry %s%s is divided by key; send %s", entry.Service, entry.Path, HeaderKey))
+		return refuse(newRefusal(http.StatusBadRequest, "no-key", "entry %s%s is divided by key; send %s", entry.Service, entry.Path, HeaderKey))
 	}
 	if s.Left <= 0 {
-		return refuse(declineLater("late", "the wait is over"))
+		return refuse(newRefusalLater("late", "the wait is over"))
 	}
 	view := s.Local.View
 	owner, err := standing.Resolve(view, entry, q.Origin)
 	if err != nil {
 		var misfit *standing.OriginError
 		if errors.As(err, &misfit) {
-			return refuse(decline(http.StatusBadRequest, "bad-origin", "%v", err))
+			return refuse(newRefusal(http.StatusBadRequest, "bad-origin", "%v", err))
 		}
 		return park("no-standing", "%v", err)
 	}
@@ -180,8 +180,8 @@
 		if set := view.Keepers[owner.Region]; set == nil {
 			return park("no-keepers", "region %s has no keepers yet; send again", owner.Region)
 		} else if s.FirstSent > 0 && owner.Moved && s.FirstSent < s.Local.Opened[image.EntityKey(entry.Service, entry.Path)] {
-			e := declineLater("attempt-old", "the id was first sent before entry %s%s moved here, where its keepers can't know it; ask its service whether it ran, or use a new id", entry.Service, entry.Path)
-			e.Status, e.Outcome = http.StatusConflict, OutcomeDoubtful
+			e := newRefusalLater("attempt-old", "the id was first sent before entry %s%s moved here, where its keepers can't know it; ask its service whether it ran, or use a new id", entry.Service, entry.Path)
+			e.Status, e.Result = http.StatusConflict, ResultAmbiguous
 			return refuse(e)
 		} else if !s.IsClaimed {
 			d.Keepers, d.Turn = set, TurnClaim
@@ -197,7 +197,7 @@
 		limit = constants.ParkShort
 	}
 	if s.Parked >= limit || s.Left <= 0 {
-		d.Turn, d.Decline = TurnDecline, declineLater(kind, form, args...)
+		d.Turn, d.Refusal = TurnRefuse, newRefusalLater(kind, form, args...)
 		return d
 	}
 	d.Turn = TurnPark
@@ -216,8 +216,8 @@
 	if d.Owner.Far {
 		left += constants.ClaimWindow
 	}
-	d.Turn, d.Decline = TurnDecline, declineLater("fenced", "number %d waits for the former group's grants and claims to lapse; send again then", d.Owner.Number)
-	d.Decline.RetryAfter = max(constants.RetryAfter, left)
+	d.Turn, d.Refusal = TurnRefuse, newRefusalLater("fenced", "number %d waits for the former group's grants and claims to lapse; send again then", d.Owner.Number)
+	d.Refusal.RetryAfter = max(constants.RetryAfter, left)
 	return d
 }
 
@@ -285,7 +285,7 @@
 		}
 	}
 	if isTried {
-		d.Turn, d.Decline = TurnDecline, declineLater("no-backend", "no other back end of %s is free; send again", entry.Service)
+		d.Turn, d.Refusal = TurnRefuse, newRefusalLater("no-backend", "no other back end of %s is free; send again", entry.Service)
 		return d
 	}
 	return park("no-backend", "no back end of %s in region %s is free; send again", entry.Service, owner.Region)
--- a/internal/proxy/executor.go
+++ b/internal/proxy/executor.go
@@ -51,7 +51,7 @@
 }
 
 // Outcome is a whole answer: a back end's, or what a caller is told.
-type Outcome struct {
+type Result struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -60,16 +60,16 @@
 // ServeHTTP takes one query from a caller or from another proxy.
 func (x *Executor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	begun := x.options.Now()
-	outcome, fault := x.run(r, begun)
+	result, fault := x.run(r, begun)
 	switch {
 	case fault == nil:
 		x.stats[0].Add(1)
-	case fault.Outcome == OutcomeDoubtful:
+	case fault.Result == ResultAmbiguous:
 		x.stats[2].Add(1)
 	default:
 		x.stats[1].Add(1)
 	}
-	told := Tell(x.options.Self.Id, r.Header.Get(HeaderAttempt), outcome, fault)
+	told := Tell(x.options.Self.Id, r.Header.Get(HeaderAttempt), result, fault)
 	for name, values := range told.Header {
 		w.Header()[name] = values
 	}
@@ -78,21 +78,21 @@
 }
 
 // Tell makes the answer to a caller out of a sealed outcome or a fault.
-func Tell(self, attempt string, outcome *Outcome, fault *DeclineError) *Outcome {
-	told := &Outcome{Header: http.Header{}}
+func Tell(self, attempt string, result *Result, fault *RefusalError) *Result {
+	told := &Result{Header: http.Header{}}
 	if fault != nil {
 		told = fault.told()
 	} else {
-		told.Status, told.Header, told.Body = outcome.Status, outcome.Header.Clone(), outcome.Body
-		told.Header.Set(HeaderOutcome, OutcomeSealed)
-		told.Header.Set("Content-Length", strconv.Itoa(len(outcome.Body)))
+		told.Status, told.Header, told.Body = result.Status, result.Header.Clone(), result.Body
+		told.Header.Set(HeaderOutcome, ResultSealed)
+		told.Header.Set("Content-Length", strconv.Itoa(len(result.Body)))
 	}
 	told.Header.Set(HeaderProxy, self)
 	told.Header.Set(HeaderAttempt, attempt)
 	return told
 }
 
-func (x *Executor) run(r *http.Request, begun time.Duration) (*Outcome, *DeclineError) {
+func (x *Executor) run(r *http.Request, begun time.Duration) (*Result, *RefusalError) {
 	q, fault := ReadQuery(r)
 	if fault != nil {
 		return nil, fault
@@ -104,20 +104,20 @@
 	return x.Run(r.Context(), q, begun)
 }
 
-func (x *Executor) readBody(q *Query, r *http.Request, begun time.Duration) *DeclineError {
+func (x *Executor) readBody(q *Query, r *http.Request, begun time.Duration) *RefusalError {
 	limit := uint64(constants.BodyLimit)
 	if service := x.options.Local().View.Services[q.Service]; service != nil {
 		if entry := service.Entry(q.Path); entry != nil {
 			limit = entry.BodyLimit
 		}
 	}
-	oversize := decline(http.StatusRequestEntityTooLarge, "oversize", "the body is above the entry's limit of %d bytes; send less", limit)
+	oversize := newRefusal(http.StatusRequestEntityTooLarge, "oversize", "the body is above the entry's limit of %d bytes; send less", limit)
 	if r.ContentLength > int64(limit) {
 		return oversize
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, int64(limit)+1))
 	if err != nil {
-		return decline(http.StatusBadRequest, "cut-short", "the body ended early; send it whole")
+		return newRefusal(http.StatusBadRequest, "cut-short", "the body ended early; send it whole")
 	}
 	if uint64(len(body)) > limit {
 		return oversize
@@ -127,7 +127,7 @@
 }
 
 // Run carries a query until it has its one outcome.
-func (x *Executor) Run(ctx context.Context, q *Query, begun time.Duration) (*Outcome, *DeclineError) {
+func (x *Executor) Run(ctx context.Context, q *Query, begun time.Duration) (*Result, *RefusalError) {
 	machine := NewRequestMachine(RequestOptions{Self: x.options.Self, Loads: x.options.Loads, Kept: x.options.Kept, Draw: x.options.Draw, Query: q, Begun: begun,
 		Holder: fmt.Sprintf("%s/%d", x.options.Self.Id, x.serial.Add(1))})
 	defer func() { x.stats[3].Add(uint64(machine.Repeats)) }()
@@ -150,7 +150,7 @@
 		event = Event{}
 		switch order.Kind {
 		case OrderReply:
-			return order.Outcome, order.Fault
+			return order.Result, order.Fault
 		case OrderWait:
 			if order.Wanted != "" {
 				x.options.Want(order.Wanted)
@@ -170,7 +170,7 @@
 			}
 		case OrderSend:
 			event.Kind = EventAnswered
-			event.Outcome, event.IsTouched, isClean, event.Err = exchange(ctx, conn, q, order)
+			event.Result, event.IsTouched, isClean, event.Err = exchange(ctx, conn, q, order)
 			event.IsGone = event.Err != nil && ctx.Err() != nil
 			if event.Err != nil {
 				x.options.Log.Debug("leg failed", "instance", conn.who.Instance, "reason", event.Err.Error())
@@ -222,7 +222,7 @@
 	return answers
 }
 
-func exchange(ctx context.Context, conn *Proved, q *Query, order Order) (outcome *Outcome, isTouched, isClean bool, err error) {
+func exchange(ctx context.Context, conn *Proved, q *Query, order Order) (result *Result, isTouched, isClean bool, err error) {
 	address, err := url.Parse("http://" + conn.RemoteAddr().String() + order.Path)
 	if err != nil {
 		return nil, false, false, err
@@ -248,7 +248,7 @@
 	if err != nil {
 		return nil, true, false, err
 	}
-	return &Outcome{response.StatusCode, response.Header, body}, true, !response.Close && conn.reader.Buffered() == 0, nil
+	return &Result{response.StatusCode, response.Header, body}, true, !response.Close && conn.reader.Buffered() == 0, nil
 }
 
 func readWhole(response *http.Response, limit uint64) ([]byte, error) {
--- a/internal/proxy/kept.go
+++ b/internal/proxy/kept.go
@@ -10,18 +10,18 @@
 	"topazshed/internal/schema"
 )
 
-type keptOutcome struct {
+type keptResult struct {
 	attempt string
 	digest  []byte
-	outcome *Outcome
+	result  *Result
 	at      time.Duration
 	size    int
 }
 
 type keptShard struct {
 	lock   sync.Mutex
-	held   map[string]*keptOutcome
-	order  []*keptOutcome
+	held   map[string]*keptResult
+	order  []*keptResult
 	weight int
 }
 
@@ -34,21 +34,21 @@
 func NewKept() *Kept {
 	k := &Kept{}
 	for i := range k.shards {
-		k.shards[i].held = map[string]*keptOutcome{}
+		k.shards[i].held = map[string]*keptResult{}
 	}
 	return k
 }
 
 // Put keeps an outcome within the bound of bytes.
-func (k *Kept) Put(now time.Duration, q *Query, o *Outcome) {
+func (k *Kept) Put(now time.Duration, q *Query, o *Result) {
 	size := len(o.Body) + len(q.Attempt) + 512
-	if size > constants.KeptOutcome {
+	if size > constants.KeptResponse {
 		return
 	}
 	s := &k.shards[shardOf(q.Attempt)]
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	fresh := &keptOutcome{q.Attempt, q.Digest, o, now, size}
+	fresh := &keptResult{q.Attempt, q.Digest, o, now, size}
 	s.held[q.Attempt] = fresh
 	s.order = append(s.order, fresh)
 	s.weight += size
@@ -63,12 +63,12 @@
 }
 
 // Get gives the outcome of an attempt id for the same query, or nil.
-func (k *Kept) Get(attempt string, digest []byte) *Outcome {
+func (k *Kept) Get(attempt string, digest []byte) *Result {
 	s := &k.shards[shardOf(attempt)]
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if kept := s.held[attempt]; kept != nil && bytes.Equal(kept.digest, digest) {
-		return kept.outcome
+		return kept.result
 	}
 	return nil
 }
@@ -88,8 +88,8 @@
 	return replay
 }
 
-func replayed(replay *schema.ReplayResponse) *Outcome {
-	o := &Outcome{Status: int(replay.Status), Header: http.Header{}, Body: replay.Body}
+func replayed(replay *schema.ReplayResponse) *Result {
+	o := &Result{Status: int(replay.Status), Header: http.Header{}, Body: replay.Body}
 	for _, field := range replay.Header {
 		o.Header.Add(field.Name, field.Value)
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -95,19 +95,19 @@
 		{"a stale isolated proxy declines at once", base(all...), func(s *Situation) {
 			s.Now += constants.IsolatedAfter
 			s.Local.TickAt = s.Now
-		}, safe(), TurnDecline, "isolated", ""},
+		}, safe(), TurnRefuse, "isolated", ""},
 		{"one cut off with its region serves on", base(all...), func(s *Situation) {
 			s.Now += constants.IsolatedAfter
 			s.Local.TickAt, s.Local.PeersAt = s.Now, s.Now
 		}, safe(), TurnAttempt, "", "l-1"},
-		{"one that was told of changes which it lacks declines", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.BehindMost - time.Millisecond }, safe(), TurnDecline, "isolated", ""},
+		{"one that was told of changes which it lacks declines", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.BehindMost - time.Millisecond }, safe(), TurnRefuse, "isolated", ""},
 		{"but not at once", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.BehindMost }, safe(), TurnAttempt, "", "l-1"},
 		{"a thawed proxy refreshes first", base(all...), func(s *Situation) { s.Local.ThawedAt = noon }, safe(), TurnPark, "", ""},
 		{"one that has not ticked is taken as frozen", base(all...), func(s *Situation) { s.Local.TickAt = noon - 2*time.Second }, safe(), TurnPark, "", ""},
-		{"an unknown service", base(all...), func(s *Situation) { s.Query.Service = "nobody" }, safe(), TurnDecline, "unknown-entry", ""},
-		{"an unknown path", base(all...), func(s *Situation) { s.Query.Path = "/balance" }, safe(), TurnDecline, "unknown-entry", ""},
-		{"a path is matched by whole parts", base(all...), func(s *Situation) { s.Query.Path = "/balancesheet" }, safe(), TurnDecline, "unknown-entry", ""},
-		{"a method that the entry lacks", base(all...), func(s *Situation) { s.Query.Method = "POST" }, safe(), TurnDecline, "bad-method", ""},
+		{"an unknown service", base(all...), func(s *Situation) { s.Query.Service = "nobody" }, safe(), TurnRefuse, "unknown-entry", ""},
+		{"an unknown path", base(all...), func(s *Situation) { s.Query.Path = "/balance" }, safe(), TurnRefuse, "unknown-entry", ""},
+		{"a path is matched by whole parts", base(all...), func(s *Situation) { s.Query.Path = "/balancesheet" }, safe(), TurnRefuse, "unknown-entry", ""},
+		{"a method that the entry lacks", base(all...), func(s *Situation) { s.Query.Method = "POST" }, safe(), TurnRefuse, "bad-method", ""},
 		{"a slice that is not held is asked for", base(all...), func(s *Situation) { s.Local.IsFull = false }, safe(), TurnPark, "", ""},
 		{"another group's query is forwarded", base(all...), func(s *Situation) { s.Query.Origin.Region = "south" }, safe(), TurnAttempt, "", "l-1"},
 		{"to the group that the number names", func() *world {
@@ -119,7 +119,7 @@
 			w := base(all...)
 			w.put("", image.Put(image.StandingKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 			return w
-		}(), func(s *Situation) { s.Query.Forwarded = standing.Trail{100}; s.Parked = constants.ParkMost }, safe(), TurnDecline, "moved", ""},
+		}(), func(s *Situation) { s.Query.Forwarded = standing.Trail{100}; s.Parked = constants.ParkMost }, safe(), TurnRefuse, "moved", ""},
 		{"a higher forwarded number waits for the image", base(all...), func(s *Situation) { s.Query.Forwarded = standing.Trail{200} }, safe(), TurnPark, "", ""},
 		{"an unsafe query is claimed first", base(all...), nil, unsafe(), TurnClaim, "", ""},
 		{"and then has its leg", base(all...), func(s *Situation) { s.IsClaimed = true }, unsafe(), TurnAttempt, "", "l-1"},
@@ -135,7 +135,7 @@
 			return w
 		}(), func(s *Situation) {
 			s.Local.Fences = map[string]time.Duration{image.EntityKey("ledger", "/pay"): noon - 2*time.Second}
-		}, unsafe(), TurnDecline, "fenced", ""},
+		}, unsafe(), TurnRefuse, "fenced", ""},
 		{"an id that is older than its entry's move is doubtful", func() *world {
 			w := base(all...)
 			w.put("", image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Far: true}))
@@ -143,7 +143,7 @@
 		}(), func(s *Situation) {
 			s.FirstSent = noon - time.Minute
 			s.Local.Opened = map[string]time.Duration{image.EntityKey("ledger", "/pay"): noon - time.Second}
-		}, unsafe(), TurnDecline, "attempt-old", ""},
+		}, unsafe(), TurnRefuse, "attempt-old", ""},
 		{"a younger one is claimed", func() *world {
 			w := base(all...)
 			w.put("", image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Far: true}))
@@ -152,7 +152,7 @@
 			s.FirstSent = noon - time.Second
 			s.Local.Opened = map[string]time.Duration{image.EntityKey("ledger", "/pay"): noon - time.Minute}
 		}, unsafe(), TurnClaim, "", ""},
-		{"a region's origin does not fit a bound entry", base(all...), func(s *Situation) { s.Query.Origin = standing.Origin{Region: "north"} }, unsafe(), TurnDecline, "bad-origin", ""},
+		{"a region's origin does not fit a bound entry", base(all...), func(s *Situation) { s.Query.Origin = standing.Origin{Region: "north"} }, unsafe(), TurnRefuse, "bad-origin", ""},
 		{"an emptied district serves nothing", func() *world {
 			w := base(all...)
 			w.put("", image.Put(image.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Emptied: true}))
@@ -171,8 +171,8 @@
 			}
 			d := Decide(s)
 			kind, chosen := "", ""
-			if d.Decline != nil {
-				kind = d.Decline.Kind
+			if d.Refusal != nil {
+				kind = d.Refusal.Kind
 			}
 			if d.Backend != nil {
 				chosen = d.Backend.Instance
@@ -397,19 +397,19 @@
 	return w
 }
 
-func TestBadOutcomesNeverReachACaller(t *testing.T) {
+func TestBadResponsesNeverReachACaller(t *testing.T) {
 	for _, mode := range []string{"garbage", "other attempt", "other instance", "truncated", "oversize", "lost", "unsealed"} {
 		t.Run(mode, func(t *testing.T) {
 			bad, good := &stand{mode: mode}, &stand{}
 			x := executor(t, bad, good)
 			w := send(x, "GET", "/ledger/balances/1", "region=north", nil)
-			if w.Code != 200 || w.Header().Get(HeaderOutcome) != OutcomeSealed || w.Body.String() != `{"balance":1}` || good.runs.Load() != 1 {
+			if w.Code != 200 || w.Header().Get(HeaderOutcome) != ResultSealed || w.Body.String() != `{"balance":1}` || good.runs.Load() != 1 {
 				t.Errorf("safe query: status %d, outcome %q, body %q", w.Code, w.Header().Get(HeaderOutcome), w.Body)
 			}
 			bad2, good2 := &stand{mode: mode}, &stand{}
 			x = executor(t, bad2, good2)
 			w = send(x, "POST", "/ledger/pay", "entry=ledger/pay", nil)
-			if w.Code != 502 || w.Header().Get(HeaderOutcome) != OutcomeDoubtful || bad2.runs.Load() != 1 || good2.runs.Load() != 0 || w.Header().Get("Retry-After") == "" {
+			if w.Code != 502 || w.Header().Get(HeaderOutcome) != ResultAmbiguous || bad2.runs.Load() != 1 || good2.runs.Load() != 0 || w.Header().Get("Retry-After") == "" {
 				t.Errorf("unsafe query: status %d, outcome %q, runs %d and %d", w.Code, w.Header().Get(HeaderOutcome), bad2.runs.Load(), good2.runs.Load())
 			}
 		})
@@ -462,8 +462,8 @@
 			if err := json.Unmarshal(w.Body.Bytes(), &body); err != nil {
 				t.Fatalf("no typed JSON: %v", err)
 			}
-			if w.Code != c.status || body.Kind != c.kind || body.Outcome != OutcomeDeclined || s.runs.Load() != 0 {
-				t.Errorf("status %d kind %q outcome %q runs %d", w.Code, body.Kind, body.Outcome, s.runs.Load())
+			if w.Code != c.status || body.Kind != c.kind || body.Result != ResultRefused || s.runs.Load() != 0 {
+				t.Errorf("status %d kind %q outcome %q runs %d", w.Code, body.Kind, body.Result, s.runs.Load())
 			}
 		})
 	}
@@ -483,7 +483,7 @@
 	begun := x.options.Now()
 	w := send(x, "POST", "/ledger/pay", "entry=ledger/pay", func(r *http.Request) { r.Header.Set(HeaderWait, "15000") })
 	var body errorBody
-	if err := json.Unmarshal(w.Body.Bytes(), &body); err != nil || body.Kind != "no-claim" || body.Outcome != OutcomeDeclined || w.Header().Get("Retry-After") != "1" {
+	if err := json.Unmarshal(w.Body.Bytes(), &body); err != nil || body.Kind != "no-claim" || body.Result != ResultRefused || w.Header().Get("Retry-After") != "1" {
 		t.Fatalf("got %d %s", w.Code, w.Body)
 	}
 	if rounds.Load() > 6 || s.runs.Load() != 0 {
@@ -511,7 +511,7 @@
 	x.options.Loads = NewLoads(now)
 	const calls = 20
 	for range calls {
-		if got := send(x, "GET", "/ledger/balances/1", "region=north", nil); got.Header().Get(HeaderOutcome) != OutcomeDoubtful {
+		if got := send(x, "GET", "/ledger/balances/1", "region=north", nil); got.Header().Get(HeaderOutcome) != ResultAmbiguous {
 			t.Fatalf("outcome %q: %s", got.Header().Get(HeaderOutcome), got.Body)
 		}
 	}
@@ -569,7 +569,7 @@
 	}
 }
 
-func TestKeptOutcomesAreBounded(t *testing.T) {
+func TestKeptResultsAreBounded(t *testing.T) {
 	k := NewKept()
 	o := sealed("x", "l-1", strings.Repeat("y", 30<<10))
 	total := 2 * constants.KeptBytes / len(o.Body)
@@ -586,7 +586,7 @@
 	if kept == 0 || weight > constants.KeptBytes || k.Get("attempt-00000", []byte("d")) != nil {
 		t.Errorf("%d outcomes of %d bytes are kept, the first still there: %v", kept, weight, k.Get("attempt-00000", []byte("d")) != nil)
 	}
-	k.Put(noon, &Query{Attempt: "large", Digest: []byte("d")}, sealed("x", "l-1", strings.Repeat("y", constants.KeptOutcome)))
+	k.Put(noon, &Query{Attempt: "large", Digest: []byte("d")}, sealed("x", "l-1", strings.Repeat("y", constants.KeptResponse)))
 	if k.Get("large", []byte("d")) != nil {
 		t.Error("an outcome above the limit is kept")
 	}
--- a/internal/proxy/query.go
+++ b/internal/proxy/query.go
@@ -35,9 +35,9 @@
 
 // The kinds of outcome that a caller is told.
 const (
-	OutcomeSealed   = "sealed"
-	OutcomeDeclined = "declined"
-	OutcomeDoubtful = "doubtful"
+	ResultSealed    = "sealed"
+	ResultRefused   = "declined"
+	ResultAmbiguous = "doubtful"
 )
 
 // Query is a caller's request as it was read.
@@ -59,30 +59,30 @@
 }
 
 // DeclineError is a final outcome that is not the back end's: declined surely did not run, doubtful may have run.
-type DeclineError struct {
+type RefusalError struct {
 	Status     int
 	Kind       string
 	Message    string
-	Outcome    string
+	Result     string
 	RetryAfter time.Duration
 }
 
-func (e *DeclineError) Error() string { return e.Kind + ": " + e.Message }
+func (e *RefusalError) Error() string { return e.Kind + ": " + e.Message }
 
 type errorBody struct {
 	Kind    string `json:"kind"`
 	Message string `json:"message"`
-	Outcome string `json:"outcome"`
+	Result  string `json:"outcome"`
 }
 
-func (e *DeclineError) told() *Outcome {
-	body, err := json.Marshal(errorBody{e.Kind, e.Message, e.Outcome})
+func (e *RefusalError) told() *Result {
+	body, err := json.Marshal(errorBody{e.Kind, e.Message, e.Result})
 	if err != nil {
 		body = []byte("{}")
 	}
-	told := &Outcome{e.Status, http.Header{}, append(body, '\n')}
+	told := &Result{e.Status, http.Header{}, append(body, '\n')}
 	told.Header.Set("Content-Type", "application/json")
-	told.Header.Set(HeaderOutcome, e.Outcome)
+	told.Header.Set(HeaderOutcome, e.Result)
 	if e.RetryAfter > 0 {
 		told.Header.Set("Retry-After", strconv.Itoa(max(1, int((e.RetryAfter+time.Second-1)/time.Second))))
 	}
@@ -90,7 +90,7 @@
 }
 
 // Write gives the outcome to the caller.
-func (e *DeclineError) Write(w http.ResponseWriter) {
+func (e *RefusalError) Write(w http.ResponseWriter) {
 	told := e.told()
 	for name, values := range told.Header {
 		w.Header()[name] = values
@@ -99,12 +99,12 @@
 	w.Write(told.Body)
 }
 
-func decline(status int, kind, form string, args ...any) *DeclineError {
-	return &DeclineError{Status: status, Kind: kind, Message: fmt.Sprintf(form, args...), Outcome: OutcomeDeclined}
+func newRefusal(status int, kind, form string, args ...any) *RefusalError {
+	return &RefusalError{Status: status, Kind: kind, Message: fmt.Sprintf(form, args...), Result: ResultRefused}
 }
 
-func declineLater(kind, form string, args ...any) *DeclineError {
-	e := decline(http.StatusServiceUnavailable, kind, form, args...)
+func newRefusalLater(kind, form string, args ...any) *RefusalError {
+	e := newRefusal(http.StatusServiceUnavailable, kind, form, args...)
 	e.RetryAfter = constants.RetryAfter
 	return e
 }
@@ -112,44 +112,44 @@
 var compileAttemptForm = sync.OnceValue(func() *regexp.Regexp { return regexp.MustCompile(`^[A-Za-z0-9_.:-]{8,64}$`) })
 
 // ReadQuery reads what does not need the entry; the body follows once the entry is known.
-func ReadQuery(r *http.Request) (*Query, *DeclineError) {
+func ReadQuery(r *http.Request) (*Query, *RefusalError) {
 	q := &Query{Method: r.Method, RawQuery: r.URL.RawQuery, Header: r.Header}
 	service, path, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
 	q.Service, q.Path = service, "/"+path
 	if service == "" {
-		return nil, decline(http.StatusNotFound, "no-service", "the path names no service; use /SERVICE/PATH")
+		return nil, newRefusal(http.StatusNotFound, "no-service", "the path names no service; use /SERVICE/PATH")
 	}
 	if strings.Contains(q.Path, "//") || strings.Contains(q.Path, "/.") || strings.Contains(strings.ToLower(q.Path), "%2e") || strings.Contains(strings.ToLower(q.Path), "%2f") {
-		return nil, decline(http.StatusBadRequest, "bad-path", "the path has empty or dotted parts; send it in its plain form")
+		return nil, newRefusal(http.StatusBadRequest, "bad-path", "the path has empty or dotted parts; send it in its plain form")
 	}
 	q.Attempt = r.Header.Get(HeaderAttempt)
 	if !compileAttemptForm().MatchString(q.Attempt) || len(r.Header.Values(HeaderAttempt)) != 1 {
-		return nil, decline(http.StatusBadRequest, "bad-attempt", "send one %s of 8 to 64 letters, digits or _ . : -", HeaderAttempt)
+		return nil, newRefusal(http.StatusBadRequest, "bad-attempt", "send one %s of 8 to 64 letters, digits or _ . : -", HeaderAttempt)
 	}
 	wait, err := strconv.Atoi(r.Header.Get(HeaderWait))
 	if err != nil || wait < 1 || time.Duration(wait)*time.Millisecond > constants.WaitMost {
-		return nil, decline(http.StatusBadRequest, "bad-wait", "send %s in milliseconds, from 1 to %d", HeaderWait, constants.WaitMost.Milliseconds())
+		return nil, newRefusal(http.StatusBadRequest, "bad-wait", "send %s in milliseconds, from 1 to %d", HeaderWait, constants.WaitMost.Milliseconds())
 	}
 	q.Wait = time.Duration(wait) * time.Millisecond
 	if text := r.Header.Get(HeaderAge); text != "" {
 		age, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || age < 0 || age > constants.AgeMost.Milliseconds() {
-			return nil, decline(http.StatusBadRequest, "bad-age", "send %s in milliseconds since the first sending whose outcome you do not know, at most %d, or leave it out", HeaderAge, constants.AgeMost.Milliseconds())
+			return nil, newRefusal(http.StatusBadRequest, "bad-age", "send %s in milliseconds since the first sending whose outcome you do not know, at most %d, or leave it out", HeaderAge, constants.AgeMost.Milliseconds())
 		}
 		q.Age = time.Duration(age) * time.Millisecond
 	}
 	q.OriginRaw = r.Header.Get(HeaderOrigin)
 	q.Origin, err = standing.ParseOrigin(q.OriginRaw)
 	if err != nil {
-		return nil, decline(http.StatusBadRequest, "bad-origin", "%v", err)
+		return nil, newRefusal(http.StatusBadRequest, "bad-origin", "%v", err)
 	}
 	q.Key = r.Header.Get(HeaderKey)
 	if len(q.Key) > 200 {
-		return nil, decline(http.StatusBadRequest, "bad-key", "%s has more than 200 bytes; send a shorter key", HeaderKey)
+		return nil, newRefusal(http.StatusBadRequest, "bad-key", "%s has more than 200 bytes; send a shorter key", HeaderKey)
 	}
 	if text := r.Header.Get(HeaderForwarded); text != "" {
 		if q.Forwarded, err = standing.ParseTrail(text); err != nil {
-			return nil, decline(http.StatusBadRequest, "bad-forward", "%s is for proxies only; leave it out", HeaderForwarded)
+			return nil, newRefusal(http.StatusBadRequest, "bad-forward", "%s is for proxies only; leave it out", HeaderForwarded)
 		}
 	}
 	return q, nil
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -87,11 +87,11 @@
 		return list
 	}
 	for _, c := range []struct {
-		name       string
-		append     *schema.Raft
-		isDeclined bool
-		last       uint64
-		commit     uint64
+		name      string
+		append    *schema.Raft
+		isRefused bool
+		last      uint64
+		commit    uint64
 	}{
 		{"the next item", &schema.Raft{Index: 3, LogTerm: 2, Items: items(4, 3), Commit: 4}, false, 4, 4},
 		{"a commit beyond what was sent counts only so far", &schema.Raft{Index: 3, LogTerm: 2, Commit: 9}, false, 3, 3},
@@ -105,7 +105,7 @@
 			c.append.Kind, c.append.From, c.append.To, c.append.Term = schema.RaftKind_RAFT_APPEND, "b", "a", 3
 			q.Receive(time.Hour, c.append)
 			answer := last(q)
-			if answer == nil || answer.Rejected != c.isDeclined || q.Last() != c.last || q.Commit() != c.commit {
+			if answer == nil || answer.Rejected != c.isRefused || q.Last() != c.last || q.Commit() != c.commit {
 				t.Fatalf("answer %v, last %d, commit %d", answer, q.Last(), q.Commit())
 			}
 		})
--- a/internal/quorum/replication.go
+++ b/internal/quorum/replication.go
@@ -102,7 +102,7 @@
 }
 
 func (q *Quorum) accept(m *schema.Raft) {
-	outcome := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round}
+	response := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round}
 	items := m.Items
 	index, logTerm := m.Index, m.LogTerm
 	for len(items) > 0 && index < q.first {
@@ -110,24 +110,24 @@
 		items = items[1:]
 	}
 	if index < q.first {
-		outcome.Index = q.first
-		q.send(outcome)
+		response.Index = q.first
+		q.send(response)
 		return
 	}
 	term, isThere := q.termAt(index)
 	if !isThere || index > q.first && term != logTerm {
-		outcome.Rejected, outcome.TakesParts = true, true
-		outcome.Hint = min(q.last(), index-1)
+		response.Rejected, response.TakesParts = true, true
+		response.Hint = min(q.last(), index-1)
 		if isThere {
-			for outcome.Hint > q.commit {
-				hintTerm, _ := q.termAt(outcome.Hint)
+			for response.Hint > q.commit {
+				hintTerm, _ := q.termAt(response.Hint)
 				if hintTerm != term {
 					break
 				}
-				outcome.Hint--
+				response.Hint--
 			}
 		}
-		q.send(outcome)
+		q.send(response)
 		return
 	}
 	for _, item := range items {
@@ -147,15 +147,15 @@
 	}
 	known := index + uint64(len(items))
 	q.commit = max(q.commit, min(m.Commit, known))
-	outcome.Index = known
-	q.send(outcome)
+	response.Index = known
+	q.send(response)
 }
 
 func (q *Quorum) install(m *schema.Raft) {
-	outcome := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round, Index: m.Snapshot.Index}
+	response := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round, Index: m.Snapshot.Index}
 	if m.Snapshot.Index <= q.commit {
-		outcome.Index = q.commit
-		q.send(outcome)
+		response.Index = q.commit
+		q.send(response)
 		return
 	}
 	q.first, q.firstTerm, q.base = m.Snapshot.Index, m.Snapshot.Term, m.Snapshot.Members
@@ -163,7 +163,7 @@
 	q.unsynced = q.first + 1
 	q.commit, q.handed = q.first, q.first
 	q.image, q.isBehind = m.Snapshot, true
-	q.send(outcome)
+	q.send(response)
 }
 
 func (q *Quorum) acknowledge(m *schema.Raft) {
--- a/internal/sim/scenarios.go
+++ b/internal/sim/scenarios.go
@@ -108,7 +108,7 @@
 			}
 			a.Attempt, a.Region, a.Wait = fmt.Sprintf("probe-%d-%s-%d", at.Milliseconds(), a.Service, i), "r0", 2*time.Second
 			f.send(a, 1, func(r *judge.Reply) {
-				if r != nil && r.Outcome == "sealed" && !isServed[a.Service] {
+				if r != nil && r.Result == "sealed" && !isServed[a.Service] {
 					isServed[a.Service] = true
 					f.Back[a.Service] = max(f.Back[a.Service], f.Now-at)
 				}
@@ -408,16 +408,16 @@
 					f.after(3*time.Second, func() { f.Start(leader) })
 				}
 			}
-			var outcomes []*schema.OperatorResponse
+			var results []*schema.OperatorResponse
 			for range 2 {
 				at := f.pick(func(n *Node) bool { return n.IsUp })
 				f.Operate(at, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(DefaultDocument), Base: base}, func(o *schema.OperatorResponse) {
-					outcomes = append(outcomes, o)
+					results = append(results, o)
 				})
 			}
 			f.RunFor(2 * time.Second)
 			wins := 0
-			for _, o := range outcomes {
+			for _, o := range results {
 				if o.Refusal == schema.RefusalKind_REFUSAL_NONE {
 					wins++
 				}
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -266,7 +266,7 @@
 	boot := n.Boot
 	n.driver = &core.Driver{Core: n.core, Journal: j, Now: func() time.Duration { return f.clock(n) },
 		Send:   func(to string, frame *schema.Frame) { f.transmit(n, to, frame) },
-		Answer: func(o core.Outcome) { f.answer(n, o) },
+		Answer: func(o core.LocalResponse) { f.answer(n, o) },
 		Synced: func(took time.Duration, err error) {
 			if took > constants.SlowSync {
 				n.core.SlowDisk(f.clock(n))
@@ -345,8 +345,8 @@
 		f.perform(n)
 		for _, asking := range n.keeper.Ask(f.clock(n)) {
 			f.call(n, asking.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: asking.Query}}, func(o *schema.Frame) {
-				if outcome := o.GetReservationCopyResponse(); outcome != nil {
-					n.keeper.Copied(f.clock(n), asking.Member.Id, outcome)
+				if result := o.GetReservationCopyResponse(); result != nil {
+					n.keeper.Copied(f.clock(n), asking.Member.Id, result)
 				}
 			})
 		}
@@ -554,10 +554,10 @@
 	return leader
 }
 
-func (f *Fleet) answer(n *Node, o core.Outcome) {
+func (f *Fleet) answer(n *Node, o core.LocalResponse) {
 	if take := n.calls[o.Ticket]; take != nil {
 		delete(n.calls, o.Ticket)
-		take(&schema.Frame{Body: &schema.Frame_OperatorResponse{OperatorResponse: o.Outcome}})
+		take(&schema.Frame{Body: &schema.Frame_OperatorResponse{OperatorResponse: o.Response}})
 	}
 }
 
@@ -633,32 +633,32 @@
 
 // Put puts a configuration through a machine until it is accepted, declined for good, or a time is over.
 func (f *Fleet) Put(n *Node, document string, base uint64) *schema.OperatorResponse {
-	var outcome *schema.OperatorResponse
+	var result *schema.OperatorResponse
 	f.Operate(n, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(document), Base: base}, func(o *schema.OperatorResponse) {
-		outcome = o
+		result = o
 	})
 	for range 700 {
-		if outcome != nil {
+		if result != nil {
 			break
 		}
 		f.RunFor(10 * time.Millisecond)
 	}
-	return outcome
+	return result
 }
 
 // Show reads the configuration back through a machine.
 func (f *Fleet) Show(n *Node) *schema.OperatorResponse {
-	var outcome *schema.OperatorResponse
+	var result *schema.OperatorResponse
 	f.Operate(n, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW}, func(o *schema.OperatorResponse) {
-		outcome = o
+		result = o
 	})
 	for range 700 {
-		if outcome != nil {
+		if result != nil {
 			break
 		}
 		f.RunFor(10 * time.Millisecond)
 	}
-	return outcome
+	return result
 }
 
 // Move empties or restores a district through any machine, trying until it is accepted.
@@ -696,7 +696,7 @@
 	for f.Now < time.Minute {
 		f.RunFor(500 * time.Millisecond)
 		if leader := f.Leader(); leader != nil {
-			if outcome := f.Put(leader, document, 0); outcome.GetVersion() == 1 && outcome.Refusal == schema.RefusalKind_REFUSAL_NONE {
+			if result := f.Put(leader, document, 0); result.GetVersion() == 1 && result.Refusal == schema.RefusalKind_REFUSAL_NONE {
 				return nil
 			}
 		}
--- a/internal/sim/traffic.go
+++ b/internal/sim/traffic.go
@@ -44,7 +44,7 @@
 	id      uint64
 	query   *proxy.Query
 	machine *proxy.RequestMachine
-	respond func(o *proxy.Outcome, broken string)
+	respond func(o *proxy.Result, broken string)
 	step    int
 	isOver  bool
 	backend *Backend
@@ -92,7 +92,7 @@
 	return local
 }
 
-func (f *Fleet) carry(n *Node, r *http.Request, respond func(o *proxy.Outcome, broken string)) {
+func (f *Fleet) carry(n *Node, r *http.Request, respond func(o *proxy.Result, broken string)) {
 	if !n.IsUp || n.isShut {
 		respond(nil, "dial")
 		return
@@ -113,7 +113,7 @@
 	})
 }
 
-func (c *carried) answer(o *proxy.Outcome, broken string) {
+func (c *carried) answer(o *proxy.Result, broken string) {
 	if !c.isOver {
 		c.isOver = true
 		delete(c.node.flying, c.id)
@@ -150,9 +150,9 @@
 	switch order.Kind {
 	case proxy.OrderReply:
 		if order.Fault != nil {
-			f.Counts[order.Fault.Outcome+" "+order.Fault.Kind]++
+			f.Counts[order.Fault.Result+" "+order.Fault.Kind]++
 		}
-		c.answer(proxy.Tell(n.ident, c.query.Attempt, order.Outcome, order.Fault), "")
+		c.answer(proxy.Tell(n.ident, c.query.Attempt, order.Result, order.Fault), "")
 	case proxy.OrderWait:
 		if order.Wanted != "" {
 			n.core.Want(f.clock(n), order.Wanted)
@@ -275,14 +275,14 @@
 			f.breach("a forward has path %q", order.Path)
 			return
 		}
-		f.carry(peer, &http.Request{Method: c.query.Method, URL: target, Header: order.Header.Clone()}, func(o *proxy.Outcome, broken string) {
+		f.carry(peer, &http.Request{Method: c.query.Method, URL: target, Header: order.Header.Clone()}, func(o *proxy.Result, broken string) {
 			f.after(f.delay(n, peer), func() {
 				switch {
 				case f.cuts[back]:
 				case broken != "":
 					finish(proxy.Event{Kind: proxy.EventAnswered, Err: fmt.Errorf("the proxy's connection broke: %s", broken), IsTouched: true})
 				default:
-					finish(proxy.Event{Kind: proxy.EventAnswered, Outcome: o, IsTouched: true})
+					finish(proxy.Event{Kind: proxy.EventAnswered, Result: o, IsTouched: true})
 				}
 			})
 		})
@@ -343,13 +343,13 @@
 }
 
 // Query is one simulated sending; done is told its outcome: sealed, declined, doubtful, unreached, broken or late.
-func (f *Fleet) Query(attempt, method, service, path string, region string, wait time.Duration, done func(outcome string)) {
+func (f *Fleet) Query(attempt, method, service, path string, region string, wait time.Duration, done func(result string)) {
 	f.send(Ask{Attempt: attempt, Method: method, Service: service, Path: path, Region: region, Wait: wait}, 1, func(r *judge.Reply) {
 		switch {
 		case r == nil:
 			done("unreached")
-		case r.Outcome != "":
-			done(r.Outcome)
+		case r.Result != "":
+			done(r.Result)
 		default:
 			done(r.Broken)
 		}
@@ -414,7 +414,7 @@
 				if fault != nil {
 					seen.Status = fault.Status
 					f.History.Matches = append(f.History.Matches, seen)
-					done(&judge.Reply{At: f.Now, End: f.Now, Attempt: a.Attempt, Service: a.Service, Path: a.Path, Outcome: proxy.OutcomeDeclined, Kind: fault.Kind, Status: fault.Status, Later: fault.RetryAfter, IsCutOff: seen.IsCutOff})
+					done(&judge.Reply{At: f.Now, End: f.Now, Attempt: a.Attempt, Service: a.Service, Path: a.Path, Result: proxy.ResultRefused, Kind: fault.Kind, Status: fault.Status, Later: fault.RetryAfter, IsCutOff: seen.IsCutOff})
 					return
 				}
 				seen.Version, seen.Zone = match.Version, match.Proxies[0].Zone
@@ -440,15 +440,15 @@
 		limit = min(limit, 2*time.Second)
 	}
 	isOver := false
-	end := func(o *proxy.Outcome, broken string) {
+	end := func(o *proxy.Result, broken string) {
 		if isOver {
 			return
 		}
 		isOver = true
 		r.End, r.Broken = f.Now, broken
 		if o != nil {
-			r.Status, r.Outcome = o.Status, o.Header.Get(proxy.HeaderOutcome)
-			if r.Outcome == proxy.OutcomeSealed {
+			r.Status, r.Result = o.Status, o.Header.Get(proxy.HeaderOutcome)
+			if r.Result == proxy.ResultSealed {
 				if r.Digest = proxy.Seal(o.Body); o.Header.Get(proxy.HeaderAttempt) != a.Attempt || o.Status == http.StatusOK && !strings.Contains(string(o.Body), `"attempt":"`+a.Attempt+`"`) {
 					r.Digest = "not for this attempt"
 				}
@@ -484,7 +484,7 @@
 		if !n.IsUp && n.isSilent {
 			return
 		}
-		f.carry(n, request, func(o *proxy.Outcome, broken string) {
+		f.carry(n, request, func(o *proxy.Result, broken string) {
 			f.after(span, func() { end(o, broken) })
 		})
 	})
@@ -499,15 +499,15 @@
 		kind = "unsafe "
 	}
 	isDoubtful := a.HasTwin
-	end := func(outcome string) {
-		if outcome == "declined" && isDoubtful {
-			outcome = "doubtful"
+	end := func(result string) {
+		if result == "declined" && isDoubtful {
+			result = "doubtful"
 		}
-		call.Outcome, call.End = outcome, f.Now
+		call.Result, call.End = result, f.Now
 		f.History.Calls = append(f.History.Calls, call)
-		f.Counts[kind+outcome]++
-		if outcome != "sealed" {
-			f.Lost[kind+outcome+" "+call.Last]++
+		f.Counts[kind+result]++
+		if result != "sealed" {
+			f.Lost[kind+result+" "+call.Last]++
 		}
 	}
 	last := "none"
@@ -531,14 +531,14 @@
 				return
 			}
 			call.Last = strings.TrimSpace(r.Kind + " " + r.Broken)
-			if r.Outcome != proxy.OutcomeSealed {
+			if r.Result != proxy.ResultSealed {
 				delete(f.matches, a.Region+"/"+a.Service+a.Path)
 			}
-			switch r.Outcome {
-			case proxy.OutcomeSealed:
+			switch r.Result {
+			case proxy.ResultSealed:
 				end("sealed")
 				return
-			case proxy.OutcomeDeclined:
+			case proxy.ResultRefused:
 				last = "declined"
 				if r.Status < 500 && r.Status != http.StatusConflict {
 					end("declined")
@@ -552,7 +552,7 @@
 			default:
 				last = "none"
 				isDoubtful = true
-				if call.IsUnsafe && r.Outcome == proxy.OutcomeDoubtful {
+				if call.IsUnsafe && r.Result == proxy.ResultAmbiguous {
 					end("doubtful")
 					return
 				}
@@ -585,7 +585,7 @@
 					f.after(late.Age, func() {
 						f.send(late, 92, func(r *judge.Reply) {
 							if r != nil {
-								f.Counts["late repeat "+r.Outcome]++
+								f.Counts["late repeat "+r.Result]++
 							}
 						})
 					})
@@ -597,7 +597,7 @@
 					f.after(time.Duration(f.random.Intn(400))*time.Millisecond, func() {
 						f.send(twin, 91, func(r *judge.Reply) {
 							if r != nil {
-								f.Counts["impatient "+r.Outcome]++
+								f.Counts["impatient "+r.Result]++
 							}
 						})
 					})
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -179,20 +179,20 @@
 		if take == nil {
 			return
 		}
-		o := &proxy.Outcome{Status: status, Body: []byte(text), Header: http.Header{}}
+		o := &proxy.Result{Status: status, Body: []byte(text), Header: http.Header{}}
 		a.Digest = proxy.Seal(o.Body)
 		o.Header.Set(proxy.HeaderAttempt, a.Attempt)
 		o.Header.Set(proxy.HeaderService, b.Service)
 		o.Header.Set(proxy.HeaderInstance, b.Instance)
 		o.Header.Set(proxy.HeaderDigest, a.Digest)
-		e := proxy.Event{Kind: proxy.EventAnswered, Outcome: o, IsTouched: true}
+		e := proxy.Event{Kind: proxy.EventAnswered, Result: o, IsTouched: true}
 		switch mode {
 		case ModeLose:
 			e = proxy.Event{Kind: proxy.EventAnswered, Err: fmt.Errorf("connection reset"), IsTouched: true}
 		case ModeCut:
 			e = proxy.Event{Kind: proxy.EventAnswered, Err: fmt.Errorf("outcome cut short"), IsTouched: true}
 			if f.Options.Breach == "seal" {
-				e = proxy.Event{Kind: proxy.EventAnswered, Outcome: o, IsTouched: true}
+				e = proxy.Event{Kind: proxy.EventAnswered, Result: o, IsTouched: true}
 				o.Body = o.Body[:len(o.Body)/2]
 			}
 		case ModeGarbage:
@@ -202,7 +202,7 @@
 			o.Header.Set(proxy.HeaderAttempt, "someone-elses")
 			o.Header.Set(proxy.HeaderDigest, proxy.Seal(o.Body))
 		}
-		if f.Options.Breach == "seal" && e.Outcome != nil {
+		if f.Options.Breach == "seal" && e.Result != nil {
 			o.Header.Set(proxy.HeaderAttempt, a.Attempt)
 			o.Header.Set(proxy.HeaderDigest, proxy.Seal(o.Body))
 		}
--- a/internal/standing/standing_test.go
+++ b/internal/standing/standing_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestCheckDeclinesFallingNumbers(t *testing.T) {
+func TestCheckRefusesFallingNumbers(t *testing.T) {
 	table := image.NewTable()
 	apply := func(index uint64, row *schema.Row) error {
 		_, err := table.Apply(index, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{row}}, Check)
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestNewerFleetsAndDisksAreDeclined(t *testing.T) {
+func TestNewerFleetsAndDisksAreRefused(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		own         Span
