--- a/cmd/rig/routed_test.go
+++ b/cmd/rig/routed_test.go
@@ -101,9 +101,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newRoutedWorld(1)
 			b := &routedBackend{world: w, instance: "i-0", isKeyed: true, work: make(chan bool, 1)}
-			grant := httptest.NewRequest("POST", "/keys/grant", strings.NewReader(`{"first":0,"last":9,"number":1,"hold_ms":60000}`))
-			grant.Header.Set("Topazshed-Instance", "i-0")
-			b.ServeHTTP(httptest.NewRecorder(), grant)
+			lease := httptest.NewRequest("POST", "/keys/grant", strings.NewReader(`{"first":0,"last":9,"number":1,"hold_ms":60000}`))
+			lease.Header.Set("Topazshed-Instance", "i-0")
+			b.ServeHTTP(httptest.NewRecorder(), lease)
 			w.once["a-1"] = c.once
 			for range c.times {
 				request := httptest.NewRequest("GET", "/x", nil)
--- a/cmd/rig/world.go
+++ b/cmd/rig/world.go
@@ -197,21 +197,21 @@
 	limit    int
 	server   *http.Server
 	address  string
-	held     map[string]holder
+	held     map[string]owner
 	random   *rand.Rand
 	serial   int
 	fault    string
 	addIP    int
 }
 
-type holder struct {
+type owner struct {
 	number   uint64
 	instance string
 }
 
 func newWorld(h *judge.History, seed int64, address string) (*World, error) {
 	w := &World{history: h, states: map[string]string{}, known: map[string]string{}, lag: 300 * time.Millisecond, pageSize: 10, limit: 20, address: address,
-		held: map[string]holder{}, random: rand.New(rand.NewSource(seed))}
+		held: map[string]owner{}, random: rand.New(rand.NewSource(seed))}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
@@ -234,7 +234,7 @@
 	if number < was.number || number == was.number && was.instance != instance && was.instance != "" {
 		return false
 	}
-	w.held[service+"/"+slot] = holder{number, instance}
+	w.held[service+"/"+slot] = owner{number, instance}
 	return true
 }
 
--- a/cmd/topazshed/rollout_test.go
+++ b/cmd/topazshed/rollout_test.go
@@ -61,11 +61,11 @@
 					t.Errorf("waits %q, want %q with a remedy", r.Waits[i], want)
 				}
 			}
-			var holders []string
+			var owners []string
 			for _, hold := range r.Holds {
-				holders = append(holders, hold.ID)
+				owners = append(owners, hold.ID)
 			}
-			if !slices.Equal(holders, c.holds) || r.MayRise != c.mayRise {
+			if !slices.Equal(owners, c.holds) || r.MayRise != c.mayRise {
 				t.Errorf("held by %v, may rise to %d; want %v, %d", r.Holds, r.MayRise, c.holds, c.mayRise)
 			}
 			var text strings.Builder
--- a/cmd/topazshed/status.go
+++ b/cmd/topazshed/status.go
@@ -11,7 +11,7 @@
 // printStatus writes a status for people; docs/operators.md tells what each line means.
 func printStatus(w io.Writer, s *control.Status) {
 	line := func(form string, args ...any) { fmt.Fprintf(w, form+"\n", args...) }
-	line("node %s (%s), term %d, leader %s, index %d, configuration %d, fit %v, grant %d ms", s.Node, s.Role, s.Term, s.Leader, s.Index, s.Configuration, s.Fit, s.GrantMs)
+	line("node %s (%s), term %d, leader %s, index %d, configuration %d, fit %v, grant %d ms", s.Node, s.Role, s.Term, s.Leader, s.Index, s.Configuration, s.Fit, s.LeaseMs)
 	if s.LeaderSilent != "" {
 		line("the leader's word is missing: %s", s.LeaderSilent)
 	}
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -17,21 +17,21 @@
 
 type held struct {
 	digest []byte
-	holder string
+	owner  string
 	number uint64
 	round  uint32
 	until  time.Duration
 }
 
 type shard struct {
-	lock   sync.Mutex
-	claims map[string]*held
-	swept  time.Duration
-	forgot time.Duration
+	lock         sync.Mutex
+	reservations map[string]*held
+	swept        time.Duration
+	forgot       time.Duration
 }
 
 // Keeper is one node's part in the claims of its region.
-type Keeper struct {
+type Replica struct {
 	id         string
 	lock       sync.RWMutex
 	set        *schema.ReplicaSet
@@ -51,10 +51,10 @@
 }
 
 // NewKeeper makes a silent keeper; one that has lived before under its id must not believe in a first set.
-func NewKeeper(id string, hasLived bool) *Keeper {
-	k := &Keeper{id: id, hasLived: hasLived, copied: map[string]bool{}, copiedIn: map[string]bool{}, pages: map[string]uint32{}}
+func NewReplica(id string, hasLived bool) *Replica {
+	k := &Replica{id: id, hasLived: hasLived, copied: map[string]bool{}, copiedIn: map[string]bool{}, pages: map[string]uint32{}}
 	for i := range k.shards {
-		k.shards[i].claims = map[string]*held{}
+		k.shards[i].reservations = map[string]*held{}
 	}
 	return k
 }
@@ -65,8 +65,8 @@
 	slices.SortFunc(members, func(a, b *schema.Member) int {
 		return cmp.Compare(image.Weigh(b.Id, attempt), image.Weigh(a.Id, attempt))
 	})
-	count := min(len(members), constants.ClaimReplicas)
-	if count < constants.ClaimReplicas {
+	count := min(len(members), constants.ReservationReplicas)
+	if count < constants.ReservationReplicas {
 		return members[:count]
 	}
 	isAlike := func(m *schema.Member) bool { return m.Zone == members[0].Zone }
@@ -79,10 +79,10 @@
 }
 
 // Majority is how many of a set's keepers of one id must agree.
-func Majority(count int) int { return min(count, constants.ClaimReplicas)/2 + 1 }
+func Majority(count int) int { return min(count, constants.ReservationReplicas)/2 + 1 }
 
 // Adopt takes the region's newest keeper set; a changed set makes the keeper silent until it has copied or waited.
-func (k *Keeper) Adopt(now time.Duration, set *schema.ReplicaSet) {
+func (k *Replica) Adopt(now time.Duration, set *schema.ReplicaSet) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	if set == nil {
@@ -99,19 +99,19 @@
 			k.copied[k.id] = true
 		}
 		k.adoptedAt = now
-		k.clearAt, k.askedAt = 0, now-constants.ClaimCopyEvery
+		k.clearAt, k.askedAt = 0, now-constants.ReservationCopyEvery
 		if k.hasLived && !k.hasAdopted {
-			k.askedAt = now + constants.ClaimWait*5/4
+			k.askedAt = now + constants.ReservationWait*5/4
 		}
 		k.hasAdopted = true
 	}
 	if k.set.Number == set.Number && !set.Fenced && k.clearAt == 0 {
-		k.clearAt = now + constants.ClaimWindow
+		k.clearAt = now + constants.ReservationWindow
 	}
 	k.settle(now)
 }
 
-func (k *Keeper) settle(now time.Duration) {
+func (k *Replica) settle(now time.Duration) {
 	if k.isReady || !k.isMember {
 		return
 	}
@@ -123,7 +123,7 @@
 	case isCopied:
 		k.isReady, k.since = true, k.reach
 	case k.clearAt > 0 && now >= k.clearAt:
-		k.isReady, k.since = true, k.clearAt-constants.ClaimWindow
+		k.isReady, k.since = true, k.clearAt-constants.ReservationWindow
 	}
 }
 
@@ -134,11 +134,11 @@
 }
 
 // Ask gives the keepers that must still be asked for their claims.
-func (k *Keeper) Ask(now time.Duration) []Asking {
+func (k *Replica) Ask(now time.Duration) []Asking {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	k.settle(now)
-	if k.set == nil || !k.isMember || k.isReady || now-k.askedAt < constants.ClaimCopyEvery {
+	if k.set == nil || !k.isMember || k.isReady || now-k.askedAt < constants.ReservationCopyEvery {
 		return nil
 	}
 	k.askedAt = now
@@ -154,7 +154,7 @@
 }
 
 // Copy answers a keeper of the set that this one has adopted too, a page at a time; from then on older sets are declined here.
-func (k *Keeper) Copy(now time.Duration, query *schema.ReservationCopyRequest) *schema.ReservationCopyResponse {
+func (k *Replica) Copy(now time.Duration, query *schema.ReservationCopyRequest) *schema.ReservationCopyResponse {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
 	if k.set == nil || k.set.Number != query.ReplicaSet || k.set.Region != query.Region || query.Page >= shards {
@@ -170,12 +170,12 @@
 		s.lock.Lock()
 		since = max(since, s.forgot)
 		if i >= int(query.Page) && response.Next == 0 {
-			for attempt, h := range s.claims {
+			for attempt, h := range s.reservations {
 				if h.until > now {
-					response.Reservations = append(response.Reservations, &schema.Reservation{Attempt: attempt, Digest: h.digest, Owner: h.holder, Number: h.number, Round: h.round, LeftMs: uint32((h.until - now).Milliseconds())})
+					response.Reservations = append(response.Reservations, &schema.Reservation{Attempt: attempt, Digest: h.digest, Owner: h.owner, Number: h.number, Round: h.round, LeftMs: uint32((h.until - now).Milliseconds())})
 				}
 			}
-			if len(response.Reservations) >= constants.ClaimPage && i+1 < shards {
+			if len(response.Reservations) >= constants.ReservationPage && i+1 < shards {
 				response.Next = uint32(i + 1)
 			}
 		}
@@ -188,7 +188,7 @@
 }
 
 // Copied takes a former keeper's claims.
-func (k *Keeper) Copied(now time.Duration, from string, response *schema.ReservationCopyResponse) {
+func (k *Replica) Copied(now time.Duration, from string, response *schema.ReservationCopyResponse) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	if !response.Ready || k.set == nil || response.ReplicaSet != k.set.Number {
@@ -197,8 +197,8 @@
 	for _, c := range response.Reservations {
 		s := &k.shards[image.Weigh(c.Attempt)%shards]
 		s.lock.Lock()
-		if s.claims[c.Attempt] == nil {
-			s.claims[c.Attempt] = &held{c.Digest, c.Owner, c.Number, c.Round, now + time.Duration(c.LeftMs)*time.Millisecond}
+		if s.reservations[c.Attempt] == nil {
+			s.reservations[c.Attempt] = &held{c.Digest, c.Owner, c.Number, c.Round, now + time.Duration(c.LeftMs)*time.Millisecond}
 		}
 		s.lock.Unlock()
 	}
@@ -207,7 +207,7 @@
 	}
 	if response.Next > 0 {
 		k.pages[from] = response.Next
-		k.askedAt = now - constants.ClaimCopyEvery
+		k.askedAt = now - constants.ReservationCopyEvery
 		return
 	}
 	if slices.ContainsFunc(k.set.Former, func(m *schema.Member) bool { return m.Id == from }) {
@@ -219,18 +219,18 @@
 	k.settle(now)
 }
 
-func (k *Keeper) left(now time.Duration) time.Duration {
+func (k *Replica) left(now time.Duration) time.Duration {
 	switch {
 	case k.clearAt > 0:
 		return k.clearAt - now
 	case now-k.adoptedAt < constants.RetryAfter:
 		return constants.RetryAfter
 	}
-	return max(constants.RetryAfter, k.adoptedAt+constants.GrantTime+constants.GrantMargin+constants.ClaimWindow-now)
+	return max(constants.RetryAfter, k.adoptedAt+constants.LeaseDuration+constants.LeaseClockMargin+constants.ReservationWindow-now)
 }
 
 // Take decides one claim; isGranted is false when this node has no live grant.
-func (k *Keeper) Take(now time.Duration, c *schema.ReservationRequest, isGranted bool) *schema.ReservationResponse {
+func (k *Replica) Take(now time.Duration, c *schema.ReservationRequest, isGranted bool) *schema.ReservationResponse {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
 	response := &schema.ReservationResponse{ReplicaSet: k.set.GetNumber()}
@@ -256,17 +256,17 @@
 	s := &k.shards[image.Weigh(c.Attempt)%shards]
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	kept, pause := constants.ClaimKept, constants.ClaimWindow
-	if len(s.claims) >= constants.ClaimsMost/shards {
-		kept, pause = constants.ClaimKeptLeast, time.Second
+	kept, pause := constants.ReservationKept, constants.ReservationWindow
+	if len(s.reservations) >= constants.ReservationsMost/shards {
+		kept, pause = constants.ReservationKeptLeast, time.Second
 	}
 	if now-s.swept >= pause {
 		s.sweep(now, kept)
 	}
-	if h := s.claims[c.Attempt]; h != nil && h.until > now {
-		response.Owner = h.holder
+	if h := s.reservations[c.Attempt]; h != nil && h.until > now {
+		response.Owner = h.owner
 		response.State = schema.ReservationState_RESERVATION_HELD
-		if h.holder == c.Owner && c.Round >= h.round && bytes.Equal(h.digest, c.Digest) {
+		if h.owner == c.Owner && c.Round >= h.round && bytes.Equal(h.digest, c.Digest) {
 			h.round = c.Round
 			response.State = schema.ReservationState_RESERVATION_TAKEN
 		}
@@ -276,11 +276,11 @@
 		response.State = schema.ReservationState_RESERVATION_HELD
 		return response
 	}
-	if len(s.claims) >= constants.ClaimsMost/shards {
+	if len(s.reservations) >= constants.ReservationsMost/shards {
 		response.State, response.LeftMs = schema.ReservationState_RESERVATION_UNAVAILABLE, uint32(constants.RetryAfter.Milliseconds())
 		return response
 	}
-	s.claims[c.Attempt] = &held{c.Digest, c.Owner, c.Number, c.Round, now + constants.ClaimKept}
+	s.reservations[c.Attempt] = &held{c.Digest, c.Owner, c.Number, c.Round, now + constants.ReservationKept}
 	response.State = schema.ReservationState_RESERVATION_TAKEN
 	response.Owner = c.Owner
 	return response
@@ -288,35 +288,35 @@
 
 func (s *shard) sweep(now, kept time.Duration) {
 	s.swept = now
-	for attempt, h := range s.claims {
-		at := h.until - constants.ClaimKept
+	for attempt, h := range s.reservations {
+		at := h.until - constants.ReservationKept
 		if now-at < kept {
 			continue
 		}
-		delete(s.claims, attempt)
-		if kept < constants.ClaimKept {
+		delete(s.reservations, attempt)
+		if kept < constants.ReservationKept {
 			s.forgot = max(s.forgot, at)
 		}
 	}
 }
 
-func (k *Keeper) end(c *schema.ReservationRequest) {
+func (k *Replica) end(c *schema.ReservationRequest) {
 	s := &k.shards[image.Weigh(c.Attempt)%shards]
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if h := s.claims[c.Attempt]; h != nil && h.holder == c.Owner && c.Round >= h.round {
-		delete(s.claims, c.Attempt)
+	if h := s.reservations[c.Attempt]; h != nil && h.owner == c.Owner && c.Round >= h.round {
+		delete(s.reservations, c.Attempt)
 	}
 }
 
 // State describes a keeper for status: set number, membership, readiness and claims held.
-func (k *Keeper) State() (number uint64, isMember, isReady bool, claims int) {
+func (k *Replica) State() (number uint64, isMember, isReady bool, reservations int) {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
 	for i := range k.shards {
 		k.shards[i].lock.Lock()
-		claims += len(k.shards[i].claims)
+		reservations += len(k.shards[i].reservations)
 		k.shards[i].lock.Unlock()
 	}
-	return k.set.GetNumber(), k.isMember, k.isReady, claims
+	return k.set.GetNumber(), k.isMember, k.isReady, reservations
 }
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -24,34 +24,34 @@
 	return c
 }
 
-func TestManyClaimsAreCopiedInPagesAndBounded(t *testing.T) {
+func TestManyReservationsAreCopiedInPagesAndBounded(t *testing.T) {
 	first := &schema.ReplicaSet{Region: "r", Number: 1, Members: members("a", "b", "c"), First: true}
 	second := &schema.ReplicaSet{Region: "r", Number: 2, Members: members("a", "b", "d"), Former: first.Members, Fenced: true}
-	source, other, fresh := NewKeeper("a", false), NewKeeper("b", false), NewKeeper("d", false)
-	for _, k := range []*Keeper{source, other, fresh} {
+	source, other, fresh := NewReplica("a", false), NewReplica("b", false), NewReplica("d", false)
+	for _, k := range []*Replica{source, other, fresh} {
 		k.Adopt(0, first)
 	}
-	claimOf := func(i int, holder string, keepers uint64) *schema.ReservationRequest {
-		return &schema.ReservationRequest{Attempt: fmt.Sprintf("attempt-%06d", i), Digest: make([]byte, 16), Owner: holder, ReplicaSet: keepers, Region: "r"}
+	reservationOf := func(i int, owner string, replicas uint64) *schema.ReservationRequest {
+		return &schema.ReservationRequest{Attempt: fmt.Sprintf("attempt-%06d", i), Digest: make([]byte, 16), Owner: owner, ReplicaSet: replicas, Region: "r"}
 	}
 	const rate = 300
-	total := rate * int(constants.ClaimKept.Seconds())
+	total := rate * int(constants.ReservationKept.Seconds())
 	now := time.Duration(0)
 	for i := range total {
 		now = time.Duration(i) * time.Second / rate
-		for _, k := range []*Keeper{source, other} {
-			if state := k.Take(now, claimOf(i, "p/1", 1), true).State; state != schema.ReservationState_RESERVATION_TAKEN {
+		for _, k := range []*Replica{source, other} {
+			if state := k.Take(now, reservationOf(i, "p/1", 1), true).State; state != schema.ReservationState_RESERVATION_TAKEN {
 				t.Fatalf("claim %d is %v", i, state)
 			}
 		}
 	}
-	for _, k := range []*Keeper{source, other, fresh} {
+	for _, k := range []*Replica{source, other, fresh} {
 		k.Adopt(now, second)
 	}
 	pages, largest := 0, 0
 	for range 100 {
 		for _, asking := range fresh.Ask(now) {
-			if from := map[string]*Keeper{"a": source, "b": other}[asking.Member.Id]; from != nil {
+			if from := map[string]*Replica{"a": source, "b": other}[asking.Member.Id]; from != nil {
 				response := from.Copy(now, asking.Query)
 				pages++
 				largest = max(largest, proto.Size(response))
@@ -63,31 +63,31 @@
 		t.Errorf("%d pages, the largest of %d bytes", pages, largest)
 	}
 	for i := range total {
-		if state := fresh.Take(now, claimOf(i, "p/2", 2), true).State; state != schema.ReservationState_RESERVATION_HELD {
+		if state := fresh.Take(now, reservationOf(i, "p/2", 2), true).State; state != schema.ReservationState_RESERVATION_HELD {
 			t.Fatalf("claim %d is %v after the copy", i, state)
 		}
 	}
-	for i := total; i < total+2*constants.ClaimsMost; i++ {
+	for i := total; i < total+2*constants.ReservationsMost; i++ {
 		now += time.Second / 20000
-		source.Take(now, claimOf(i, "p/3", 2), true)
+		source.Take(now, reservationOf(i, "p/3", 2), true)
 	}
 	_, _, _, held := source.State()
-	if held > constants.ClaimsMost {
+	if held > constants.ReservationsMost {
 		t.Errorf("%d claims are held", held)
 	}
-	if state := source.Take(now, old(claimOf(-1, "p/4", 2), constants.ClaimKept), true).State; state == schema.ReservationState_RESERVATION_TAKEN {
+	if state := source.Take(now, old(reservationOf(-1, "p/4", 2), constants.ReservationKept), true).State; state == schema.ReservationState_RESERVATION_TAKEN {
 		t.Error("a keeper that had to forget takes an id that it may have forgotten")
 	}
 }
 
-func TestAFullKeeperLooksForRoomOnceASecond(t *testing.T) {
-	k := NewKeeper("a", false)
+func TestAFullReplicaLooksForRoomOnceASecond(t *testing.T) {
+	k := NewReplica("a", false)
 	k.Adopt(0, &schema.ReplicaSet{Region: "r", Number: 1, Members: members("a"), First: true})
-	claimOf := func(i int) *schema.ReservationRequest {
+	reservationOf := func(i int) *schema.ReservationRequest {
 		return &schema.ReservationRequest{Attempt: fmt.Sprintf("attempt-%07d", i), Owner: "p/1", ReplicaSet: 1, Region: "r"}
 	}
-	for i := range 2 * constants.ClaimsMost {
-		k.Take(0, claimOf(i), true)
+	for i := range 2 * constants.ReservationsMost {
+		k.Take(0, reservationOf(i), true)
 	}
 	sweeps := func() int {
 		count := 0
@@ -98,113 +98,113 @@
 		}
 		return count
 	}
-	if state := k.Take(time.Second/2, claimOf(-1), true).State; state != schema.ReservationState_RESERVATION_UNAVAILABLE || sweeps() != 0 {
+	if state := k.Take(time.Second/2, reservationOf(-1), true).State; state != schema.ReservationState_RESERVATION_UNAVAILABLE || sweeps() != 0 {
 		t.Errorf("half a second later it is %v after %d sweeps", state, sweeps())
 	}
-	if state := k.Take(constants.ClaimKeptLeast, claimOf(-1), true).State; state != schema.ReservationState_RESERVATION_TAKEN || sweeps() != 1 {
+	if state := k.Take(constants.ReservationKeptLeast, reservationOf(-1), true).State; state != schema.ReservationState_RESERVATION_TAKEN || sweeps() != 1 {
 		t.Errorf("when the oldest may go it is %v after %d sweeps", state, sweeps())
 	}
 }
 
-func TestKeeper(t *testing.T) {
+func TestReplica(t *testing.T) {
 	first := &schema.ReplicaSet{Region: "r", Number: 1, Members: members("a", "b", "c"), First: true}
 	second := &schema.ReplicaSet{Region: "r", Number: 2, Members: members("a", "b", "d"), Former: first.Members, Fenced: true}
-	claimOf := func(attempt, holder string, keepers uint64) *schema.ReservationRequest {
-		return &schema.ReservationRequest{Attempt: attempt, Owner: holder, ReplicaSet: keepers, Region: "r"}
+	reservationOf := func(attempt, owner string, replicas uint64) *schema.ReservationRequest {
+		return &schema.ReservationRequest{Attempt: attempt, Owner: owner, ReplicaSet: replicas, Region: "r"}
 	}
 	taken, held, silent, stale := schema.ReservationState_RESERVATION_TAKEN, schema.ReservationState_RESERVATION_HELD, schema.ReservationState_RESERVATION_UNAVAILABLE, schema.ReservationState_RESERVATION_STALE
 	for _, c := range []struct {
-		name     string
-		id       string
-		hasLived bool
-		prepare  func(*Keeper)
-		at       time.Duration
-		claim    *schema.ReservationRequest
-		isLapsed bool
-		want     schema.ReservationState
+		name        string
+		id          string
+		hasLived    bool
+		prepare     func(*Replica)
+		at          time.Duration
+		reservation *schema.ReservationRequest
+		isLapsed    bool
+		want        schema.ReservationState
 	}{
-		{"a first set's keeper is ready", "a", false, nil, 0, claimOf("x", "p/1", 1), false, taken},
-		{"one that has lived before is not", "a", true, nil, 0, claimOf("x", "p/1", 1), false, silent},
-		{"nor one without a live grant", "a", false, nil, 0, claimOf("x", "p/1", 1), true, silent},
-		{"nor one outside the set", "z", false, nil, 0, claimOf("x", "p/1", 1), false, silent},
-		{"another set's number is stale", "a", false, nil, 0, claimOf("x", "p/1", 2), false, stale},
-		{"a second holder is held off", "a", false, func(k *Keeper) { k.Take(0, claimOf("x", "p/1", 1), true) }, time.Second, claimOf("x", "p/2", 1), false, held},
-		{"the same holder may ask again", "a", false, func(k *Keeper) { k.Take(0, claimOf("x", "p/1", 1), true) }, time.Second, claimOf("x", "p/1", 1), false, taken},
-		{"a stranger can't end a claim", "a", false, func(k *Keeper) {
-			k.Take(0, claimOf("x", "p/1", 1), true)
+		{"a first set's keeper is ready", "a", false, nil, 0, reservationOf("x", "p/1", 1), false, taken},
+		{"one that has lived before is not", "a", true, nil, 0, reservationOf("x", "p/1", 1), false, silent},
+		{"nor one without a live grant", "a", false, nil, 0, reservationOf("x", "p/1", 1), true, silent},
+		{"nor one outside the set", "z", false, nil, 0, reservationOf("x", "p/1", 1), false, silent},
+		{"another set's number is stale", "a", false, nil, 0, reservationOf("x", "p/1", 2), false, stale},
+		{"a second holder is held off", "a", false, func(k *Replica) { k.Take(0, reservationOf("x", "p/1", 1), true) }, time.Second, reservationOf("x", "p/2", 1), false, held},
+		{"the same holder may ask again", "a", false, func(k *Replica) { k.Take(0, reservationOf("x", "p/1", 1), true) }, time.Second, reservationOf("x", "p/1", 1), false, taken},
+		{"a stranger can't end a claim", "a", false, func(k *Replica) {
+			k.Take(0, reservationOf("x", "p/1", 1), true)
 			k.Take(0, &schema.ReservationRequest{Attempt: "x", Owner: "p/2", ReplicaSet: 1, Region: "r", Ended: true}, true)
-		}, time.Second, claimOf("x", "p/3", 1), false, held},
-		{"its holder can", "a", false, func(k *Keeper) {
-			k.Take(0, claimOf("x", "p/1", 1), true)
+		}, time.Second, reservationOf("x", "p/3", 1), false, held},
+		{"its holder can", "a", false, func(k *Replica) {
+			k.Take(0, reservationOf("x", "p/1", 1), true)
 			k.Take(0, &schema.ReservationRequest{Attempt: "x", Owner: "p/1", ReplicaSet: 1, Region: "r", Ended: true}, true)
-		}, time.Second, claimOf("x", "p/3", 1), false, taken},
-		{"also when its set has changed since", "a", false, func(k *Keeper) {
-			k.Take(0, claimOf("x", "p/1", 1), true)
+		}, time.Second, reservationOf("x", "p/3", 1), false, taken},
+		{"also when its set has changed since", "a", false, func(k *Replica) {
+			k.Take(0, reservationOf("x", "p/1", 1), true)
 			k.Adopt(0, second)
 			k.Take(0, &schema.ReservationRequest{Attempt: "x", Owner: "p/1", ReplicaSet: 1, Region: "r", Ended: true}, true)
 			k.Copied(0, "b", &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 2})
-		}, time.Second, claimOf("x", "p/3", 2), false, taken},
-		{"a late end of an earlier round ends nothing", "a", false, func(k *Keeper) {
-			k.Take(0, claimOf("x", "p/1", 1), true)
+		}, time.Second, reservationOf("x", "p/3", 2), false, taken},
+		{"a late end of an earlier round ends nothing", "a", false, func(k *Replica) {
+			k.Take(0, reservationOf("x", "p/1", 1), true)
 			k.Take(0, &schema.ReservationRequest{Attempt: "x", Owner: "p/1", ReplicaSet: 1, Region: "r", Round: 2}, true)
 			k.Take(0, &schema.ReservationRequest{Attempt: "x", Owner: "p/1", ReplicaSet: 1, Region: "r", Round: 1, Ended: true}, true)
-		}, time.Second, claimOf("x", "p/3", 1), false, held},
-		{"after a change a keeper is silent", "a", false, func(k *Keeper) { k.Adopt(0, second) }, constants.ClaimWindow * 3, claimOf("x", "p/1", 2), false, silent},
-		{"until all but one former keeper gave theirs", "a", false, func(k *Keeper) {
+		}, time.Second, reservationOf("x", "p/3", 1), false, held},
+		{"after a change a keeper is silent", "a", false, func(k *Replica) { k.Adopt(0, second) }, constants.ReservationWindow * 3, reservationOf("x", "p/1", 2), false, silent},
+		{"until all but one former keeper gave theirs", "a", false, func(k *Replica) {
 			k.Adopt(0, second)
 			k.Copied(0, "b", &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 2, Reservations: []*schema.Reservation{{Attempt: "x", Owner: "p/9", LeftMs: 5000}}})
-		}, time.Second, claimOf("x", "p/1", 2), false, held},
-		{"or the fence is cleared and a window is over", "d", false, func(k *Keeper) {
+		}, time.Second, reservationOf("x", "p/1", 2), false, held},
+		{"or the fence is cleared and a window is over", "d", false, func(k *Replica) {
 			k.Adopt(0, second)
 			k.Adopt(0, &schema.ReplicaSet{Region: "r", Number: 2, Members: second.Members, Former: second.Former})
-		}, constants.ClaimWindow, claimOf("x", "p/1", 2), false, taken},
-		{"but not before", "d", false, func(k *Keeper) {
+		}, constants.ReservationWindow, reservationOf("x", "p/1", 2), false, taken},
+		{"but not before", "d", false, func(k *Replica) {
 			k.Adopt(0, second)
 			k.Adopt(0, &schema.ReplicaSet{Region: "r", Number: 2, Members: second.Members, Former: second.Former})
-		}, constants.ClaimWindow - time.Millisecond, claimOf("x", "p/1", 2), false, silent},
-		{"an id is still held off two minutes later", "a", false, func(k *Keeper) { k.Take(0, claimOf("x", "p/1", 1), true) }, 2 * time.Minute, claimOf("x", "p/2", 1), false, held},
-		{"also after its keepers have changed twice", "d", false, func(k *Keeper) {
+		}, constants.ReservationWindow - time.Millisecond, reservationOf("x", "p/1", 2), false, silent},
+		{"an id is still held off two minutes later", "a", false, func(k *Replica) { k.Take(0, reservationOf("x", "p/1", 1), true) }, 2 * time.Minute, reservationOf("x", "p/2", 1), false, held},
+		{"also after its keepers have changed twice", "d", false, func(k *Replica) {
 			k.Adopt(0, second)
 			for _, id := range []string{"a", "b"} {
 				k.Copied(0, id, &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 2, Reservations: []*schema.Reservation{{Attempt: "x", Owner: "p/9", LeftMs: 140000}}})
 			}
-		}, 2 * time.Minute, claimOf("x", "p/1", 2), false, held},
-		{"one first sent before a keeper's memory begins is held off", "d", false, func(k *Keeper) {
+		}, 2 * time.Minute, reservationOf("x", "p/1", 2), false, held},
+		{"one first sent before a keeper's memory begins is held off", "d", false, func(k *Replica) {
 			k.Adopt(0, second)
 			k.Adopt(0, &schema.ReplicaSet{Region: "r", Number: 2, Members: second.Members, Former: second.Former})
-		}, constants.ClaimWindow, old(claimOf("x", "p/1", 2), constants.ClaimWindow+time.Millisecond), false, held},
-		{"one first sent since is taken", "d", false, func(k *Keeper) {
+		}, constants.ReservationWindow, old(reservationOf("x", "p/1", 2), constants.ReservationWindow+time.Millisecond), false, held},
+		{"one first sent since is taken", "d", false, func(k *Replica) {
 			k.Adopt(0, second)
 			k.Adopt(0, &schema.ReplicaSet{Region: "r", Number: 2, Members: second.Members, Former: second.Former})
-		}, constants.ClaimWindow, old(claimOf("x", "p/1", 2), constants.ClaimWindow-time.Millisecond), false, taken},
-		{"a copied memory reaches as far back as its sources'", "d", false, func(k *Keeper) {
+		}, constants.ReservationWindow, old(reservationOf("x", "p/1", 2), constants.ReservationWindow-time.Millisecond), false, taken},
+		{"a copied memory reaches as far back as its sources'", "d", false, func(k *Replica) {
 			k.Adopt(time.Minute, second)
 			k.Copied(time.Minute, "a", &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 2, ReachMs: 5000})
 			k.Copied(time.Minute, "b", &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 2})
-		}, time.Minute, old(claimOf("x", "p/1", 2), 6*time.Second), false, held},
-		{"a keeper is silent until the last page came", "d", false, func(k *Keeper) {
+		}, time.Minute, old(reservationOf("x", "p/1", 2), 6*time.Second), false, held},
+		{"a keeper is silent until the last page came", "d", false, func(k *Replica) {
 			k.Adopt(0, second)
 			for _, id := range []string{"a", "b"} {
 				k.Copied(0, id, &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 2, Next: 7})
 			}
-		}, time.Second, claimOf("x", "p/1", 2), false, silent},
-		{"a keeper that missed a set knows too little, though it is all that is left", "a", false, func(k *Keeper) {
+		}, time.Second, reservationOf("x", "p/1", 2), false, silent},
+		{"a keeper that missed a set knows too little, though it is all that is left", "a", false, func(k *Replica) {
 			k.Adopt(0, &schema.ReplicaSet{Region: "r", Number: 3, Members: members("a"), Former: members("a"), Fenced: true})
-		}, time.Second, claimOf("x", "p/1", 3), false, silent},
-		{"a copy for another set counts for nothing", "d", false, func(k *Keeper) {
+		}, time.Second, reservationOf("x", "p/1", 3), false, silent},
+		{"a copy for another set counts for nothing", "d", false, func(k *Replica) {
 			k.Adopt(0, second)
 			for _, id := range []string{"a", "b", "c"} {
 				k.Copied(0, id, &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 1})
 			}
-		}, time.Second, claimOf("x", "p/1", 2), false, silent},
+		}, time.Second, reservationOf("x", "p/1", 2), false, silent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			k := NewKeeper(c.id, c.hasLived)
+			k := NewReplica(c.id, c.hasLived)
 			k.Adopt(0, first)
 			if c.prepare != nil {
 				c.prepare(k)
 			}
-			if got := k.Take(c.at, c.claim, !c.isLapsed).State; got != c.want {
+			if got := k.Take(c.at, c.reservation, !c.isLapsed).State; got != c.want {
 				t.Fatalf("got %v, want %v", got, c.want)
 			}
 		})
@@ -226,7 +226,7 @@
 				t.Fatalf("%s is matched differently the second time", attempt)
 			}
 		}
-		if len(chosen) != constants.ClaimReplicas || len(zones) < 2 {
+		if len(chosen) != constants.ReservationReplicas || len(zones) < 2 {
 			t.Fatalf("%s has keepers %v in %d districts", attempt, chosen, len(zones))
 		}
 	}
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -44,9 +44,9 @@
 	// NodeLostAfter (time) is the silence after which the leader takes a node as lost: five beats and a far link.
 	NodeLostAfter = 2400 * time.Millisecond
 	// GrantTime (time) is how long a node may start unsafe legs after it sent the beat that was granted: ten beats, and grant, margin and claim window together stay under 15 s.
-	GrantTime = 4 * time.Second
+	LeaseDuration = 4 * time.Second
 	// GrantMargin (time) covers a clock-rate error of 5 per cent on a grant, twice.
-	GrantMargin = 500 * time.Millisecond
+	LeaseClockMargin = 500 * time.Millisecond
 	// IsolatedAfter (time) is the age of the last word from core or region at which a proxy declines all.
 	IsolatedAfter = 4 * time.Second
 	// ConfirmWait (time) is how long an accepted operator's query waits for every proxy's word before it tells who has not given it.
@@ -116,15 +116,15 @@
 	VitalsFails = 2
 
 	// ClaimWindow (time) is the longest wait of an unsafe query, and what must be waited out when most keepers of an id are lost: short, since service must be back in 15 s.
-	ClaimWindow = 6 * time.Second
+	ReservationWindow = 6 * time.Second
 	// ClaimKept (time) is how long a keeper remembers a claim: a caller's person who tries again within two minutes is still held off; at 300 unsafe queries a second and three keepers of five it is 27000 claims a keeper.
-	ClaimKept = 150 * time.Second
+	ReservationKept = 150 * time.Second
 	// ClaimKeptLeast (time) is how long a claim is remembered even by a keeper that has no more room.
-	ClaimKeptLeast = 2 * ClaimWindow
+	ReservationKeptLeast = 2 * ReservationWindow
 	// ClaimsMost (claims) a keeper holds: 32 MiB; above it the oldest beyond ClaimKeptLeast are forgotten first.
-	ClaimsMost = 200000
+	ReservationsMost = 200000
 	// ClaimPage (claims) are copied to another keeper at once, and the rest of one shard: a quarter of a frame at the most.
-	ClaimPage = 8192
+	ReservationPage = 8192
 	// KeptBytes (bytes) of sealed outcomes of unsafe queries a proxy keeps for repeats of their ids; the oldest go first.
 	KeptBytes = 16 << 20
 	// KeptOutcome (bytes) is the largest outcome that is kept.
@@ -132,11 +132,11 @@
 	// AgeMost (time) is the oldest first sending that a caller may tell.
 	AgeMost = 24 * time.Hour
 	// ClaimReplicas (keepers) hold one claim.
-	ClaimReplicas = 3
+	ReservationReplicas = 3
 	// ClaimWait (time) bounds one claim round: keepers are 1 ms away, the rest is for a busy machine.
-	ClaimWait = 400 * time.Millisecond
+	ReservationWait = 400 * time.Millisecond
 	// ClaimCopyEvery (time) is how often a new keeper asks the former ones.
-	ClaimCopyEvery = 200 * time.Millisecond
+	ReservationCopyEvery = 200 * time.Millisecond
 
 	// MatchLife (time) is how long a caller may use a directory's outcome.
 	MatchLife = 2 * time.Second
@@ -189,7 +189,7 @@
 	// LegsMost (tries) bounds the legs of one repeat-safe query.
 	AttemptsMost = 4
 	// KeyedAfterglow (time) is how long a keyed leg without a whole answer counts as running: its back end can't be asked, and was told of no longer wait.
-	KeyedAfterglow = ClaimWindow
+	KeyedAfterglow = ReservationWindow
 	// KeyMoves (slots) of a service are moved at once to even out its back ends; a newly warm one so gets its share little by little.
 	KeyMoves = 4
 	// KeySlots (slots) divide the keys of a keyed service.
@@ -321,7 +321,7 @@
 	// JuryOut (time) of a first verdict, doubled at each further one: several beats, so that one that is well again is soon back.
 	JuryOut = 2500 * time.Millisecond
 	// JuryOutHolder (time) of a first verdict on a holder of keys: its keys went elsewhere, and each return moves them twice more if it is still ill.
-	JuryOutHolder = 10 * time.Second
+	EjectionTimeOwner = 10 * time.Second
 	// JuryOutMost (time) of a verdict.
 	JuryOutMost = 20 * time.Second
 	// JuryTrial (time) after which a failing back end that nobody tried is cleared.
@@ -329,7 +329,7 @@
 	// JuryGoods (requests) that must go well on trial.
 	JuryGoods = 2
 	// JurySponsors (nodes) may try a failing back end.
-	JurySponsors = 2
+	TrialSenders = 2
 	// JuryForgiven (time) that a back end must have been clear before its former verdicts count no more: several periods of one that goes down and up.
 	JuryForgiven = 30 * time.Second
 	// JuryFloor (percent) of a service's back ends that may be failing by verdict: the rest bear a third more then. If more are doubted, the trouble may be elsewhere and twice the votes are needed.
@@ -411,7 +411,7 @@
 	// SettleMargin (time) beyond the list's lag after which it tells of a district that was given back.
 	SettleMargin = 300 * time.Millisecond
 	// SponsorsMost (nodes) share what a cold back end bears: whole requests a second remain for each.
-	SponsorsMost = 4
+	SlowStartSendersMost = 4
 	// OperatorPatience (time) is how long a node seeks a leader for an operator's query before it says that there is none: below the second after which operators turn elsewhere.
 	OperatorPatience = 900 * time.Millisecond
 	// PassOnWait (time) without an answer from the leader after which a query is passed on again: a commit over the longest links and a slow disk.
--- a/internal/constants/keys.go
+++ b/internal/constants/keys.go
@@ -14,7 +14,7 @@
 	// KeyLeaseTime (time) is how long after a majority's last word calls may be sent: below the shortest election wait of 600 ms.
 	KeyLeaseTime = 500 * time.Millisecond
 	// KeyGrantWait (time) bounds a grant's call: a far link and a busy machine.
-	KeyGrantWait = 600 * time.Millisecond
+	KeyLeaseWait = 600 * time.Millisecond
 	// KeyDoubt (time) without an answer to a grant after which its back end's other spans are not renewed before that answer: twice there and back over a far link, and a busy machine.
 	KeyDoubt = 200 * time.Millisecond
 	// KeyReleaseWait (time) bounds a release's call, which waits for running work.
@@ -28,7 +28,7 @@
 	// KeyAnswerLost (time) after its wait a call without any word counts as unanswered.
 	KeyAnswerLost = 5 * time.Second
 	// KeyPredecessorMargin (time) after an election the calls of the leader before may still arrive: its lease, a call's wait and its way.
-	KeyPredecessorMargin = KeyLeaseTime + KeyGrantWait + KeyArrivalMargin
+	KeyPredecessorMargin = KeyLeaseTime + KeyLeaseWait + KeyArrivalMargin
 	// KeyProposalPause (time) passes before a record is proposed again: several commits.
 	KeyProposalPause = time.Second
 	// KeyRetryPause (time) passes before a failed call is sent again.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -29,7 +29,7 @@
 	Local   func() *core.Local
 	Operate func(ctx context.Context, query *schema.OperatorRequest) (*schema.OperatorResponse, error)
 	Stats   func() map[string]uint64
-	Keeper  func() (number uint64, isMember, isReady bool, claims int)
+	Replica func() (number uint64, isMember, isReady bool, reservations int)
 	Disk    func() Disk
 	Match   http.Handler
 	// Resting are the back ends that this node sends nothing to for a moment, since they failed it; nil if it does not know.
@@ -130,13 +130,13 @@
 	FreshMs int64  `json:"fresh_ms"`
 	// Strays are the answers that belonged to nothing that this process waits for.
 	Strays      uint64            `json:"strays,omitempty"`
-	GrantMs     int64             `json:"grant_ms"`
+	LeaseMs     int64             `json:"grant_ms"`
 	ListMs      int64             `json:"list_ms"`
 	ListFault   string            `json:"list_fault,omitempty"`
 	Voters      []string          `json:"voters"`
 	Learners    []string          `json:"learners"`
 	Suspects    []string          `json:"suspects"`
-	Keeper      map[string]any    `json:"keeper"`
+	Replica     map[string]any    `json:"keeper"`
 	Disk        *Disk             `json:"disk,omitempty"`
 	Results     map[string]uint64 `json:"outcomes"`
 	Nodes       []NodeStatus      `json:"nodes"`
@@ -315,14 +315,14 @@
 	now, local := d.options.Now(), d.options.Local()
 	view := local.View
 	s := &Status{Node: d.options.Self.Id, System: local.System, Role: local.Role, Term: local.Term, Leader: local.Leader, Index: view.Version, Rows: local.Rows,
-		Configuration: view.Head.Version, Fleet: view.Fleet, Newest: versions.Newest, Fit: d.isFit(now, local), ClockMs: now.Milliseconds(), FreshMs: (now - local.FreshAt).Milliseconds(), Strays: local.Strays, GrantMs: max(0, local.GrantUntil-now).Milliseconds(),
+		Configuration: view.Head.Version, Fleet: view.Fleet, Newest: versions.Newest, Fit: d.isFit(now, local), ClockMs: now.Milliseconds(), FreshMs: (now - local.FreshAt).Milliseconds(), Strays: local.Strays, LeaseMs: max(0, local.LeaseUntil-now).Milliseconds(),
 		ListMs: -1, ListFault: local.ListFault, Suspects: local.Suspects, Results: d.options.Stats()}
 	if local.ListAt > 0 {
 		s.ListMs = (now - local.ListAt).Milliseconds()
 	}
-	if d.options.Keeper != nil {
-		number, isMember, isReady, claims := d.options.Keeper()
-		s.Keeper = map[string]any{"number": number, "member": isMember, "ready": isReady, "claims": claims}
+	if d.options.Replica != nil {
+		number, isMember, isReady, reservations := d.options.Replica()
+		s.Replica = map[string]any{"number": number, "member": isMember, "ready": isReady, "claims": reservations}
 	}
 	if d.options.Resting != nil {
 		s.Resting = d.options.Resting()
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -32,7 +32,7 @@
 			}
 			return response, fault
 		},
-		Stats: func() map[string]uint64 { return nil }, Keeper: func() (uint64, bool, bool, int) { return 1, true, true, 0 }, Disk: func() Disk { return Disk{} }, Match: http.NotFoundHandler()})
+		Stats: func() map[string]uint64 { return nil }, Replica: func() (uint64, bool, bool, int) { return 1, true, true, 0 }, Disk: func() Disk { return Disk{} }, Match: http.NotFoundHandler()})
 }
 
 func TestDoor(t *testing.T) {
--- a/internal/core/beats.go
+++ b/internal/core/beats.go
@@ -139,7 +139,7 @@
 	}
 	g := c.nodes[b.Node.Id]
 	if g == nil {
-		g = &granted{firstHeard: c.now}
+		g = &nodeRecord{firstHeard: c.now}
 		if row := c.view.Nodes[b.Node.Id]; row != nil {
 			g.node = row
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -62,7 +62,7 @@
 	Hard      *schema.HardState
 	Sends     []Send
 	Responses []LocalResponse
-	Calls     []GrantCall
+	Calls     []LeaseCall
 	IsWork    bool
 }
 
@@ -72,7 +72,7 @@
 	Held       map[string]bool
 	IsFull     bool
 	FreshAt    time.Duration
-	GrantUntil time.Duration
+	LeaseUntil time.Duration
 	ThawedAt   time.Duration
 	Fences     map[string]time.Duration
 	Opened     map[string]time.Duration
@@ -123,16 +123,16 @@
 	to string
 }
 
-type granted struct {
-	until       time.Duration
-	floor       uint64
-	version     uint64
-	heard       time.Duration
-	suspects    []string
-	keepers     uint64
-	keeperReady bool
-	firstHeard  time.Duration
-	node        *schema.Node
+type nodeRecord struct {
+	until              time.Duration
+	floor              uint64
+	version            uint64
+	heard              time.Duration
+	suspects           []string
+	reservationSet     uint64
+	isReservationReady bool
+	firstHeard         time.Duration
+	node               *schema.Node
 }
 
 type subscriber struct {
@@ -153,83 +153,83 @@
 
 // Core is the machine.
 type Core struct {
-	options      Options
-	log          *slog.Logger
-	self         *schema.Node
-	system       string
-	quorum       *quorum.Quorum
-	table        *image.Table
-	view         *image.View
-	near         *neighbours.Neighbours
-	rost         *roster.Roster
-	effects      Effects
-	now          time.Duration
-	tickedAt     time.Duration
-	thawedAt     time.Duration
-	leader       string
-	leaderAt     time.Duration
-	beatAt       time.Duration
-	beats        map[uint64]asked
-	serial       uint64
-	grantUntil   time.Duration
-	freshAt      time.Duration
-	held         map[string]bool
-	wanted       map[string]time.Duration
-	source       source
-	subSerial    uint64
-	subAt        time.Duration
-	subs         map[uint64]asked
-	digestAt     time.Duration
-	subscriber   map[string]*subscriber
-	nodes        map[string]*granted
-	planAt       time.Duration
-	wasLeader    bool
-	electedAt    time.Duration
-	releasedAt   map[uint64]time.Duration
-	waiters      []*waiter
-	confirming   []*waiter
-	undecided    []*waiter
-	strays       uint64
-	reads        map[uint64]*waiter
-	nextRead     uint64
-	whoAt        time.Duration
-	askedSeeds   int
-	seeds        map[string]time.Duration
-	empties      map[string]bool
-	emptySince   time.Duration
-	listAt       time.Duration
-	listFault    string
-	sweep        *roster.Sweep
-	vitals       []*schema.HealthReport
-	keepers      uint64
-	isKeeping    bool
-	floor        uint64
-	peers        map[string]time.Duration
-	pending      map[string]uint64
-	verdicts     map[uint64]string
-	imageAt      uint64
-	told         uint64
-	fences       map[string]time.Duration
-	behindAt     time.Duration
-	opened       map[string]time.Duration
-	openedAs     map[string]uint64
-	addresses    map[string]string
-	toldAt       time.Duration
-	routed       *routedState
-	changes      []*schema.FailoverChange
-	speaks       versions.Span
-	refused      error
-	risingTo     uint32
-	risingFrom   time.Duration
-	proposed     uint32
-	refusedNodes map[string]uint64
+	options        Options
+	log            *slog.Logger
+	self           *schema.Node
+	system         string
+	quorum         *quorum.Quorum
+	table          *image.Table
+	view           *image.View
+	near           *neighbours.Neighbours
+	rost           *roster.Roster
+	effects        Effects
+	now            time.Duration
+	tickedAt       time.Duration
+	thawedAt       time.Duration
+	leader         string
+	leaderAt       time.Duration
+	beatAt         time.Duration
+	beats          map[uint64]asked
+	serial         uint64
+	leaseUntil     time.Duration
+	freshAt        time.Duration
+	held           map[string]bool
+	wanted         map[string]time.Duration
+	source         source
+	subSerial      uint64
+	subAt          time.Duration
+	subs           map[uint64]asked
+	digestAt       time.Duration
+	subscriber     map[string]*subscriber
+	nodes          map[string]*nodeRecord
+	planAt         time.Duration
+	wasLeader      bool
+	electedAt      time.Duration
+	releasedAt     map[uint64]time.Duration
+	waiters        []*waiter
+	confirming     []*waiter
+	undecided      []*waiter
+	strays         uint64
+	reads          map[uint64]*waiter
+	nextRead       uint64
+	whoAt          time.Duration
+	askedSeeds     int
+	seeds          map[string]time.Duration
+	empties        map[string]bool
+	emptySince     time.Duration
+	listAt         time.Duration
+	listFault      string
+	sweep          *roster.Sweep
+	vitals         []*schema.HealthReport
+	reservationSet uint64
+	isKeeping      bool
+	floor          uint64
+	peers          map[string]time.Duration
+	pending        map[string]uint64
+	verdicts       map[uint64]string
+	imageAt        uint64
+	told           uint64
+	fences         map[string]time.Duration
+	behindAt       time.Duration
+	opened         map[string]time.Duration
+	openedAs       map[string]uint64
+	addresses      map[string]string
+	toldAt         time.Duration
+	routed         *routedState
+	changes        []*schema.FailoverChange
+	speaks         versions.Span
+	refused        error
+	risingTo       uint32
+	risingFrom     time.Duration
+	proposed       uint32
+	refusedNodes   map[string]uint64
 }
 
 // New restores a node from its journal, or makes an empty one.
 func New(now time.Duration, options Options) *Core {
 	c := &Core{options: options, log: options.Log, self: proto.Clone(options.Self).(*schema.Node), system: options.System,
 		table: image.NewTable(), view: image.NewView(), rost: roster.New(), beats: map[uint64]asked{}, held: map[string]bool{},
-		wanted: map[string]time.Duration{}, subs: map[uint64]asked{}, subscriber: map[string]*subscriber{}, nodes: map[string]*granted{},
+		wanted: map[string]time.Duration{}, subs: map[uint64]asked{}, subscriber: map[string]*subscriber{}, nodes: map[string]*nodeRecord{},
 		releasedAt: map[uint64]time.Duration{}, reads: map[uint64]*waiter{}, seeds: map[string]time.Duration{}, empties: map[string]bool{},
 		peers: map[string]time.Duration{}, pending: map[string]uint64{}, verdicts: map[uint64]string{}, fences: map[string]time.Duration{}, opened: map[string]time.Duration{}, openedAs: map[string]uint64{}, addresses: map[string]string{}, now: now, tickedAt: now, speaks: options.Speaks.OrOwn(), refusedNodes: map[string]uint64{}}
 	if options.Routed != nil {
@@ -307,7 +307,9 @@
 func (c *Core) SetVitals(vitals []*schema.HealthReport) { c.vitals = vitals }
 
 // SetKeeper takes this node's state as a keeper.
-func (c *Core) SetKeeper(number uint64, isReady bool) { c.keepers, c.isKeeping = number, isReady }
+func (c *Core) SetReservationReplica(number uint64, isReady bool) {
+	c.reservationSet, c.isKeeping = number, isReady
+}
 
 // SetFloor takes the lowest image version that a keyed leg in flight was begun on; none is 0.
 func (c *Core) SetFloor(floor uint64) { c.floor = floor }
@@ -429,7 +431,7 @@
 		}
 		c.takeBeat(f, body.Heartbeat)
 	case *schema.Frame_HeartbeatResponse:
-		c.takeGrant(f, body.HeartbeatResponse)
+		c.takeLease(f, body.HeartbeatResponse)
 	case *schema.Frame_Subscribe:
 		c.takeSubscribe(f.Address, body.Subscribe)
 	case *schema.Frame_Delta:
@@ -560,7 +562,7 @@
 	}
 	c.beatAt = c.now
 	c.serial++
-	b := &schema.Heartbeat{Node: c.spoken(c.near.Self()), Version: c.table.Version(), Health: c.vitals, Suspects: c.near.Suspects(), Serial: c.serial, ReplicaSet: c.keepers, ReplicaReady: c.isKeeping, OldestIndex: c.floor}
+	b := &schema.Heartbeat{Node: c.spoken(c.near.Self()), Version: c.table.Version(), Health: c.vitals, Suspects: c.near.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isKeeping, OldestIndex: c.floor}
 	if c.routed != nil {
 		b.Load = c.routed.takeHeat(c.now)
 		if vitals := c.routed.options.Vitals; vitals != nil {
@@ -619,11 +621,11 @@
 		response.Leader, response.Accepted = c.self.Address, true
 		g := c.nodes[b.Node.Id]
 		if g == nil {
-			g = &granted{firstHeard: c.now}
+			g = &nodeRecord{firstHeard: c.now}
 			c.nodes[b.Node.Id] = g
 		}
 		g.heard, g.version, g.suspects, g.node = c.now, b.Version, b.Suspects, b.Node
-		g.keepers, g.keeperReady = b.ReplicaSet, b.ReplicaReady
+		g.reservationSet, g.isReservationReady = b.ReplicaSet, b.ReplicaReady
 		if g.floor = b.Version; b.OldestIndex > 0 {
 			g.floor = min(b.OldestIndex, b.Version)
 		}
@@ -634,23 +636,23 @@
 		row := c.view.Nodes[b.Node.Id]
 		isKnown := row != nil && row.State != schema.NodeState_NODE_LOST && b.Node.State == row.State
 		if isKnown {
-			left := c.quorum.Contact() + constants.GrantTime - c.now
+			left := c.quorum.Contact() + constants.LeaseDuration - c.now
 			if left > 0 && b.Version >= c.newestFence() {
 				response.LeaseMs = uint32(left.Milliseconds())
-				g.until = c.now + left + constants.GrantMargin
+				g.until = c.now + left + constants.LeaseClockMargin
 			}
 		} else {
 			c.planAt = 0
 		}
 	}
 	if f.From == c.self.Id {
-		c.takeGrant(f, response)
+		c.takeLease(f, response)
 		return
 	}
 	c.send(f.Address, &schema.Frame{Body: &schema.Frame_HeartbeatResponse{HeartbeatResponse: response}})
 }
 
-func (c *Core) takeGrant(f *schema.Frame, o *schema.HeartbeatResponse) {
+func (c *Core) takeLease(f *schema.Frame, o *schema.HeartbeatResponse) {
 	if !o.Accepted {
 		if o.Leader != "" && o.Leader != c.leader && o.Leader != f.Address {
 			c.leader, c.leaderAt = o.Leader, c.now
@@ -665,7 +667,7 @@
 		return
 	}
 	if o.LeaseMs > 0 {
-		c.grantUntil = max(c.grantUntil, beat.at+time.Duration(o.LeaseMs)*time.Millisecond)
+		c.leaseUntil = max(c.leaseUntil, beat.at+time.Duration(o.LeaseMs)*time.Millisecond)
 	}
 }
 
@@ -728,7 +730,7 @@
 
 // Local gives what the hot path may rely on now.
 func (c *Core) Local() *Local {
-	l := &Local{View: c.view, Held: c.held, IsFull: c.isFull(), FreshAt: c.freshAt, GrantUntil: c.grantUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
+	l := &Local{View: c.view, Held: c.held, IsFull: c.isFull(), FreshAt: c.freshAt, LeaseUntil: c.leaseUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
 		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.near.Suspects(), Rows: c.table.Size(),
 		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", Strays: c.strays}
 	if c.quorum != nil {
@@ -888,7 +890,7 @@
 			c.log.Info("members", "voters", len(item.Record.Members.Voters), "learners", len(item.Record.Members.Learners), "reason", item.Record.Reason)
 		}
 		c.settle(item)
-		c.noteHolders(rows)
+		c.noteOwners(rows)
 	}
 	c.publish(changed)
 	c.decideAgain()
--- a/internal/core/driver.go
+++ b/internal/core/driver.go
@@ -16,7 +16,7 @@
 	Now     func() time.Duration
 	Send    func(to string, f *schema.Frame)
 	Answer  func(LocalResponse)
-	Granted func(GrantCall)
+	Leased  func(LeaseCall)
 	Synced  func(took time.Duration, err error)
 	Publish func()
 	Write   func(work func() error, done func(error))
@@ -98,7 +98,7 @@
 		d.Answer(o)
 	}
 	for _, call := range effects.Calls {
-		d.Granted(call)
+		d.Leased(call)
 	}
 }
 
--- a/internal/core/holders_test.go
+++ b/internal/core/holders_test.go
@@ -13,7 +13,7 @@
 	"topazshed/internal/schema"
 )
 
-func TestGrantsFollowTheirRecordAtOnce(t *testing.T) {
+func TestLeasesFollowTheirRecordAtOnce(t *testing.T) {
 	const tick = 20 * time.Millisecond
 	for _, c := range []struct{ backends, spans int }{{1, 1}, {4, 12}} {
 		t.Run(fmt.Sprint(c.backends), func(t *testing.T) {
@@ -25,8 +25,8 @@
 				name := fmt.Sprint("i", i)
 				record.Rows = append(record.Rows, image.Put(image.BackendKey("s", name), &schema.Backend{Service: "s", Instance: name, Address: name, Zone: "d", State: schema.BackendState_BACKEND_READY}))
 			}
-			isPut, laidAt, grants := false, time.Duration(0), 0
-			for now := time.Hour; now < time.Hour+12*time.Second && grants == 0; now += tick {
+			isPut, laidAt, leases := false, time.Duration(0), 0
+			for now := time.Hour; now < time.Hour+12*time.Second && leases == 0; now += tick {
 				core.Tick(now)
 				if core.IsLeading() && !isPut {
 					isPut = core.propose(record)
@@ -37,8 +37,8 @@
 						break
 					}
 					for _, call := range effects.Calls {
-						if call.Kind == keys.Grant {
-							grants++
+						if call.Kind == keys.GrantLease {
+							leases++
 						}
 					}
 					core.Synced(now, effects)
@@ -55,11 +55,11 @@
 						t.Errorf("%d spans, want %d", spans, c.spans)
 					}
 				}
-				if grants > 0 && (grants != c.spans || now-laidAt > 2*tick) {
-					t.Errorf("%d grants %v after their record, want %d within two ticks", grants, now-laidAt, c.spans)
+				if leases > 0 && (leases != c.spans || now-laidAt > 2*tick) {
+					t.Errorf("%d grants %v after their record, want %d within two ticks", leases, now-laidAt, c.spans)
 				}
 			}
-			if grants == 0 {
+			if leases == 0 {
 				t.Errorf("no grants; the record was taken at %v", laidAt-time.Hour)
 			}
 		})
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -16,7 +16,7 @@
 func (c *Core) lead() {
 	if !c.IsLeading() {
 		if c.wasLeader {
-			c.nodes = map[string]*granted{}
+			c.nodes = map[string]*nodeRecord{}
 			c.releasedAt = map[uint64]time.Duration{}
 			c.pending = map[string]uint64{}
 		}
@@ -52,7 +52,7 @@
 		return
 	}
 	c.planRoster()
-	c.planKeepers()
+	c.planReplicaSets()
 	c.planSlots()
 	for _, record := range standing.Plan(c.view, c.table, c.released) {
 		c.sign(record)
@@ -84,8 +84,8 @@
 	return true
 }
 
-func (c *Core) lapse(g *granted) time.Duration {
-	at := c.electedAt + constants.GrantTime + constants.GrantMargin
+func (c *Core) lapse(g *nodeRecord) time.Duration {
+	at := c.electedAt + constants.LeaseDuration + constants.LeaseClockMargin
 	if g != nil {
 		at = max(at, g.until)
 	}
@@ -106,7 +106,7 @@
 
 func (c *Core) isKeyFree(index uint64) bool {
 	for id := range c.view.Nodes {
-		if g := c.nodes[id]; (g == nil || g.floor < index) && c.now < c.lapse(g)+constants.ClaimWindow {
+		if g := c.nodes[id]; (g == nil || g.floor < index) && c.now < c.lapse(g)+constants.ReservationWindow {
 			return false
 		}
 	}
@@ -118,9 +118,9 @@
 	for key := range c.fences {
 		newest = max(newest, c.table.Get(key).GetIndex())
 	}
-	for region, set := range c.view.Keepers {
+	for region, set := range c.view.ReplicaSets {
 		if set.Fenced {
-			newest = max(newest, c.table.Get(image.KeepersKey(region)).GetIndex())
+			newest = max(newest, c.table.Get(image.ReplicaSetKey(region)).GetIndex())
 		}
 	}
 	return newest
@@ -204,7 +204,7 @@
 		silence := c.now - heard
 		lostAfter := c.routed.lostAfter()
 		isLost := silence > lostAfter && witnesses[id] >= constants.SuspectWitnesses || silence > 2*lostAfter
-		isLapsed := silence > constants.GrantTime+constants.GrantMargin+constants.ClaimWindow
+		isLapsed := silence > constants.LeaseDuration+constants.LeaseClockMargin+constants.ReservationWindow
 		if c.routed != nil && !row.Disk && newest[row.Address] > row.Incarnation {
 			put(image.NodeKey(id), image.Gone(image.NodeKey(id)))
 			delete(c.nodes, id)
@@ -244,10 +244,10 @@
 	}
 }
 
-func (c *Core) planKeepers() {
+func (c *Core) planReplicaSets() {
 	for _, region := range slices.Sorted(maps.Keys(c.view.Regions)) {
-		set := c.view.Keepers[region]
-		key := image.KeepersKey(region)
+		set := c.view.ReplicaSets[region]
+		key := image.ReplicaSetKey(region)
 		var members []*schema.Member
 		isLate, isUnready := false, false
 		for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
@@ -257,7 +257,7 @@
 			}
 			g := c.nodes[id]
 			isIn := set != nil && slices.ContainsFunc(set.Members, func(m *schema.Member) bool { return m.Id == id })
-			if g != nil && isIn && (g.keepers < set.Number || !g.keeperReady) {
+			if g != nil && isIn && (g.reservationSet < set.Number || !g.isReservationReady) {
 				isUnready = true
 			}
 			if !isIn && (g == nil || c.now-g.firstHeard < 2*time.Second) {
@@ -320,13 +320,13 @@
 		moving := 0
 		for slot := range uint32(constants.KeySlots) {
 			row := service.Slots[slot]
-			holder := row.GetInstance()
+			owner := row.GetInstance()
 			if row.GetNext() != "" {
-				holder = row.Next
+				owner = row.Next
 				moving++
 			}
-			if _, isAble := share[holder]; isAble {
-				share[holder]++
+			if _, isAble := share[owner]; isAble {
+				share[owner]++
 			}
 		}
 		least := func() string {
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -40,22 +40,22 @@
 }
 
 // GrantCall is a call to a back end, with the granter's life that made it.
-type GrantCall struct {
+type LeaseCall struct {
 	keys.Call
 	Life uint64
 }
 
 type routedState struct {
-	options  *Routed
-	granter  *keys.Granter
-	watch    *roster.Watch
-	jury     *roster.Jury
-	listing  *roster.Listing
-	life     uint64
-	heats    map[string][]nodeHeat
-	heatAt   time.Duration
-	dead     map[string]bool
-	deferred []*waiter
+	options      *Routed
+	leaseManager *keys.LeaseManager
+	watch        *roster.Watch
+	jury         *roster.Jury
+	listing      *roster.Listing
+	life         uint64
+	heats        map[string][]nodeHeat
+	heatAt       time.Duration
+	dead         map[string]bool
+	deferred     []*waiter
 	// relayed are the beats that this node took for the leader since it last told it.
 	relayed   map[string]*schema.Heartbeat
 	beatTo    string
@@ -73,7 +73,7 @@
 }
 
 func (r *routedState) resign(options Options) {
-	r.granter = keys.New(keys.Options{Most: options.Routed.HoldMost})
+	r.leaseManager = keys.New(keys.Options{Most: options.Routed.HoldMost})
 	r.watch = roster.NewWatch(options.Routed.ListLag)
 	r.jury = roster.NewJury()
 	r.listing = nil
@@ -149,10 +149,10 @@
 }
 
 // Granted takes what became of a call to a back end; an answer for a former granter is worth nothing.
-func (c *Core) Granted(now time.Duration, life uint64, answer keys.Answer) {
+func (c *Core) LeaseAnswered(now time.Duration, life uint64, answer keys.Answer) {
 	c.now = now
 	if c.routed != nil && c.routed.life == life {
-		c.routed.granter.Answered(now, answer)
+		c.routed.leaseManager.Answered(now, answer)
 		c.planAt = 0
 	}
 }
@@ -175,18 +175,18 @@
 			c.log.Info("standing", "change", record.Reason, "evidence", record.Evidence)
 		}
 	}
-	effects := r.granter.Step(keys.Facts{Now: c.now, View: c.view, Table: c.table, IsLeading: true, ElectedAt: c.electedAt, LeaseAt: c.quorum.Contact(),
+	effects := r.leaseManager.Step(keys.Facts{Now: c.now, View: c.view, Table: c.table, IsLeading: true, ElectedAt: c.electedAt, LeaseAt: c.quorum.Contact(),
 		Heat: r.heat(c.now), Dead: c.isEnded})
 	for _, record := range effects.Records {
 		c.propose(record)
 	}
 	for _, call := range effects.Calls {
-		c.effects.Calls = append(c.effects.Calls, GrantCall{call, r.life})
+		c.effects.Calls = append(c.effects.Calls, LeaseCall{call, r.life})
 	}
 }
 
 // noteHolders lets the leader look at its keys at once when a record changes who holds them or who may: each move of keys takes two records.
-func (c *Core) noteHolders(rows []*schema.Row) {
+func (c *Core) noteOwners(rows []*schema.Row) {
 	if c.routed != nil && slices.ContainsFunc(rows, func(row *schema.Row) bool { return strings.HasPrefix(row.Key, "s/") }) {
 		c.planAt = 0
 	}
--- a/internal/core/startup_world_test.go
+++ b/internal/core/startup_world_test.go
@@ -31,7 +31,7 @@
 	startupServices   = 4
 	startupRoutes     = 40
 	startupSyncTime   = 5 * time.Millisecond
-	startupGrantDelay = 4 * time.Millisecond
+	startupLeaseDelay = 4 * time.Millisecond
 	// startupCalm is the time without a new row after which a fleet counts as settled.
 	startupCalm = 2 * time.Second
 	// startupLimit is the time after which a fleet that has not settled fails the test.
@@ -155,10 +155,10 @@
 	}
 	n.core = core.New(f.clock(n), options)
 	n.driver = &core.Driver{Core: n.core, Journal: opened, Now: func() time.Duration { return f.clock(n) },
-		Send:    func(to string, sent *schema.Frame) { f.send(n, to, sent) },
-		Answer:  func(core.LocalResponse) {},
-		Synced:  func(time.Duration, error) {},
-		Granted: func(call core.GrantCall) { f.grant(n, call) },
+		Send:   func(to string, sent *schema.Frame) { f.send(n, to, sent) },
+		Answer: func(core.LocalResponse) {},
+		Synced: func(time.Duration, error) {},
+		Leased: func(call core.LeaseCall) { f.lease(n, call) },
 		Write: func(work func() error, done func(error)) {
 			err := work()
 			f.after(startupSyncTime, func() { f.step(n, func() { done(err) }) })
@@ -167,10 +167,10 @@
 	f.tick(n)
 }
 
-func (f *startupFleet) grant(n *startupNode, call core.GrantCall) {
+func (f *startupFleet) lease(n *startupNode, call core.LeaseCall) {
 	fmt.Fprintln(f.history, "grant", f.now, n.index, call.ID)
-	f.after(startupGrantDelay, func() {
-		f.step(n, func() { n.core.Granted(f.clock(n), call.Life, keys.Answer{ID: call.ID, Result: keys.Done}) })
+	f.after(startupLeaseDelay, func() {
+		f.step(n, func() { n.core.LeaseAnswered(f.clock(n), call.Life, keys.Answer{ID: call.ID, Result: keys.Done}) })
 	})
 }
 
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -212,7 +212,7 @@
 	}
 	m.core = core.New(w.now, options)
 	m.driver = &core.Driver{Core: m.core, Journal: opened, Now: func() time.Duration { return w.now }, Send: m.send, Publish: func() {}, Synced: func(time.Duration, error) {}, Write: m.write,
-		Granted: func(core.GrantCall) {}, Answer: func(o core.LocalResponse) {
+		Leased: func(core.LeaseCall) {}, Answer: func(o core.LocalResponse) {
 			if answer := m.answers[o.Ticket]; answer != nil {
 				delete(m.answers, o.Ticket)
 				answer(o.Response)
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -81,12 +81,12 @@
 		return Choice{Refusal: RefusalNoPlace}
 	}
 	if service.Policy.GetKeyed() {
-		return s.chooseHolder(service, places)
+		return s.chooseOwner(service, places)
 	}
 	return s.chooseFree(service, places)
 }
 
-func (s Situation) chooseHolder(service *image.Service, places []standing.Place) Choice {
+func (s Situation) chooseOwner(service *image.Service, places []standing.Place) Choice {
 	if !s.HasKey {
 		return Choice{Refusal: RefusalNoKey}
 	}
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -71,10 +71,10 @@
 
 func TestKeyedRequestsStayInTheirHomes(t *testing.T) {
 	for _, c := range []struct {
-		holder, zone string
-		homes        []string
-		turn         func(*schema.Backend)
-		want         Refusal
+		owner, zone string
+		homes       []string
+		turn        func(*schema.Backend)
+		want        Refusal
 	}{
 		{"i-kol", "kol-b", nil, nil, RefusalNone},
 		{"i-kol", "kol-b", []string{"kol"}, nil, RefusalNone},
@@ -84,20 +84,20 @@
 		{"i-kol", "kol-b", []string{"none"}, nil, RefusalNoPlace},
 		{"i-kol", "kol-b", nil, isDraining, RefusalMoving},
 	} {
-		t.Run(fmt.Sprint(c.holder, c.homes), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.owner, c.homes), func(t *testing.T) {
 			w := newWorld(t)
 			w.put(image.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", Keyed: true, ColdRate: 16})
 			turn := c.turn
 			if turn == nil {
 				turn = func(*schema.Backend) {}
 			}
-			w.backend(c.holder, c.zone, "10.0.0.1:80", turn)
+			w.backend(c.owner, c.zone, "10.0.0.1:80", turn)
 			w.backend("i-other-kol", "kol-a", "10.0.0.2:80")
 			w.backend("i-other-tor", "tor-a", "10.0.0.3:80")
-			w.put(image.SpanKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: c.holder, Fence: 1})
+			w.put(image.SpanKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: c.owner, Fence: 1})
 			choice := Choose(Situation{Now: time.Hour, View: w.settle(), Self: self, Loads: NewLoads(0, bounds), Draw: func(int64) int64 { return 0 },
 				Route: &schema.Route{TargetMs: 400, HomeRegions: c.homes}, Service: "copper", Key: 77, HasKey: true, Token: "t"})
-			if choice.Refusal != c.want || c.want == RefusalNone && choice.Backend.Instance != c.holder {
+			if choice.Refusal != c.want || c.want == RefusalNone && choice.Backend.Instance != c.owner {
 				t.Fatalf("%q %v, want %q", choice.Refusal, choice.Backend, c.want)
 			}
 		})
--- a/internal/image/table.go
+++ b/internal/image/table.go
@@ -29,10 +29,10 @@
 func ServicePrefix(service string) string { return "s/" + service + "/" }
 
 // Key functions name the rows.
-func NodeKey(id string) string        { return "node/" + id }
-func RegionKey(name string) string    { return "region/" + name }
-func ZoneKey(name string) string      { return "district/" + name }
-func KeepersKey(region string) string { return "keepers/" + region }
+func NodeKey(id string) string           { return "node/" + id }
+func RegionKey(name string) string       { return "region/" + name }
+func ZoneKey(name string) string         { return "district/" + name }
+func ReplicaSetKey(region string) string { return "keepers/" + region }
 func EntryKey(service, path string) string {
 	return ServicePrefix(service) + "entry/" + path
 }
--- a/internal/image/view.go
+++ b/internal/image/view.go
@@ -53,18 +53,18 @@
 
 // View is the compiled image that queries are decided on; it is never changed once published.
 type View struct {
-	Version  uint64
-	System   string
-	Head     *schema.CatalogHead
-	Nodes    map[string]*schema.Node
-	Regions  map[string]*schema.Region
-	Zones    map[string]*schema.Zone
-	Keepers  map[string]*schema.ReplicaSet
-	Services map[string]*Service
-	Groups   map[string]*schema.Group
-	Hosts    map[string][]*schema.Route
-	Limits   *schema.Limits
-	Defaults map[string]*schema.FailoverAssignment
+	Version     uint64
+	System      string
+	Head        *schema.CatalogHead
+	Nodes       map[string]*schema.Node
+	Regions     map[string]*schema.Region
+	Zones       map[string]*schema.Zone
+	ReplicaSets map[string]*schema.ReplicaSet
+	Services    map[string]*Service
+	Groups      map[string]*schema.Group
+	Hosts       map[string][]*schema.Route
+	Limits      *schema.Limits
+	Defaults    map[string]*schema.FailoverAssignment
 	// Fleet is the version that the fleet uses.
 	Fleet uint32
 }
@@ -82,7 +82,7 @@
 // NewView makes an empty view.
 func NewView() *View {
 	return &View{Head: &schema.CatalogHead{}, Nodes: map[string]*schema.Node{}, Regions: map[string]*schema.Region{},
-		Zones: map[string]*schema.Zone{}, Keepers: map[string]*schema.ReplicaSet{}, Services: map[string]*Service{},
+		Zones: map[string]*schema.Zone{}, ReplicaSets: map[string]*schema.ReplicaSet{}, Services: map[string]*Service{},
 		Groups: map[string]*schema.Group{}, Hosts: map[string][]*schema.Route{}, Limits: &schema.Limits{}, Defaults: map[string]*schema.FailoverAssignment{}, Fleet: versions.First}
 }
 
@@ -113,7 +113,7 @@
 func (v *View) With(table *Table, changed []*schema.Row) *View {
 	fresh := *v
 	fresh.Version = table.Version()
-	var nodes, regions, zones, keepers, groups, defaults bool
+	var nodes, regions, zones, replicas, groups, defaults bool
 	hosts := map[string]bool{}
 	touched := map[string]bool{}
 	for _, row := range changed {
@@ -126,7 +126,7 @@
 		case "district":
 			fresh.Zones = update(fresh.Zones, &zones, rest, Decode[schema.Zone](row))
 		case "keepers":
-			fresh.Keepers = update(fresh.Keepers, &keepers, rest, Decode[schema.ReplicaSet](row))
+			fresh.ReplicaSets = update(fresh.ReplicaSets, &replicas, rest, Decode[schema.ReplicaSet](row))
 		case "group":
 			fresh.Groups = update(fresh.Groups, &groups, rest, Decode[schema.Group](row))
 		case "limits":
--- a/internal/keys/failing_test.go
+++ b/internal/keys/failing_test.go
@@ -9,9 +9,9 @@
 	"topazshed/internal/schema"
 )
 
-func TestAFailingHolderLosesItsKeys(t *testing.T) {
+func TestAFailingOwnerLosesItsKeys(t *testing.T) {
 	w := settled(t, 4)
-	h := w.holders[0]
+	h := w.owners[0]
 	turn := func(isFailing bool) {
 		h.row = proto.Clone(h.row).(*schema.Backend)
 		h.row.Failing = isFailing
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -39,7 +39,7 @@
 
 // The kinds of calls.
 const (
-	Grant Kind = iota + 1
+	GrantLease Kind = iota + 1
 	Release
 	// Probe only asks whether the back end can be reached; it gives nothing. After a grant without answer it goes before the next one of
 	// any of its spans, so that a holder that is out of reach is not given its keys longer and longer.
@@ -99,7 +99,7 @@
 }
 
 // exposure is what a back end may hold because of one call.
-type exposure struct {
+type outstandingCall struct {
 	service, instance, address string
 
 	fence  uint64
@@ -110,9 +110,9 @@
 }
 
 type pending struct {
-	call     Call
-	sent     time.Duration
-	exposure *exposure
+	call            Call
+	sent            time.Duration
+	outstandingCall *outstandingCall
 }
 
 type progress struct {
@@ -148,7 +148,7 @@
 	hasEligible bool
 	eligible    int
 	proposed    map[string]proposal
-	grants      map[identity]*progress
+	leases      map[identity]*progress
 	releases    map[identity]*progress
 	targets     map[uint32]string
 	failedAt    map[string]time.Duration
@@ -161,14 +161,14 @@
 }
 
 // Granter decides which back end holds which keys.
-type Granter struct {
-	hold      time.Duration
-	isLeading bool
-	electedAt time.Duration
-	last      uint64
-	pending   map[uint64]*pending
-	exposures []*exposure
-	services  map[string]*memory
+type LeaseManager struct {
+	hold             time.Duration
+	isLeading        bool
+	electedAt        time.Duration
+	last             uint64
+	pending          map[uint64]*pending
+	outstandingCalls []*outstandingCall
+	services         map[string]*memory
 	// withdrawn are the rows, at an index, whose holder may lose them by a record that is still on its way; they get no more grants.
 	withdrawn map[string]uint64
 	homes     map[string]*homes
@@ -179,20 +179,20 @@
 }
 
 // New makes a Granter.
-func New(options Options) *Granter {
+func New(options Options) *LeaseManager {
 	hold := constants.KeyHoldMost
 	if share := options.Most * constants.KeyHoldShare / 100; options.Most > 0 && share < hold {
 		hold = share
 	}
-	g := &Granter{hold: hold, withdrawn: map[string]uint64{}}
+	g := &LeaseManager{hold: hold, withdrawn: map[string]uint64{}}
 	g.forget()
 	return g
 }
 
-func (g *Granter) forget() {
+func (g *LeaseManager) forget() {
 	g.isLeading = false
 	g.homes = nil
-	g.pending, g.exposures, g.services = map[uint64]*pending{}, nil, map[string]*memory{}
+	g.pending, g.outstandingCalls, g.services = map[uint64]*pending{}, nil, map[string]*memory{}
 }
 
 // lapse is how long after a grant's arrival its holder may hold on.
@@ -201,7 +201,7 @@
 }
 
 // Step gives what is to be done now.
-func (g *Granter) Step(f Facts) Effects {
+func (g *LeaseManager) Step(f Facts) Effects {
 	if f.Dead == nil {
 		f.Dead = func(string) bool { return false }
 	}
@@ -219,7 +219,7 @@
 			g.Answered(f.Now, Answer{ID: id, Result: Unknown})
 		}
 	}
-	g.exposures = slices.DeleteFunc(g.exposures, func(e *exposure) bool { return !e.isOpen && e.until <= f.Now || len(e.ranges) == 0 })
+	g.outstandingCalls = slices.DeleteFunc(g.outstandingCalls, func(e *outstandingCall) bool { return !e.isOpen && e.until <= f.Now || len(e.ranges) == 0 })
 	if g.homes == nil || g.head != f.View.Head {
 		g.homes, g.head = homesOf(f.View), f.View.Head
 	}
@@ -231,7 +231,7 @@
 		}
 		m := g.services[name]
 		if m == nil {
-			m = &memory{proposed: map[string]proposal{}, grants: map[identity]*progress{}, releases: map[identity]*progress{},
+			m = &memory{proposed: map[string]proposal{}, leases: map[identity]*progress{}, releases: map[identity]*progress{},
 				targets: map[uint32]string{}, failedAt: map[string]time.Duration{}, downAt: map[string]time.Duration{}, silent: map[string]*silence{}, shunned: map[string]time.Duration{}, leaving: map[string]departure{}}
 			g.services[name] = m
 		}
@@ -242,7 +242,7 @@
 }
 
 // inherit takes every span as held by its instance for as long as the calls of the leader before may have given it.
-func (g *Granter) inherit(f Facts) {
+func (g *LeaseManager) inherit(f Facts) {
 	until := f.Now + constants.KeyPredecessorMargin + lapse(g.hold)
 	f.Table.Each("s/", func(row *schema.Row) {
 		if !strings.Contains(row.Key, "/span/") {
@@ -253,13 +253,13 @@
 			if span.Releasing {
 				fence--
 			}
-			g.exposures = append(g.exposures, &exposure{service: span.Service, instance: span.Instance, fence: fence, ranges: [][2]uint32{{span.First, span.Last}}, until: until})
+			g.outstandingCalls = append(g.outstandingCalls, &outstandingCall{service: span.Service, instance: span.Instance, fence: fence, ranges: [][2]uint32{{span.First, span.Last}}, until: until})
 		}
 	})
 }
 
 // Answered takes the end of a call.
-func (g *Granter) Answered(now time.Duration, a Answer) {
+func (g *LeaseManager) Answered(now time.Duration, a Answer) {
 	p := g.pending[a.ID]
 	if p == nil {
 		return
@@ -288,10 +288,10 @@
 		}
 		return
 	}
-	progress := m.grants[id]
+	progress := m.leases[id]
 	progress.isWaiting = false
-	p.exposure.isOpen = false
-	p.exposure.until = now + lapse(p.call.Hold)
+	p.outstandingCall.isOpen = false
+	p.outstandingCall.until = now + lapse(p.call.Hold)
 	switch a.Result {
 	case Done:
 		progress.isDone, progress.next = true, p.sent+g.hold/constants.KeyRenewParts
@@ -303,18 +303,18 @@
 		progress.refusals++
 		progress.isBarred = true
 	case Failed:
-		p.exposure.until = now
+		p.outstandingCall.until = now
 		m.downAt[p.call.Instance] = p.sent
 	case Unsent:
-		p.exposure.until = now
+		p.outstandingCall.until = now
 		m.hush(p.call.Instance, now)
 	default:
-		p.exposure.until += constants.KeyArrivalMargin
+		p.outstandingCall.until += constants.KeyArrivalMargin
 		m.hush(p.call.Instance, now)
 	}
 	progress.next = now + constants.KeyRetryPause
 	if _, isKnown := m.failedAt[p.call.Instance]; !isKnown && a.Result != Refused {
-		m.failedAt[p.call.Instance] = max(p.sent, now-constants.KeyGrantWait)
+		m.failedAt[p.call.Instance] = max(p.sent, now-constants.KeyLeaseWait)
 	}
 }
 
@@ -325,8 +325,8 @@
 }
 
 // released takes a range off what its holder may hold: it refuses every lower fence from now on.
-func (g *Granter) released(call Call) {
-	for _, e := range g.exposures {
+func (g *LeaseManager) released(call Call) {
+	for _, e := range g.outstandingCalls {
 		if e.service != call.Service || e.instance != call.Instance || e.fence >= call.Fence {
 			continue
 		}
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -25,7 +25,7 @@
 	return w
 }
 
-func TestNoKeyHasTwoHolders(t *testing.T) {
+func TestNoKeyHasTwoOwners(t *testing.T) {
 	for seed := range int64(80) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -35,7 +35,7 @@
 			}
 			w.isRough = false
 			w.run(12 * time.Second)
-			for _, h := range w.holders {
+			for _, h := range w.owners {
 				h.cutUntil = 0
 			}
 			w.run(16 * time.Second)
@@ -98,20 +98,20 @@
 		most   time.Duration
 		isSlow bool
 		moved  uint32
-		change func(w *world, h *holder)
+		change func(w *world, h *owner)
 	}{
-		{"a draining holder", 1500 * ms, false, 16384, func(w *world, h *holder) {
+		{"a draining holder", 1500 * ms, false, 16384, func(w *world, h *owner) {
 			h.row = &schema.Backend{Service: "a", Instance: h.row.Instance, Address: h.row.Address, Zone: h.row.Zone, State: schema.BackendState_BACKEND_DRAINING}
 			w.list(h)
 		}},
-		{"an emptied zone", 1500 * ms, false, 32768, func(w *world, h *holder) { w.empty(h.row.Zone, true) }},
-		{"an ended process", 1200 * ms, true, 16384, func(w *world, h *holder) { w.crash(h) }},
-		{"a holder off the list", 8 * time.Second, true, 16384, func(w *world, h *holder) { w.strike(h) }},
-		{"a holder out of reach", 12 * time.Second, true, 16384, func(w *world, h *holder) { h.cutUntil = w.now + time.Minute }},
+		{"an emptied zone", 1500 * ms, false, 32768, func(w *world, h *owner) { w.empty(h.row.Zone, true) }},
+		{"an ended process", 1200 * ms, true, 16384, func(w *world, h *owner) { w.crash(h) }},
+		{"a holder off the list", 8 * time.Second, true, 16384, func(w *world, h *owner) { w.strike(h) }},
+		{"a holder out of reach", 12 * time.Second, true, 16384, func(w *world, h *owner) { h.cutUntil = w.now + time.Minute }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := settled(t, 4)
-			h := w.holders[0]
+			h := w.owners[0]
 			w.work, w.cold, w.moved = 100*ms, 0, 0
 			c.change(w, h)
 			took := w.until(c.most, func() bool { return !w.has(h.row.Instance) })
@@ -208,10 +208,10 @@
 	}
 }
 
-func TestRefusedGrantRaisesTheFence(t *testing.T) {
+func TestRefusedLeaseRaisesTheFence(t *testing.T) {
 	w := settled(t, 2)
 	for i := range w.cells {
-		w.holders[0].seen[i] += 3
+		w.owners[0].seen[i] += 3
 	}
 	w.run(8 * time.Second)
 	if w.unheld() > 0 {
@@ -275,9 +275,9 @@
 			if record == nil {
 				t.Fatal("nothing was laid out")
 			}
-			holder := image.Decode[schema.ShardRange](record.Rows[0]).Instance
-			if holder != "i-"+c.want {
-				t.Errorf("the first keys go to %s, want i-%s", holder, c.want)
+			owner := image.Decode[schema.ShardRange](record.Rows[0]).Instance
+			if owner != "i-"+c.want {
+				t.Errorf("the first keys go to %s, want i-%s", owner, c.want)
 			}
 			if len(c.settling) == 1 && len(record.Rows) != 1 {
 				t.Errorf("%d spans, want the settling zone left out", len(record.Rows))
--- a/internal/keys/silence_test.go
+++ b/internal/keys/silence_test.go
@@ -9,27 +9,27 @@
 	"topazshed/internal/constants"
 )
 
-func TestADarkHolderOfManySpansGetsNoMoreGrants(t *testing.T) {
+func TestAnUnreachableOwnerOfManyRangesGetsNoMoreLeases(t *testing.T) {
 	for _, c := range []struct {
 		spans int
 		after time.Duration
 	}{{4, 0}, {16, 0}, {16, 300 * ms}, {16, 700 * ms}, {40, 0}, {40, 1100 * ms}} {
 		t.Run(fmt.Sprint(c.spans, " spans, dark after ", c.after), func(t *testing.T) {
 			w := striped(t, 4, 4, c.spans)
-			h := w.holders[0]
+			h := w.owners[0]
 			offset := time.Duration(0)
-			for _, p := range w.nodes[w.leader].services["a"].grants { // renewals do not fall together
+			for _, p := range w.nodes[w.leader].services["a"].leases { // renewals do not fall together
 				p.next += offset
 				offset = (offset + 170*ms) % time.Second
 			}
 			w.run(c.after)
 			h.cutUntil = w.now + time.Minute
-			dark, last, grants := w.now, w.now, map[uint64]time.Duration{}
+			dark, last, leases := w.now, w.now, map[uint64]time.Duration{}
 			first := time.Duration(0)
 			took := w.until(12*time.Second, func() bool {
 				for id, p := range w.nodes[w.leader].pending {
-					if p.call.Kind == Grant && p.call.Instance == h.row.Instance && p.sent > dark && grants[id] == 0 {
-						grants[id], last = p.sent, max(last, p.sent)
+					if p.call.Kind == GrantLease && p.call.Instance == h.row.Instance && p.sent > dark && leases[id] == 0 {
+						leases[id], last = p.sent, max(last, p.sent)
 						if first == 0 || p.sent < first {
 							first = p.sent
 						}
@@ -38,11 +38,11 @@
 				return !w.has(h.row.Instance)
 			})
 			w.run(2 * time.Second)
-			t.Logf("%d grants, the last %v after the first, gone after %v", len(grants), last-first, took)
+			t.Logf("%d grants, the last %v after the first, gone after %v", len(leases), last-first, took)
 			if first > 0 && last-first > constants.KeyDoubt+100*ms {
 				t.Errorf("a dark back end was still granted keys %v after the first grant that it left unanswered", last-first)
 			}
-			bound := last - dark + constants.KeyGrantWait + lapse(w.nodes[w.leader].hold) + constants.KeyArrivalMargin + 500*ms
+			bound := last - dark + constants.KeyLeaseWait + lapse(w.nodes[w.leader].hold) + constants.KeyArrivalMargin + 500*ms
 			if took > bound || w.breaches > 0 || w.unheld() > 0 {
 				t.Errorf("its keys were free after %v, want %v; %d breaches, %d not held", took, bound, w.breaches, w.unheld())
 			}
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestWhatAGrantMayHaveGiven(t *testing.T) {
+func TestWhatALeaseMayHaveGiven(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		result  CallResult
@@ -67,16 +67,16 @@
 			g := New(Options{Most: 10 * time.Second})
 			f := w.facts()
 			calls := g.Step(f).Calls
-			if len(calls) != 1 || calls[0].Kind != Grant {
+			if len(calls) != 1 || calls[0].Kind != GrantLease {
 				t.Fatalf("got %v, want a grant", calls)
 			}
-			f.Now += constants.KeyGrantWait
+			f.Now += constants.KeyLeaseWait
 			f.LeaseAt = f.Now
 			g.Answered(f.Now, Answer{ID: calls[0].ID, Result: c.result})
 			f.Now += constants.KeyRetryPause
 			f.LeaseAt = f.Now
 			next := g.Step(f).Calls
-			if isHeld := slices.ContainsFunc(g.exposures, func(e *exposure) bool { return e.address != "" && !e.isOpen }); isHeld != c.isHeld {
+			if isHeld := slices.ContainsFunc(g.outstandingCalls, func(e *outstandingCall) bool { return e.address != "" && !e.isOpen }); isHeld != c.isHeld {
 				t.Errorf("perhaps held: %v, want %v", isHeld, c.isHeld)
 			}
 			if isQuiet := len(next) == 1 && next[0].Kind == Probe; isQuiet != c.isQuiet {
--- a/internal/keys/spans_test.go
+++ b/internal/keys/spans_test.go
@@ -12,13 +12,13 @@
 )
 
 // striped is a settled world whose holders have equal spans in turn.
-func striped(t *testing.T, seed int64, holders, spans int) *world {
-	w := newWorld(t, seed, holders, "a")
+func striped(t *testing.T, seed int64, owners, spans int) *world {
+	w := newWorld(t, seed, owners, "a")
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS}
 	for i := range uint32(spans) {
 		first, last := i*(constants.LastKey+1)/uint32(spans), (i+1)*(constants.LastKey+1)/uint32(spans)-1
 		record.Rows = append(record.Rows, image.Put(image.SpanKey("a", first),
-			&schema.ShardRange{Service: "a", First: first, Last: last, Instance: w.holders[int(i)%holders].row.Instance, Fence: 1 + uint64(i%3)}))
+			&schema.ShardRange{Service: "a", First: first, Last: last, Instance: w.owners[int(i)%owners].row.Instance, Fence: 1 + uint64(i%3)}))
 	}
 	w.apply(record)
 	w.run(8 * time.Second)
@@ -30,7 +30,7 @@
 
 func (w *world) spanCount() int { return len(w.view.Services["a"].Spans) }
 
-func TestLoadLeavesItsHolderAlsoWithManySpans(t *testing.T) {
+func TestLoadLeavesItsOwnerAlsoWithManySpans(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		spans        int
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestNeighboursOfOneHolderAreMerged(t *testing.T) {
+func TestAdjacentRangesOfOneOwnerAreMerged(t *testing.T) {
 	w := striped(t, 3, 1, 30)
 	if w.spanCount() != 1 || w.moved > 0 || w.breaches > 0 {
 		t.Fatalf("%d spans, %d keys moved, %d breaches", w.spanCount(), w.moved, w.breaches)
@@ -108,8 +108,8 @@
 }
 
 func TestFirstLayoutDividesABusyRange(t *testing.T) {
-	for _, c := range []struct{ holders, spans, most int }{{1, 1, 100}, {2, 6, 95}, {8, 24, 50}, {16, 48, 30}, {40, 120, 15}} {
-		w := newWorld(t, 5, c.holders, "a")
+	for _, c := range []struct{ owners, spans, most int }{{1, 1, 100}, {2, 6, 95}, {8, 24, 50}, {16, 48, 30}, {40, 120, 15}} {
+		w := newWorld(t, 5, c.owners, "a")
 		w.run(3 * time.Second)
 		for i := range w.heat {
 			w.heat[i] = 0
@@ -118,9 +118,9 @@
 			w.heat[i] = 1
 		}
 		most := slices.Max(slices.Collect(maps.Values(w.loads("a")))) * 100 / newHeat(w.heat).total
-		t.Logf("%d holders: %d spans, the most loaded has %.0f percent", c.holders, w.spanCount(), most)
+		t.Logf("%d holders: %d spans, the most loaded has %.0f percent", c.owners, w.spanCount(), most)
 		if w.spanCount() != c.spans || int(most) > c.most || w.unheld() > 0 {
-			t.Errorf("%d holders: %d spans, the most loaded has %.0f percent, %d keys not held", c.holders, w.spanCount(), most, w.unheld())
+			t.Errorf("%d holders: %d spans, the most loaded has %.0f percent, %d keys not held", c.owners, w.spanCount(), most, w.unheld())
 		}
 	}
 }
--- a/internal/keys/step.go
+++ b/internal/keys/step.go
@@ -23,7 +23,7 @@
 
 // step is one look at one service.
 type step struct {
-	g        *Granter
+	g        *LeaseManager
 	m        *memory
 	f        Facts
 	service  *image.Service
@@ -62,7 +62,7 @@
 		case r.Releasing:
 			s.release(r, backend)
 		default:
-			s.grant(r, backend)
+			s.grantLease(r, backend)
 		}
 	}
 	s.leave()
@@ -82,7 +82,7 @@
 	prefix := image.ServicePrefix(s.service.Name)
 	maps.DeleteFunc(s.g.withdrawn, func(key string, index uint64) bool { return strings.HasPrefix(key, prefix) && keys[key] != index })
 	isOld := func(id identity, p *progress) bool { return !live[id] && !p.isWaiting }
-	maps.DeleteFunc(s.m.grants, isOld)
+	maps.DeleteFunc(s.m.leases, isOld)
 	maps.DeleteFunc(s.m.releases, isOld)
 	maps.DeleteFunc(s.m.shunned, func(_ string, until time.Duration) bool { return until <= s.f.Now })
 	maps.DeleteFunc(s.m.failedAt, func(instance string, _ time.Duration) bool { return s.service.Backend(instance) == nil })
@@ -111,7 +111,7 @@
 }
 
 // listedAt gives the back ends that are listed at an address.
-func (g *Granter) listedAt(view *image.View, address string) []string {
+func (g *LeaseManager) listedAt(view *image.View, address string) []string {
 	if g.listed == nil || g.listedIn != view {
 		g.listedIn, g.listed = view, map[string][]string{}
 		for _, service := range view.Services {
@@ -124,7 +124,7 @@
 }
 
 // isMoot tells that what a call gave is surely held by nobody: its holder has ended, and no other process at its address took the call.
-func (s *step) isMoot(e *exposure) bool {
+func (s *step) isMoot(e *outstandingCall) bool {
 	if !s.f.Dead(e.instance) {
 		return false
 	}
@@ -213,7 +213,7 @@
 
 // hasLapsed tells that nobody can hold any of a span's keys.
 func (s *step) hasLapsed(r row) bool {
-	for _, e := range s.g.exposures {
+	for _, e := range s.g.outstandingCalls {
 		if e.service != s.service.Name || !e.isOpen && e.until <= s.f.Now || s.isMoot(e) {
 			continue
 		}
@@ -298,21 +298,21 @@
 	s.propose("assign keys", 0, []row{r}, spans)
 }
 
-func (s *step) send(call Call, e *exposure) {
+func (s *step) send(call Call, e *outstandingCall) {
 	s.g.last++
 	call.ID, call.Service = s.g.last, s.service.Name
-	s.g.pending[call.ID] = &pending{call: call, sent: s.f.Now, exposure: e}
+	s.g.pending[call.ID] = &pending{call: call, sent: s.f.Now, outstandingCall: e}
 	s.effects.Calls = append(s.effects.Calls, call)
 }
 
 func (s *step) hasLease() bool { return s.f.Now-s.f.LeaseAt < constants.KeyLeaseTime }
 
-func (s *step) grant(r row, backend *schema.Backend) {
+func (s *step) grantLease(r row, backend *schema.Backend) {
 	id := r.identity()
-	p := s.m.grants[id]
+	p := s.m.leases[id]
 	if p == nil {
 		p = &progress{}
-		s.m.grants[id] = p
+		s.m.leases[id] = p
 	}
 	if p.isBarred && !p.isWaiting && !s.isBusy(r) && !s.isWithdrawn(r) {
 		span := &schema.ShardRange{Service: s.service.Name, First: r.First, Last: r.Last, Instance: r.Instance, Fence: r.Fence + p.refusals, Handover: r.Handover}
@@ -334,9 +334,9 @@
 		return
 	}
 	p.isWaiting = true
-	e := &exposure{service: s.service.Name, instance: r.Instance, address: backend.Address, fence: r.Fence, ranges: [][2]uint32{{r.First, r.Last}}, sent: s.f.Now, isOpen: true}
-	s.g.exposures = append(s.g.exposures, e)
-	s.send(Call{Kind: Grant, Instance: r.Instance, Address: backend.Address, First: r.First, Last: r.Last, Fence: r.Fence, Hold: s.g.hold, Handover: r.Handover, Wait: constants.KeyGrantWait}, e)
+	e := &outstandingCall{service: s.service.Name, instance: r.Instance, address: backend.Address, fence: r.Fence, ranges: [][2]uint32{{r.First, r.Last}}, sent: s.f.Now, isOpen: true}
+	s.g.outstandingCalls = append(s.g.outstandingCalls, e)
+	s.send(Call{Kind: GrantLease, Instance: r.Instance, Address: backend.Address, First: r.First, Last: r.Last, Fence: r.Fence, Hold: s.g.hold, Handover: r.Handover, Wait: constants.KeyLeaseWait}, e)
 }
 
 // isDoubted tells that an instance has left a grant unanswered for so long that its other spans had better wait for that answer.
@@ -344,7 +344,7 @@
 	if s.doubted == nil {
 		s.doubted = map[string]bool{}
 		for _, p := range s.g.pending {
-			if p.call.Kind == Grant && p.call.Service == s.service.Name && s.f.Now-p.sent >= constants.KeyDoubt {
+			if p.call.Kind == GrantLease && p.call.Service == s.service.Name && s.f.Now-p.sent >= constants.KeyDoubt {
 				s.doubted[p.call.Instance] = true
 			}
 		}
@@ -382,7 +382,7 @@
 // freeParts proposes to take those parts of a span off its holder that have a target.
 func (s *step) freeParts(r row, plan []piece, reason string) {
 	handover := r.Handover
-	if p := s.m.grants[r.identity()]; p != nil && p.isDone {
+	if p := s.m.leases[r.identity()]; p != nil && p.isDone {
 		handover = ""
 	}
 	var spans []*schema.ShardRange
@@ -454,7 +454,7 @@
 }
 
 func (s *step) isSettled(r row) bool {
-	p := s.m.grants[r.identity()]
+	p := s.m.leases[r.identity()]
 	return !r.Releasing && p != nil && p.isDone && !p.isBarred && !s.isBusy(r) && !s.isWithdrawn(r)
 }
 
--- a/internal/keys/world_test.go
+++ b/internal/keys/world_test.go
@@ -20,7 +20,7 @@
 )
 
 // holder is a back end of the simulated world.
-type holder struct {
+type owner struct {
 	row      *schema.Backend
 	isAlive  bool
 	isListed bool
@@ -58,8 +58,8 @@
 	random    *rand.Rand
 	now       time.Duration
 	cells     []uint32
-	holders   []*holder
-	nodes     []*Granter
+	owners    []*owner
+	nodes     []*LeaseManager
 	leader    int
 	electedAt time.Duration
 	old       *stale
@@ -140,33 +140,33 @@
 	w.put("", image.Put(image.ZoneKey(zone), &schema.Zone{Name: zone, Emptied: isEmptied}))
 }
 
-func (w *world) list(h *holder) {
+func (w *world) list(h *owner) {
 	h.isListed = true
 	w.put("", image.Put(image.BackendKey(h.row.Service, h.row.Instance), h.row))
 }
 
-func (w *world) strike(h *holder) {
+func (w *world) strike(h *owner) {
 	h.isListed = false
 	w.put("", image.Gone(image.BackendKey(h.row.Service, h.row.Instance)))
 }
 
-func (w *world) start(service, address, zone string) *holder {
+func (w *world) start(service, address, zone string) *owner {
 	w.serial++
-	h := &holder{row: &schema.Backend{Service: service, Instance: fmt.Sprintf("i%03d", w.serial), Address: address, Zone: zone, State: schema.BackendState_BACKEND_READY},
+	h := &owner{row: &schema.Backend{Service: service, Instance: fmt.Sprintf("i%03d", w.serial), Address: address, Zone: zone, State: schema.BackendState_BACKEND_READY},
 		isAlive: true, seen: make([]uint64, len(w.cells)), until: make([]time.Duration, len(w.cells)), fence: make([]uint64, len(w.cells)),
 		slowness: 1 / (1 - 0.02*w.random.Float64())}
-	w.holders = append(w.holders, h)
+	w.owners = append(w.owners, h)
 	w.list(h)
 	return h
 }
 
-func (w *world) crash(h *holder) {
+func (w *world) crash(h *owner) {
 	h.isAlive, h.endedAt = false, w.now
 	clear(h.until)
 }
 
 func (w *world) isDead(instance string) bool {
-	for _, h := range w.holders {
+	for _, h := range w.owners {
 		if h.row.Instance == instance {
 			return !h.isAlive && w.now-h.endedAt > 700*ms
 		}
@@ -196,7 +196,7 @@
 		return 1*ms + w.span(30*ms)
 	}
 	w.at(sent+call.Wait, func() {
-		if isLost && call.Kind == Grant && call.ID%2 == 0 { // no connection came up
+		if isLost && call.Kind == GrantLease && call.ID%2 == 0 { // no connection came up
 			answer(Answer{Result: Unsent})
 		}
 		answer(Answer{Result: Unknown})
@@ -207,8 +207,8 @@
 		return
 	}
 	w.at(arrival, func() {
-		var h *holder
-		for _, other := range w.holders {
+		var h *owner
+		for _, other := range w.owners {
 			if other.isAlive && other.row.Address == call.Address {
 				h = other
 			}
@@ -226,7 +226,7 @@
 			isLost = true
 		case call.Kind == Probe:
 			reply(Answer{Result: Done})
-		case call.Kind == Grant:
+		case call.Kind == GrantLease:
 			reply(w.take(h, call))
 		default:
 			w.give(h, call, reply, &back, way)
@@ -234,7 +234,7 @@
 	})
 }
 
-func (w *world) take(h *holder, call Call) Answer {
+func (w *world) take(h *owner, call Call) Answer {
 	for i, key := range w.cells {
 		if key >= call.First && key <= call.Last && h.seen[i] > call.Fence {
 			return Answer{Result: Refused}
@@ -253,7 +253,7 @@
 }
 
 // give counts keys as held until the running work on them has ended.
-func (w *world) give(h *holder, call Call, reply func(Answer), back *time.Duration, way func() time.Duration) {
+func (w *world) give(h *owner, call Call, reply func(Answer), back *time.Duration, way func() time.Duration) {
 	end := w.now + w.work
 	if w.isRough {
 		end = w.now + w.span(4*time.Second)
@@ -354,7 +354,7 @@
 	if w.now%(100*ms) == 0 {
 		if w.now >= w.electedAt+100*ms {
 			if w.isHasty { // the breach: the leader forgets who may still hold what
-				w.nodes[w.leader].exposures = nil
+				w.nodes[w.leader].outstandingCalls = nil
 			}
 			effects := w.nodes[w.leader].Step(w.facts())
 			for _, record := range effects.Records {
@@ -380,7 +380,7 @@
 func (w *world) check() {
 	for _, service := range w.services {
 		isHeld := make([]bool, len(w.cells))
-		for _, h := range w.holders {
+		for _, h := range w.owners {
 			if !h.isAlive || h.row.Service != service {
 				continue
 			}
@@ -401,7 +401,7 @@
 		for i, key := range w.cells {
 			isHeld := false
 			if span := w.view.Services[service].Span(key); span != nil {
-				for _, h := range w.holders {
+				for _, h := range w.owners {
 					isHeld = isHeld || h.isAlive && h.row.Instance == span.Instance && h.until[i] > w.now && !span.Releasing
 				}
 			}
@@ -439,7 +439,7 @@
 
 // trouble lets something happen.
 func (w *world) trouble() {
-	h := w.holders[w.random.Intn(len(w.holders))]
+	h := w.owners[w.random.Intn(len(w.owners))]
 	if !h.isAlive {
 		return
 	}
--- a/internal/node/native.go
+++ b/internal/node/native.go
@@ -40,7 +40,7 @@
 		HoldMost: milliseconds(bounds.HoldMostMS), ListLag: milliseconds(bounds.ListLagMS), ListRate: bounds.ListRate, StopGrace: milliseconds(bounds.StopGraceMS),
 		ResolveMost: milliseconds(bounds.MatchLifeMS)}}
 	caller := newCaller(s.Proxy)
-	seam.Grant = caller.grant
+	seam.GrantLease = caller.grantLease
 	if s.Platform != "" {
 		seam.List = func(ctx context.Context, turn Turn) ([]roster.Listed, int, error) {
 			return listNative(ctx, caller.lister, s.Platform, turn)
@@ -110,9 +110,9 @@
 const HandoverHeader = "Topazshed-Handover"
 
 type caller struct {
-	dial    func(ctx context.Context, network, address string) (net.Conn, error)
-	lister  *http.Client
-	granter *http.Client
+	dial         func(ctx context.Context, network, address string) (net.Conn, error)
+	lister       *http.Client
+	leaseManager *http.Client
 }
 
 // newCaller calls from a local address; its connections are reset when they are closed, so that what a cut holds up never arrives.
@@ -135,7 +135,7 @@
 		return &http.Client{Timeout: wait, Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 4, IdleConnTimeout: constants.IdleDefault, DisableCompression: true},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	}
-	return &caller{dial: dial, lister: client(constants.ListCall), granter: client(0)}
+	return &caller{dial: dial, lister: client(constants.ListCall), leaseManager: client(0)}
 }
 
 func (c *caller) probe(ctx context.Context, call keys.Call) (keys.Answer, error) {
@@ -158,13 +158,13 @@
 	return request.WithContext(httptrace.WithClientTrace(request.Context(), trace)), hasConnection.Load
 }
 
-func (c *caller) grant(ctx context.Context, call keys.Call) (keys.Answer, error) {
+func (c *caller) grantLease(ctx context.Context, call keys.Call) (keys.Answer, error) {
 	if call.Kind == keys.Probe {
 		return c.probe(ctx, call)
 	}
 	answer := keys.Answer{ID: call.ID, Result: keys.Unknown}
 	body, path := KeyCall{Service: call.Service, First: call.First, Last: call.Last, Number: call.Fence}, "/keys/release"
-	if call.Kind == keys.Grant {
+	if call.Kind == keys.GrantLease {
 		body.HoldMS, body.Handover, path = call.Hold.Milliseconds(), call.Handover, "/keys/grant"
 	}
 	text, err := json.Marshal(body)
@@ -179,7 +179,7 @@
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(names.Target, call.Instance)
 	request, hadConnection := Traced(request)
-	response, err := c.granter.Do(request)
+	response, err := c.leaseManager.Do(request)
 	if err != nil {
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
--- a/internal/node/native_seam_test.go
+++ b/internal/node/native_seam_test.go
@@ -65,10 +65,10 @@
 }
 
 func TestNativeKeyCalls(t *testing.T) {
-	grant := keys.Call{ID: 7, Kind: keys.Grant, Service: "nickel", Instance: "n-1", First: 5, Last: 9, Fence: 3, Hold: 4500 * time.Millisecond, Handover: "h0"}
-	release := grant
+	lease := keys.Call{ID: 7, Kind: keys.GrantLease, Service: "nickel", Instance: "n-1", First: 5, Last: 9, Fence: 3, Hold: 4500 * time.Millisecond, Handover: "h0"}
+	release := lease
 	release.Kind, release.Hold, release.Handover = keys.Release, 0, ""
-	probe := grant
+	probe := lease
 	probe.Kind = keys.Probe
 	for _, c := range []struct {
 		name   string
@@ -80,13 +80,13 @@
 		path   string
 		body   KeyCall
 	}{
-		{"a grant is taken", grant, 200, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Done}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
-		{"a higher number was seen", grant, 409, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Refused}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"a grant is taken", lease, 200, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Done}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"a higher number was seen", lease, 409, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Refused}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
 		{"a release hands over", release, 200, [2]string{HandoverHeader, "h1"}, false, keys.Answer{ID: 7, Result: keys.Done, Handover: "h1"}, "/keys/release", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3}},
-		{"another instance answers", grant, 421, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Failed}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
-		{"full, and says that it did not run", grant, 503, [2]string{"Topazshed-Not-Run", "1"}, false, keys.Answer{ID: 7, Result: keys.Failed}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
-		{"an error that tells nothing", grant, 500, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Unknown}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
-		{"nobody listens", grant, 0, [2]string{}, true, keys.Answer{ID: 7, Result: keys.Failed}, "", KeyCall{}},
+		{"another instance answers", lease, 421, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Failed}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"full, and says that it did not run", lease, 503, [2]string{"Topazshed-Not-Run", "1"}, false, keys.Answer{ID: 7, Result: keys.Failed}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"an error that tells nothing", lease, 500, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Unknown}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"nobody listens", lease, 0, [2]string{}, true, keys.Answer{ID: 7, Result: keys.Failed}, "", KeyCall{}},
 		{"a probe is answered", probe, 0, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Done}, "", KeyCall{}},
 		{"a probe is refused", probe, 0, [2]string{}, true, keys.Answer{ID: 7, Result: keys.Failed}, "", KeyCall{}},
 	} {
@@ -109,7 +109,7 @@
 			} else {
 				defer server.Close()
 			}
-			answer, err := newCaller("127.0.0.1:1").grant(context.Background(), c.call)
+			answer, err := newCaller("127.0.0.1:1").grantLease(context.Background(), c.call)
 			if answer != c.want || (err != nil) != c.isDead || path != c.path || body != c.body {
 				t.Errorf("%+v %v, %s %+v", answer, err, path, body)
 			}
--- a/internal/node/native_test.go
+++ b/internal/node/native_test.go
@@ -21,14 +21,14 @@
 )
 
 // nativeHolder answers the product's own key calls beside the requests.
-type nativeHolder struct {
-	*holder
-	grants, releases int
+type nativeOwner struct {
+	*ownerStandIn
+	leases, releases int
 }
 
-func (h *nativeHolder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *nativeOwner) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !strings.HasPrefix(r.URL.Path, "/keys/") {
-		h.holder.ServeHTTP(w, r)
+		h.ownerStandIn.ServeHTTP(w, r)
 		return
 	}
 	h.lock.Lock()
@@ -48,13 +48,13 @@
 	case call.HoldMS <= 0 || h.held[span] > call.Number:
 		w.WriteHeader(http.StatusConflict)
 	default:
-		h.grants++
+		h.leases++
 		h.held[span] = call.Number
 	}
 }
 
-func newNativeHolder(t *testing.T, id string, isKept bool) *nativeHolder {
-	h := &nativeHolder{holder: &holder{id: id, held: map[[2]uint32]uint64{}, isKept: isKept, ran: map[string]int{}}}
+func newNativeOwner(t *testing.T, id string, isKept bool) *nativeOwner {
+	h := &nativeOwner{ownerStandIn: &ownerStandIn{id: id, held: map[[2]uint32]uint64{}, isKept: isKept, ran: map[string]int{}}}
 	h.server = httptest.NewServer(h)
 	t.Cleanup(h.server.Close)
 	return h
@@ -119,7 +119,7 @@
 }
 
 func TestNativeRoutedFleet(t *testing.T) {
-	copper, copper2, nickel := newNativeHolder(t, "c-1", false), newNativeHolder(t, "c-2", false), newNativeHolder(t, "n-1", true)
+	copper, copper2, nickel := newNativeOwner(t, "c-1", false), newNativeOwner(t, "c-2", false), newNativeOwner(t, "n-1", true)
 	list := &nativeList{items: []roster.RoutedItem{{Item: roster.Item{Service: "copper", Instance: "c-1", Address: copper.address(), Zone: "mu-a", State: "ready"}, Slots: 6},
 		{Item: roster.Item{Service: "copper", Instance: "c-2", Address: copper2.address(), Zone: "mu-b", State: "ready"}, Slots: 6},
 		{Item: roster.Item{Service: "nickel", Instance: "n-1", Address: nickel.address(), Zone: "mu-a", State: "ready"}, Slots: 6}}}
@@ -275,7 +275,7 @@
 	if len(all.Standings) < 2 {
 		t.Errorf("%+v", all)
 	}
-	for _, h := range []*nativeHolder{copper, copper2, nickel} {
+	for _, h := range []*nativeOwner{copper, copper2, nickel} {
 		h.lock.Lock()
 		for id, count := range h.ran {
 			if count > 1 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -48,7 +48,7 @@
 	core     *core.Core
 	commands chan func()
 	local    atomic.Pointer[core.Local]
-	keeper   *claim.Keeper
+	replica  *claim.Replica
 	net      *frame.Net
 	journal  *journal.Journal
 	calls    sync.Map
@@ -151,16 +151,16 @@
 	if n.seam != nil {
 		return n.startRouted()
 	}
-	n.keeper = claim.NewKeeper(n.self.Id, options.Restart)
+	n.replica = claim.NewReplica(n.self.Id, options.Restart)
 	n.pool = proxy.NewPool(n.settings.Proxy)
 	n.Push("pool", n.pool.Close)
 	n.loads = proxy.NewLoads(n.Now)
 	n.kept = proxy.NewKept()
 	n.executor = proxy.NewExecutor(proxy.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Want: n.want, Call: n.Call, Draw: draw, Pool: n.pool, Loads: n.loads, Kept: n.kept, Log: n.log.With("part", "proxy")})
 	finder := directory.New(directory.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Want: n.want, Draw: draw})
-	door := control.New(control.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Operate: n.operate, Stats: n.executor.Stats, Keeper: n.keeper.State,
+	door := control.New(control.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Operate: n.operate, Stats: n.executor.Stats, Replica: n.replica.State,
 		Disk: func() control.Disk { return *n.disk.Load() }, Match: finder})
-	for name, service := range map[string]any{"core": n.core, "keeper": n.keeper, "pool": n.pool, "loads": n.loads, "executor": n.executor, "directory": finder,
+	for name, service := range map[string]any{"core": n.core, "keeper": n.replica, "pool": n.pool, "loads": n.loads, "executor": n.executor, "directory": finder,
 		"door": door, "proxy": n.proxyHandler()} {
 		if err := n.Register(name, service); err != nil {
 			return err
@@ -332,7 +332,7 @@
 }
 
 func (n *Node) driver() *core.Driver {
-	return &core.Driver{Core: n.core, Journal: n.journal, Now: n.Now, Send: n.net.Send, Publish: n.publish, Synced: n.synced, Write: n.write, Granted: n.grant, Answer: func(o core.LocalResponse) {
+	return &core.Driver{Core: n.core, Journal: n.journal, Now: n.Now, Send: n.net.Send, Publish: n.publish, Synced: n.synced, Write: n.write, Leased: n.sendLeaseCall, Answer: func(o core.LocalResponse) {
 		if answer, isThere := n.operates.LoadAndDelete(o.Ticket); isThere {
 			answer.(chan *schema.OperatorResponse) <- o.Response
 		}
@@ -379,11 +379,11 @@
 			}
 		}
 	}
-	if set := local.View.Keepers[n.self.Region]; set != nil {
-		n.keeper.Adopt(n.Now(), set)
+	if set := local.View.ReplicaSets[n.self.Region]; set != nil {
+		n.replica.Adopt(n.Now(), set)
 	}
-	number, isMember, isReady, _ := n.keeper.State()
-	n.core.SetKeeper(number, isMember && isReady)
+	number, isMember, isReady, _ := n.replica.State()
+	n.core.SetReservationReplica(number, isMember && isReady)
 	n.core.SetFloor(n.loads.Floor())
 }
 
@@ -419,11 +419,11 @@
 	case *schema.Frame_ReservationRequest:
 		if local.System != "" && f.System == local.System {
 			now := n.Now()
-			n.answer(f, &schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: n.keeper.Take(now, body.ReservationRequest, now < local.GrantUntil)}})
+			n.answer(f, &schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: n.replica.Take(now, body.ReservationRequest, now < local.LeaseUntil)}})
 		}
 	case *schema.Frame_ReservationCopyRequest:
 		if f.System == local.System {
-			n.answer(f, &schema.Frame{Body: &schema.Frame_ReservationCopyResponse{ReservationCopyResponse: n.keeper.Copy(n.Now(), body.ReservationCopyRequest)}})
+			n.answer(f, &schema.Frame{Body: &schema.Frame_ReservationCopyResponse{ReservationCopyResponse: n.replica.Copy(n.Now(), body.ReservationCopyRequest)}})
 		}
 	case *schema.Frame_ReplayRequest:
 		if f.System == local.System {
@@ -453,7 +453,7 @@
 		switch body := f.Body.(type) {
 		case *schema.Frame_ReservationRequest:
 			now := n.Now()
-			return &schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: n.keeper.Take(now, body.ReservationRequest, now < local.GrantUntil)}}, nil
+			return &schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: n.replica.Take(now, body.ReservationRequest, now < local.LeaseUntil)}}, nil
 		}
 	}
 	n.net.Send(address, f)
@@ -480,7 +480,7 @@
 }
 
 func (n *Node) keep() {
-	ticker := time.NewTicker(constants.ClaimCopyEvery / 4)
+	ticker := time.NewTicker(constants.ReservationCopyEvery / 4)
 	defer ticker.Stop()
 	for {
 		select {
@@ -488,13 +488,13 @@
 			return
 		case <-ticker.C:
 		}
-		for _, asking := range n.keeper.Ask(n.Now()) {
+		for _, asking := range n.replica.Ask(n.Now()) {
 			n.tasks.Go(func() {
-				ctx, cancel := context.WithTimeout(n.context, constants.ClaimWait)
+				ctx, cancel := context.WithTimeout(n.context, constants.ReservationWait)
 				defer cancel()
 				f, err := n.Call(ctx, asking.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: asking.Query}})
 				if err == nil && f.GetReservationCopyResponse() != nil {
-					n.keeper.Copied(n.Now(), asking.Member.Id, f.GetReservationCopyResponse())
+					n.replica.Copied(n.Now(), asking.Member.Id, f.GetReservationCopyResponse())
 				}
 			})
 		}
--- a/internal/node/routed.go
+++ b/internal/node/routed.go
@@ -46,7 +46,7 @@
 	// ends the read.
 	List func(ctx context.Context, turn Turn) ([]roster.Listed, int, error)
 	// Grant carries out one call to a back end; the error tells why there was no answer.
-	Grant func(ctx context.Context, call keys.Call) (keys.Answer, error)
+	GrantLease func(ctx context.Context, call keys.Call) (keys.Answer, error)
 	// Serve gives the handlers of a node by the addresses that they listen on.
 	Serve func(*Outside) map[string]http.Handler
 }
@@ -212,11 +212,11 @@
 	return pause
 }
 
-func (n *Node) grant(call core.GrantCall) {
+func (n *Node) sendLeaseCall(call core.LeaseCall) {
 	n.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(n.context, call.Wait)
 		defer cancel()
-		answer, err := n.seam.Grant(ctx, call.Call)
+		answer, err := n.seam.GrantLease(ctx, call.Call)
 		n.do(func() {
 			now := n.Now()
 			if errors.Is(err, syscall.ECONNREFUSED) {
@@ -228,7 +228,7 @@
 			} else {
 				delete(n.refused, call.Instance)
 			}
-			n.core.Granted(now, call.Life, answer)
+			n.core.LeaseAnswered(now, call.Life, answer)
 		})
 	})
 }
--- a/internal/node/routed_test.go
+++ b/internal/node/routed_test.go
@@ -48,7 +48,7 @@
 }
 
 // holder is a stand-in back end; of a keyed service it runs only what it holds.
-type holder struct {
+type ownerStandIn struct {
 	id     string
 	server *httptest.Server
 	lock   sync.Mutex
@@ -59,16 +59,16 @@
 	leave  chan struct{}
 }
 
-func newHolder(t *testing.T, id string, isKept bool) *holder {
-	h := &holder{id: id, held: map[[2]uint32]uint64{}, isKept: isKept, ran: map[string]int{}, arrive: make(chan string, 9), leave: make(chan struct{})}
+func newOwner(t *testing.T, id string, isKept bool) *ownerStandIn {
+	h := &ownerStandIn{id: id, held: map[[2]uint32]uint64{}, isKept: isKept, ran: map[string]int{}, arrive: make(chan string, 9), leave: make(chan struct{})}
 	h.server = httptest.NewServer(h)
 	t.Cleanup(h.server.Close)
 	return h
 }
 
-func (h *holder) address() string { return strings.TrimPrefix(h.server.URL, "http://") }
+func (h *ownerStandIn) address() string { return strings.TrimPrefix(h.server.URL, "http://") }
 
-func (h *holder) isHeld(key uint32) bool {
+func (h *ownerStandIn) isHeld(key uint32) bool {
 	for span := range h.held {
 		if span[0] <= key && key <= span[1] {
 			return true
@@ -77,7 +77,7 @@
 	return false
 }
 
-func (h *holder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *ownerStandIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(names.Attempt)
 	w.Header().Set(names.Attempt, id)
 	key, err := strconv.ParseUint(r.Header.Get(names.Key), 10, 16)
@@ -101,11 +101,11 @@
 
 // platform is the stand-in list and the way to the back ends' grants.
 type platform struct {
-	lock    sync.Mutex
-	items   []roster.Listed
-	holders map[string]*holder
-	reads   atomic.Int64
-	grants  atomic.Int64
+	lock   sync.Mutex
+	items  []roster.Listed
+	owners map[string]*ownerStandIn
+	reads  atomic.Int64
+	leases atomic.Int64
 }
 
 func (p *platform) list(ctx context.Context, turn node.Turn) ([]roster.Listed, int, error) {
@@ -118,17 +118,17 @@
 	return append([]roster.Listed(nil), p.items...), 1, nil
 }
 
-func (p *platform) grant(_ context.Context, call keys.Call) (keys.Answer, error) {
-	h := p.holders[call.Instance]
+func (p *platform) lease(_ context.Context, call keys.Call) (keys.Answer, error) {
+	h := p.owners[call.Instance]
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	span := [2]uint32{call.First, call.Last}
-	if call.Kind == keys.Grant {
+	if call.Kind == keys.GrantLease {
 		if h.held[span] > call.Fence {
 			return keys.Answer{ID: call.ID, Result: keys.Refused}, nil
 		}
 		h.held[span] = call.Fence
-		p.grants.Add(1)
+		p.leases.Add(1)
 		return keys.Answer{ID: call.ID, Result: keys.Done}, nil
 	}
 	delete(h.held, span)
@@ -166,7 +166,7 @@
 func (p *platform) start(t *testing.T, s *settings.Settings) *machine {
 	t.Helper()
 	m := &machine{settings: s, ended: make(chan error, 1)}
-	seam := &node.Seam{Names: names, Grant: p.grant, Serve: func(o *node.Outside) map[string]http.Handler {
+	seam := &node.Seam{Names: names, GrantLease: p.lease, Serve: func(o *node.Outside) map[string]http.Handler {
 		m.outside = o
 		return map[string]http.Handler{s.Proxy: o.Requests}
 	}, Bounds: node.Bounds{Bounds: gateway.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 60, ColdExcess: 1.5, ColdMargin: 5},
@@ -223,8 +223,8 @@
 }
 
 func TestRoutedFleet(t *testing.T) {
-	copper, nickel1, nickel2 := newHolder(t, "c-1", false), newHolder(t, "n-1", true), newHolder(t, "n-2", true)
-	p := &platform{holders: map[string]*holder{"c-1": copper, "n-1": nickel1, "n-2": nickel2}, items: []roster.Listed{
+	copper, nickel1, nickel2 := newOwner(t, "c-1", false), newOwner(t, "n-1", true), newOwner(t, "n-2", true)
+	p := &platform{owners: map[string]*ownerStandIn{"c-1": copper, "n-1": nickel1, "n-2": nickel2}, items: []roster.Listed{
 		{Service: "copper", Instance: "c-1", Address: copper.address(), Zone: "mu-a", Slots: 6},
 		{Service: "nickel", Instance: "n-1", Address: nickel1.address(), Zone: "mu-a", Slots: 6},
 		{Service: "nickel", Instance: "n-2", Address: nickel2.address(), Zone: "mu-b", Slots: 6}}}
--- a/internal/proxy/course.go
+++ b/internal/proxy/course.go
@@ -25,34 +25,34 @@
 	OrderWait
 	OrderConnect
 	OrderSend
-	OrderClaim
+	OrderReserve
 	OrderListen
 	OrderRelease
 	OrderReplay
 )
 
 // ClaimCall is one claim for one keeper.
-type ClaimCall struct {
-	Member *schema.Member
-	Claim  *schema.ReservationRequest
+type ReservationCall struct {
+	Member  *schema.Member
+	Request *schema.ReservationRequest
 }
 
 // Order is one thing for the shell to do. For bounds it; Keeps says that the open connection is still good.
 type Order struct {
-	Kind    OrderKind
-	For     time.Duration
-	Wanted  string
-	Address string
-	Who     Identity
-	Path    string
-	Header  http.Header
-	Limit   uint64
-	IsBound bool
-	Claims  []ClaimCall
-	Replay  *schema.ReplayRequest
-	Result  *Result
-	Fault   *RefusalError
-	Keeps   bool
+	Kind         OrderKind
+	For          time.Duration
+	Wanted       string
+	Address      string
+	Who          Identity
+	Path         string
+	Header       http.Header
+	Limit        uint64
+	IsBound      bool
+	Reservations []ReservationCall
+	Replay       *schema.ReplayRequest
+	Result       *Result
+	Fault        *RefusalError
+	Keeps        bool
 }
 
 // EventKind is what has happened to a query.
@@ -65,7 +65,7 @@
 	EventGone
 	EventConnected
 	EventAnswered
-	EventClaimed
+	EventReserved
 	EventReleased
 	EventReplayed
 )
@@ -77,7 +77,7 @@
 	Result    *Result
 	IsTouched bool
 	IsGone    bool
-	Claimed   *schema.ReservationResponse
+	Reserved  *schema.ReservationResponse
 	Replayed  *schema.ReplayResponse
 }
 
@@ -88,8 +88,8 @@
 	phaseForwardConnect
 	phaseForward
 	phaseForwardPause
-	phaseClaim
-	phaseClaimPause
+	phaseReserve
+	phaseReservePause
 	phaseConnect
 	phaseAttempt
 	phaseRelease
@@ -98,44 +98,44 @@
 
 // CourseOptions make a Course.
 type RequestOptions struct {
-	Self   *schema.Node
-	Loads  *Loads
-	Kept   *Kept
-	Draw   func(int64) int64
-	Query  *Query
-	Holder string
-	Begun  time.Duration
+	Self  *schema.Node
+	Loads *Loads
+	Kept  *Kept
+	Draw  func(int64) int64
+	Query *Query
+	Owner string
+	Begun time.Duration
 }
 
 // Course is one query's way through a proxy: events in, orders out, without I/O. The shell and the simulator both drive it.
 type RequestMachine struct {
 	RequestOptions
-	Repeats   int
-	phase     phase
-	now       time.Duration
-	local     *core.Local
-	until     time.Duration
-	parkedAt  time.Duration
-	decision  Decision
-	forwards  int
-	node      *schema.Node
-	isClaimed bool
-	keepers   *schema.ReplicaSet
-	held      []*schema.Member
-	round     uint32
-	claimedAt time.Duration
-	asked     int
-	taken     int
-	elsewhere int
-	holder    string
-	silence   time.Duration
-	attempts  int
-	isTouched bool
-	tried     map[string]bool
-	lastFault string
-	endKeyed  func(bool)
-	fault     *RefusalError
-	isFinal   bool
+	Repeats    int
+	phase      phase
+	now        time.Duration
+	local      *core.Local
+	until      time.Duration
+	parkedAt   time.Duration
+	decision   Decision
+	forwards   int
+	node       *schema.Node
+	isReserved bool
+	replicas   *schema.ReplicaSet
+	held       []*schema.Member
+	round      uint32
+	reservedAt time.Duration
+	asked      int
+	taken      int
+	elsewhere  int
+	owner      string
+	silence    time.Duration
+	attempts   int
+	isTouched  bool
+	tried      map[string]bool
+	lastFault  string
+	endKeyed   func(bool)
+	fault      *RefusalError
+	isFinal    bool
 }
 
 // NewCourse begins a query's course.
@@ -163,9 +163,9 @@
 		if c.parked() >= constants.ParkMost {
 			return c.reply(c.fault)
 		}
-	case phaseClaim:
-		return c.claimed(e)
-	case phaseClaimPause:
+	case phaseReserve:
+		return c.takeReservation(e)
+	case phaseReservePause:
 		if c.now-c.parkedAt >= constants.ParkShort {
 			fault := newRefusalLater("no-claim", "the keepers of this attempt id did not agree; send again")
 			fault.RetryAfter = max(constants.RetryAfter, c.silence)
@@ -191,7 +191,7 @@
 }
 
 func (c *RequestMachine) situation() Situation {
-	s := Situation{Now: c.now, Local: c.local, Self: c.Self, Query: c.Query, Load: c.Loads, Tried: c.tried, IsClaimed: c.isClaimed, Parked: c.parked(), Left: c.until - c.now, Draw: c.Draw}
+	s := Situation{Now: c.now, Local: c.local, Self: c.Self, Query: c.Query, Load: c.Loads, Tried: c.tried, IsReserved: c.isReserved, Parked: c.parked(), Left: c.until - c.now, Draw: c.Draw}
 	if c.Query.Age > 0 {
 		s.FirstSent = c.Begun - c.Query.Age
 	}
@@ -202,7 +202,7 @@
 	c.phase = phaseTurn
 	d := Decide(c.situation())
 	if d.Entry != nil && !d.IsSafe {
-		c.until = min(c.until, c.Begun+constants.ClaimWindow)
+		c.until = min(c.until, c.Begun+constants.ReservationWindow)
 	}
 	c.decision = d
 	order := Order{}
@@ -218,8 +218,8 @@
 		order = Order{Kind: OrderWait, For: min(constants.ParkStep, c.until-c.now), Wanted: d.Wanted}
 	case TurnForward:
 		order = c.forward()
-	case TurnClaim:
-		order = c.claim()
+	case TurnReserve:
+		order = c.reserve()
 	case TurnAttempt:
 		order = c.attempt()
 	}
@@ -247,12 +247,12 @@
 	if len(c.held) == 0 {
 		return c.released()
 	}
-	order := Order{Kind: OrderRelease, For: constants.ClaimWait / 3}
+	order := Order{Kind: OrderRelease, For: constants.ReservationWait / 3}
 	for _, m := range c.held {
-		order.Claims = append(order.Claims, ClaimCall{m, &schema.ReservationRequest{Attempt: c.Query.Attempt, Owner: c.Holder, ReplicaSet: c.keepers.Number, Region: c.keepers.Region, Round: c.round, Ended: true}})
+		order.Reservations = append(order.Reservations, ReservationCall{m, &schema.ReservationRequest{Attempt: c.Query.Attempt, Owner: c.Owner, ReplicaSet: c.replicas.Number, Region: c.replicas.Region, Round: c.round, Ended: true}})
 	}
 	c.phase = phaseRelease
-	c.held, c.isClaimed = nil, false
+	c.held, c.isReserved = nil, false
 	return order
 }
 
@@ -260,13 +260,13 @@
 	if c.isFinal {
 		return c.replay()
 	}
-	c.phase = phaseClaimPause
+	c.phase = phaseReservePause
 	return Order{Kind: OrderWait, For: constants.ParkStep}
 }
 
 func (c *RequestMachine) replay() Order {
-	id, _, _ := strings.Cut(c.holder, "/")
-	c.holder = ""
+	id, _, _ := strings.Cut(c.owner, "/")
+	c.owner = ""
 	if id == c.Self.Id {
 		return c.sealedBefore(c.Kept.Get(c.Query.Attempt, c.Query.Digest))
 	}
@@ -275,7 +275,7 @@
 		return c.reply(c.fault)
 	}
 	c.phase = phaseReplay
-	return Order{Kind: OrderReplay, For: constants.ClaimWait, Address: node.Address, Replay: &schema.ReplayRequest{Attempt: c.Query.Attempt, Digest: c.Query.Digest}}
+	return Order{Kind: OrderReplay, For: constants.ReservationWait, Address: node.Address, Replay: &schema.ReplayRequest{Attempt: c.Query.Attempt, Digest: c.Query.Digest}}
 }
 
 func (c *RequestMachine) replayed(e Event) Order {
@@ -292,17 +292,17 @@
 	return Order{Kind: OrderReply, Result: o}
 }
 
-func (c *RequestMachine) claim() Order {
+func (c *RequestMachine) reserve() Order {
 	d := c.decision
-	members := claim.Match(d.Keepers, c.Query.Attempt)
-	c.phase = phaseClaim
-	c.keepers, c.held, c.claimedAt = d.Keepers, members, c.now
+	members := claim.Match(d.Replicas, c.Query.Attempt)
+	c.phase = phaseReserve
+	c.replicas, c.held, c.reservedAt = d.Replicas, members, c.now
 	c.round++
 	c.asked, c.taken, c.elsewhere = len(members), 0, 0
-	order := Order{Kind: OrderClaim, For: constants.ClaimWait}
+	order := Order{Kind: OrderReserve, For: constants.ReservationWait}
 	for _, m := range members {
-		order.Claims = append(order.Claims, ClaimCall{m, &schema.ReservationRequest{Attempt: c.Query.Attempt, Digest: c.Query.Digest, Owner: c.Holder, Number: d.Owner.Number,
-			ReplicaSet: d.Keepers.Number, Region: d.Keepers.Region, Round: c.round, WaitMs: uint32(c.Query.Wait.Milliseconds()), AgeMs: uint64(c.age().Milliseconds())}})
+		order.Reservations = append(order.Reservations, ReservationCall{m, &schema.ReservationRequest{Attempt: c.Query.Attempt, Digest: c.Query.Digest, Owner: c.Owner, Number: d.Owner.Number,
+			ReplicaSet: d.Replicas.Number, Region: d.Replicas.Region, Round: c.round, WaitMs: uint32(c.Query.Wait.Milliseconds()), AgeMs: uint64(c.age().Milliseconds())}})
 	}
 	return order
 }
@@ -314,21 +314,21 @@
 	return c.Query.Age + c.now - c.Begun
 }
 
-func (c *RequestMachine) claimed(e Event) Order {
+func (c *RequestMachine) takeReservation(e Event) Order {
 	c.asked--
-	switch e.Claimed.GetState() {
+	switch e.Reserved.GetState() {
 	case schema.ReservationState_RESERVATION_TAKEN:
 		c.taken++
 	case schema.ReservationState_RESERVATION_HELD:
 		c.elsewhere++
-		c.holder = cmp.Or(e.Claimed.Owner, c.holder)
+		c.owner = cmp.Or(e.Reserved.Owner, c.owner)
 	case schema.ReservationState_RESERVATION_UNAVAILABLE:
-		c.silence = time.Duration(e.Claimed.LeftMs) * time.Millisecond
+		c.silence = time.Duration(e.Reserved.LeftMs) * time.Millisecond
 	}
 	isTaken := c.taken >= claim.Majority(len(c.held))
 	switch {
-	case isTaken && c.now-c.claimedAt < constants.ClaimWait:
-		c.isClaimed = true
+	case isTaken && c.now-c.reservedAt < constants.ReservationWait:
+		c.isReserved = true
 		return c.turn(false)
 	case c.asked > 0 && !isTaken:
 		return Order{Kind: OrderListen}
--- a/internal/proxy/course_test.go
+++ b/internal/proxy/course_test.go
@@ -31,20 +31,20 @@
 	other := Event{Kind: EventAnswered, Result: sealed("attempt-1", "l-2", "ok"), IsTouched: true}
 	foreign := Event{Kind: EventAnswered, Result: sealed("attempt-2", "l-1", "ok"), IsTouched: true}
 	lost := Event{Kind: EventAnswered, Err: errors.New("reset"), IsTouched: true}
-	claimed := func(state schema.ReservationState) Event {
-		return Event{Kind: EventClaimed, Claimed: &schema.ReservationResponse{State: state}}
+	reserved := func(state schema.ReservationState) Event {
+		return Event{Kind: EventReserved, Reserved: &schema.ReservationResponse{State: state}}
 	}
-	taken, elsewhere, silent := claimed(schema.ReservationState_RESERVATION_TAKEN), claimed(schema.ReservationState_RESERVATION_HELD), claimed(schema.ReservationState_RESERVATION_UNAVAILABLE)
+	taken, elsewhere, silent := reserved(schema.ReservationState_RESERVATION_TAKEN), reserved(schema.ReservationState_RESERVATION_HELD), reserved(schema.ReservationState_RESERVATION_UNAVAILABLE)
 	released := Event{Kind: EventReleased}
-	heldBy := func(holder string) Event {
-		return Event{Kind: EventClaimed, Claimed: &schema.ReservationResponse{State: schema.ReservationState_RESERVATION_HELD, Owner: holder}}
+	heldBy := func(owner string) Event {
+		return Event{Kind: EventReserved, Reserved: &schema.ReservationResponse{State: schema.ReservationState_RESERVATION_HELD, Owner: owner}}
 	}
 	elsewhereKept := NewKept()
 	elsewhereKept.Put(noon, &Query{Attempt: "attempt-1", Digest: []byte("d")}, sealed("attempt-1", "l-1", "before"))
 	again := Event{Kind: EventReplayed, Replayed: elsewhereKept.Replay(&schema.ReplayRequest{Attempt: "attempt-1", Digest: []byte("d")})}
 	torn := Event{Kind: EventReplayed, Replayed: &schema.ReplayResponse{Kept: true, Status: 200, Header: again.Replayed.Header, Body: []byte("bef")}}
 	isolated := func(l *core.Local) { l.View.Version = 0 }
-	names := map[OrderKind]string{OrderReply: "reply", OrderWait: "wait", OrderConnect: "connect", OrderSend: "send", OrderClaim: "claim", OrderListen: "listen", OrderRelease: "release", OrderReplay: "replay"}
+	names := map[OrderKind]string{OrderReply: "reply", OrderWait: "wait", OrderConnect: "connect", OrderSend: "send", OrderReserve: "claim", OrderListen: "listen", OrderRelease: "release", OrderReplay: "replay"}
 	for _, c := range []struct {
 		name     string
 		isUnsafe bool
@@ -89,7 +89,7 @@
 			if c.other == 0 {
 				kept.Put(noon, q, sealed("attempt-1", "l-1", "before"))
 			}
-			machine := NewRequestMachine(RequestOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Query: q, Holder: "h/1", Begun: noon})
+			machine := NewRequestMachine(RequestOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Query: q, Owner: "h/1", Begun: noon})
 			var kinds []string
 			var last Order
 			now := noon
--- a/internal/proxy/decider.go
+++ b/internal/proxy/decider.go
@@ -22,24 +22,24 @@
 	TurnRefuse Turn = iota
 	TurnPark
 	TurnForward
-	TurnClaim
+	TurnReserve
 	TurnAttempt
 )
 
 // Decision is the decider's answer.
 type Decision struct {
-	Turn    Turn
-	Refusal *RefusalError
-	Wanted  string
-	Entry   *schema.Entry
-	Owner   standing.Owner
-	Nodes   []*schema.Node
-	Keepers *schema.ReplicaSet
-	Backend *schema.Backend
-	Slot    uint32
-	SlotNo  uint64
-	IsSafe  bool
-	Version uint64
+	Turn     Turn
+	Refusal  *RefusalError
+	Wanted   string
+	Entry    *schema.Entry
+	Owner    standing.Owner
+	Nodes    []*schema.Node
+	Replicas *schema.ReplicaSet
+	Backend  *schema.Backend
+	Slot     uint32
+	SlotNo   uint64
+	IsSafe   bool
+	Version  uint64
 }
 
 // Load is what this proxy itself knows of back ends.
@@ -52,17 +52,17 @@
 
 // Situation is all that a decision rests on.
 type Situation struct {
-	Now       time.Duration
-	Local     *core.Local
-	Self      *schema.Node
-	Query     *Query
-	Load      Load
-	Tried     map[string]bool
-	IsClaimed bool
-	Parked    time.Duration
-	Left      time.Duration
-	FirstSent time.Duration
-	Draw      func(int64) int64
+	Now        time.Duration
+	Local      *core.Local
+	Self       *schema.Node
+	Query      *Query
+	Load       Load
+	Tried      map[string]bool
+	IsReserved bool
+	Parked     time.Duration
+	Left       time.Duration
+	FirstSent  time.Duration
+	Draw       func(int64) int64
 }
 
 // IsFit tells whether a node's state is fresh enough to serve on.
@@ -167,24 +167,24 @@
 	if zone := view.Zones[s.Self.Zone]; zone == nil || zone.Emptied {
 		return park("emptied", "district %s is emptied; ask the directory again", s.Self.Zone)
 	}
-	needsGrant := !d.IsSafe || entry.Keyed
-	if needsGrant {
+	needsLease := !d.IsSafe || entry.Keyed
+	if needsLease {
 		if owner.Fenced {
 			return s.fenced(d), false
 		}
-		if s.Now >= s.Local.GrantUntil {
+		if s.Now >= s.Local.LeaseUntil {
 			return park("no-grant", "this proxy holds no grant for unsafe queries now; send again")
 		}
 	}
 	if !d.IsSafe {
-		if set := view.Keepers[owner.Region]; set == nil {
+		if set := view.ReplicaSets[owner.Region]; set == nil {
 			return park("no-keepers", "region %s has no keepers yet; send again", owner.Region)
 		} else if s.FirstSent > 0 && owner.Moved && s.FirstSent < s.Local.Opened[image.EntityKey(entry.Service, entry.Path)] {
 			e := newRefusalLater("attempt-old", "the id was first sent before entry %s%s moved here, where its keepers can't know it; ask its service whether it ran, or use a new id", entry.Service, entry.Path)
 			e.Status, e.Result = http.StatusConflict, ResultAmbiguous
 			return refuse(e)
-		} else if !s.IsClaimed {
-			d.Keepers, d.Turn = set, TurnClaim
+		} else if !s.IsReserved {
+			d.Replicas, d.Turn = set, TurnReserve
 			return d, false
 		}
 	}
@@ -212,9 +212,9 @@
 	if age < constants.ParkMost && s.Left > 0 {
 		return s.park(d, "fenced", "number %d waits for the former group's grants to lapse; send again", d.Owner.Number)
 	}
-	left := constants.GrantTime + constants.GrantMargin - age
+	left := constants.LeaseDuration + constants.LeaseClockMargin - age
 	if d.Owner.Far {
-		left += constants.ClaimWindow
+		left += constants.ReservationWindow
 	}
 	d.Turn, d.Refusal = TurnRefuse, newRefusalLater("fenced", "number %d waits for the former group's grants and claims to lapse; send again then", d.Owner.Number)
 	d.Refusal.RetryAfter = max(constants.RetryAfter, left)
--- a/internal/proxy/executor.go
+++ b/internal/proxy/executor.go
@@ -129,7 +129,7 @@
 // Run carries a query until it has its one outcome.
 func (x *Executor) Run(ctx context.Context, q *Query, begun time.Duration) (*Result, *RefusalError) {
 	machine := NewRequestMachine(RequestOptions{Self: x.options.Self, Loads: x.options.Loads, Kept: x.options.Kept, Draw: x.options.Draw, Query: q, Begun: begun,
-		Holder: fmt.Sprintf("%s/%d", x.options.Self.Id, x.serial.Add(1))})
+		Owner: fmt.Sprintf("%s/%d", x.options.Self.Id, x.serial.Add(1))})
 	defer func() { x.stats[3].Add(uint64(machine.Repeats)) }()
 	ctx, cancel := context.WithTimeout(ctx, q.Wait)
 	defer cancel()
@@ -175,16 +175,16 @@
 			if event.Err != nil {
 				x.options.Log.Debug("leg failed", "instance", conn.who.Instance, "reason", event.Err.Error())
 			}
-		case OrderClaim:
-			answers = x.claim(ctx, order)
-			event = Event{Kind: EventClaimed, Claimed: <-answers}
+		case OrderReserve:
+			answers = x.reserve(ctx, order)
+			event = Event{Kind: EventReserved, Reserved: <-answers}
 		case OrderListen:
-			event = Event{Kind: EventClaimed, Claimed: <-answers}
+			event = Event{Kind: EventReserved, Reserved: <-answers}
 		case OrderReplay:
 			event = Event{Kind: EventReplayed, Replayed: x.replay(ctx, order)}
 		case OrderRelease:
-			answers = x.claim(context.WithoutCancel(ctx), order)
-			for range order.Claims {
+			answers = x.reserve(context.WithoutCancel(ctx), order)
+			for range order.Reservations {
 				<-answers
 			}
 			event.Kind = EventReleased
@@ -202,13 +202,13 @@
 	return frame.GetReplayResponse()
 }
 
-func (x *Executor) claim(ctx context.Context, order Order) chan *schema.ReservationResponse {
-	answers := make(chan *schema.ReservationResponse, len(order.Claims))
+func (x *Executor) reserve(ctx context.Context, order Order) chan *schema.ReservationResponse {
+	answers := make(chan *schema.ReservationResponse, len(order.Reservations))
 	ctx, cancel := context.WithTimeout(ctx, order.For)
 	var group sync.WaitGroup
-	for _, call := range order.Claims {
+	for _, call := range order.Reservations {
 		group.Go(func() {
-			frame, err := x.options.Call(ctx, call.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationRequest{ReservationRequest: call.Claim}})
+			frame, err := x.options.Call(ctx, call.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationRequest{ReservationRequest: call.Request}})
 			if err != nil {
 				frame = &schema.Frame{}
 			}
--- a/internal/proxy/kept.go
+++ b/internal/proxy/kept.go
@@ -52,7 +52,7 @@
 	s.held[q.Attempt] = fresh
 	s.order = append(s.order, fresh)
 	s.weight += size
-	for len(s.order) > 0 && (s.weight > constants.KeptBytes/shards || now-s.order[0].at >= constants.ClaimKept) {
+	for len(s.order) > 0 && (s.weight > constants.KeptBytes/shards || now-s.order[0].at >= constants.ReservationKept) {
 		oldest := s.order[0]
 		s.order = s.order[1:]
 		s.weight -= oldest.size
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -47,7 +47,7 @@
 	w.put("", image.Put(image.StandingKey("ledger", "/balances", "south"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "south", Number: 101}))
 	w.put("", image.Put(image.StandingKey("ledger", "/pay", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/pay", Region: "north", Number: 100}))
 	w.put("", image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 101}))
-	w.put("", image.Put(image.KeepersKey("north"), &schema.ReplicaSet{Region: "north", Number: 1, Members: []*schema.Member{{Id: "k1", Address: "k1"}, {Id: "k2", Address: "k2"}, {Id: "k3", Address: "k3"}}}))
+	w.put("", image.Put(image.ReplicaSetKey("north"), &schema.ReplicaSet{Region: "north", Number: 1, Members: []*schema.Member{{Id: "k1", Address: "k1"}, {Id: "k2", Address: "k2"}, {Id: "k3", Address: "k3"}}}))
 	for _, b := range backends {
 		w.put("", image.Put(image.BackendKey(b.Service, b.Instance), b))
 	}
@@ -63,7 +63,7 @@
 }
 
 func fresh(view *image.View) *core.Local {
-	return &core.Local{View: view, IsFull: true, FreshAt: noon, TickAt: noon, PeersAt: noon, GrantUntil: noon + constants.GrantTime}
+	return &core.Local{View: view, IsFull: true, FreshAt: noon, TickAt: noon, PeersAt: noon, LeaseUntil: noon + constants.LeaseDuration}
 }
 
 func backend(instance, zone string) *schema.Backend {
@@ -121,14 +121,14 @@
 			return w
 		}(), func(s *Situation) { s.Query.Forwarded = standing.Trail{100}; s.Parked = constants.ParkMost }, safe(), TurnRefuse, "moved", ""},
 		{"a higher forwarded number waits for the image", base(all...), func(s *Situation) { s.Query.Forwarded = standing.Trail{200} }, safe(), TurnPark, "", ""},
-		{"an unsafe query is claimed first", base(all...), nil, unsafe(), TurnClaim, "", ""},
-		{"and then has its leg", base(all...), func(s *Situation) { s.IsClaimed = true }, unsafe(), TurnAttempt, "", "l-1"},
-		{"it needs a live grant", base(all...), func(s *Situation) { s.Local.GrantUntil = noon; s.IsClaimed = true }, unsafe(), TurnPark, "", ""},
+		{"an unsafe query is claimed first", base(all...), nil, unsafe(), TurnReserve, "", ""},
+		{"and then has its leg", base(all...), func(s *Situation) { s.IsReserved = true }, unsafe(), TurnAttempt, "", "l-1"},
+		{"it needs a live grant", base(all...), func(s *Situation) { s.Local.LeaseUntil = noon; s.IsReserved = true }, unsafe(), TurnPark, "", ""},
 		{"and an open fence", func() *world {
 			w := base(all...)
 			w.put("", image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Fenced: true}))
 			return w
-		}(), func(s *Situation) { s.IsClaimed = true }, unsafe(), TurnPark, "", ""},
+		}(), func(s *Situation) { s.IsReserved = true }, unsafe(), TurnPark, "", ""},
 		{"an old fence is told at once, with when to come back", func() *world {
 			w := base(all...)
 			w.put("", image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Fenced: true}))
@@ -151,7 +151,7 @@
 		}(), func(s *Situation) {
 			s.FirstSent = noon - time.Second
 			s.Local.Opened = map[string]time.Duration{image.EntityKey("ledger", "/pay"): noon - time.Minute}
-		}, unsafe(), TurnClaim, "", ""},
+		}, unsafe(), TurnReserve, "", ""},
 		{"a region's origin does not fit a bound entry", base(all...), func(s *Situation) { s.Query.Origin = standing.Origin{Region: "north"} }, unsafe(), TurnRefuse, "bad-origin", ""},
 		{"an emptied district serves nothing", func() *world {
 			w := base(all...)
@@ -368,7 +368,7 @@
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Want: func(string) {},
 		Local: func() *core.Local {
 			l := fresh(view)
-			l.FreshAt, l.TickAt, l.PeersAt, l.GrantUntil = now(), now(), now(), now()+time.Second
+			l.FreshAt, l.TickAt, l.PeersAt, l.LeaseUntil = now(), now(), now(), now()+time.Second
 			return l
 		},
 		Call: func(_ context.Context, _ string, f *schema.Frame) (*schema.Frame, error) {
@@ -469,7 +469,7 @@
 	}
 }
 
-func TestAQueryWithoutKeepersIsAnsweredSoon(t *testing.T) {
+func TestARequestWithoutReplicasIsAnsweredSoon(t *testing.T) {
 	s := &stand{}
 	x := executor(t, s)
 	var rounds atomic.Int64
@@ -489,7 +489,7 @@
 	if rounds.Load() > 6 || s.runs.Load() != 0 {
 		t.Errorf("%d claims and %d runs before the answer", rounds.Load(), s.runs.Load())
 	}
-	if took := x.options.Now() - begun; took >= constants.ClaimWindow {
+	if took := x.options.Now() - begun; took >= constants.ReservationWindow {
 		t.Errorf("the final answer was held back for %v", took)
 	}
 }
@@ -505,7 +505,7 @@
 	view, now := w.view(), x.options.Now
 	x.options.Local = func() *core.Local {
 		l := fresh(view)
-		l.FreshAt, l.TickAt, l.PeersAt, l.GrantUntil = now(), now(), now(), now()+time.Second
+		l.FreshAt, l.TickAt, l.PeersAt, l.LeaseUntil = now(), now(), now(), now()+time.Second
 		return l
 	}
 	x.options.Loads = NewLoads(now)
--- a/internal/roster/jury.go
+++ b/internal/roster/jury.go
@@ -109,7 +109,7 @@
 			if isFailing && t.stage == stageTrial {
 				fresh.SlowStartSenders = backend.SlowStartSenders
 				if len(fresh.SlowStartSenders) == 0 {
-					fresh.SlowStartSenders = sponsors(backend, view, ready, t.strikes)
+					fresh.SlowStartSenders = slowStartSenders(backend, view, ready, t.strikes)
 				}
 			}
 			if !proto.Equal(backend, fresh) {
@@ -165,7 +165,7 @@
 		t.stage, t.since, t.goods = stageOut, now, 0
 		first := constants.JuryOut
 		if isKeyed {
-			first = constants.JuryOutHolder
+			first = constants.EjectionTimeOwner
 		}
 		t.until = now + min(constants.JuryOutMost, first<<min(t.strikes, 8))
 		t.strikes++
@@ -211,7 +211,7 @@
 }
 
 // sponsors are the nodes that alone may try a failing back end: few of its district, others at each trial.
-func sponsors(backend *schema.Backend, view *image.View, ready map[string][]string, turn int) []string {
+func slowStartSenders(backend *schema.Backend, view *image.View, ready map[string][]string, turn int) []string {
 	near := ready[backend.Zone]
 	if len(near) == 0 {
 		for _, zone := range slices.Sorted(maps.Keys(ready)) {
@@ -221,8 +221,8 @@
 		}
 	}
 	var chosen []string
-	for i := range min(len(near), constants.JurySponsors) {
-		chosen = append(chosen, near[(turn*constants.JurySponsors+i)%len(near)])
+	for i := range min(len(near), constants.TrialSenders) {
+		chosen = append(chosen, near[(turn*constants.TrialSenders+i)%len(near)])
 	}
 	slices.Sort(chosen)
 	return slices.Compact(chosen)
--- a/internal/roster/jury_test.go
+++ b/internal/roster/jury_test.go
@@ -128,7 +128,7 @@
 			if got := j.failing(); got != c.want {
 				t.Fatalf("failing %q, want %q", got, c.want)
 			}
-			if constants.JuryOut != 2500*time.Millisecond || constants.JuryOutHolder != 10*time.Second || constants.JuryWindow != 2*time.Second || constants.JuryVotes != 3 {
+			if constants.JuryOut != 2500*time.Millisecond || constants.EjectionTimeOwner != 10*time.Second || constants.JuryWindow != 2*time.Second || constants.JuryVotes != 3 {
 				t.Fatal("the steps are written for other constants")
 			}
 		})
--- a/internal/roster/watch.go
+++ b/internal/roster/watch.go
@@ -98,7 +98,7 @@
 		if fresh.Cold = f.Now < w.coldUntil[name]; fresh.Cold {
 			fresh.SlowStartSenders = old.GetSlowStartSenders()
 			if fresh.Failing = false; !old.GetCold() {
-				fresh.SlowStartSenders = w.sponsors(f, fresh, service)
+				fresh.SlowStartSenders = w.slowStartSenders(f, fresh, service)
 			}
 		} else {
 			delete(w.coldUntil, name)
@@ -158,7 +158,7 @@
 	return record
 }
 
-func (w *Watch) sponsors(f WatchFacts, backend *schema.Backend, service *image.Service) []string {
+func (w *Watch) slowStartSenders(f WatchFacts, backend *schema.Backend, service *image.Service) []string {
 	bearable := 1
 	if service != nil && service.Policy != nil {
 		bearable = f.ColdBearable(service.Policy)
@@ -178,5 +178,5 @@
 		near = far
 	}
 	slices.Sort(near)
-	return near[:min(len(near), max(1, min(bearable, constants.SponsorsMost)))]
+	return near[:min(len(near), max(1, min(bearable, constants.SlowStartSendersMost)))]
 }
--- a/internal/roster/watch_test.go
+++ b/internal/roster/watch_test.go
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestWatchSponsors(t *testing.T) {
+func TestWatchSlowStartSenders(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		nodes, bearable int
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestWatchKeepsSponsorsWhileCold(t *testing.T) {
+func TestWatchKeepsSlowStartSendersWhileCold(t *testing.T) {
 	w := newWatched(t, 2)
 	w.plan(whole1(cold("b", 3*time.Second)))
 	was := w.backend("b").SlowStartSenders
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -57,7 +57,7 @@
 	disk      *Disk
 	core      *core.Core
 	driver    *core.Driver
-	keeper    *claim.Keeper
+	replica   *claim.Replica
 	loads     *proxy.Loads
 	kept      *proxy.Kept
 	rate      float64
@@ -257,7 +257,7 @@
 			self.Id = n.ident
 		}
 	}
-	n.keeper = claim.NewKeeper(n.ident, options.Restart)
+	n.replica = claim.NewReplica(n.ident, options.Restart)
 	n.loads = proxy.NewLoads(func() time.Duration { return f.clock(n) })
 	n.kept = proxy.NewKept()
 	n.fails = map[string]int{}
@@ -274,11 +274,11 @@
 		},
 		Write: func(work func() error, done func(error)) { f.write(n, boot, work, done) },
 		Publish: func() {
-			if set := n.core.Local().View.Keepers[n.Region]; set != nil {
-				n.keeper.Adopt(f.clock(n), set)
+			if set := n.core.Local().View.ReplicaSets[n.Region]; set != nil {
+				n.replica.Adopt(f.clock(n), set)
 			}
-			number, isMember, isReady, _ := n.keeper.State()
-			n.core.SetKeeper(number, isMember && isReady)
+			number, isMember, isReady, _ := n.replica.State()
+			n.core.SetReservationReplica(number, isMember && isReady)
 			if f.Options.Breach != "keys" {
 				n.core.SetFloor(n.loads.Floor())
 			}
@@ -343,10 +343,10 @@
 	f.on(n, boot, func() {
 		n.core.Tick(f.clock(n))
 		f.perform(n)
-		for _, asking := range n.keeper.Ask(f.clock(n)) {
+		for _, asking := range n.replica.Ask(f.clock(n)) {
 			f.call(n, asking.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: asking.Query}}, func(o *schema.Frame) {
 				if result := o.GetReservationCopyResponse(); result != nil {
-					n.keeper.Copied(f.clock(n), asking.Member.Id, result)
+					n.replica.Copied(f.clock(n), asking.Member.Id, result)
 				}
 			})
 		}
@@ -474,7 +474,7 @@
 	case *schema.Frame_ReservationRequest:
 		reply(&schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: f.take(n, body.ReservationRequest)}})
 	case *schema.Frame_ReservationCopyRequest:
-		reply(&schema.Frame{Body: &schema.Frame_ReservationCopyResponse{ReservationCopyResponse: n.keeper.Copy(f.clock(n), body.ReservationCopyRequest)}})
+		reply(&schema.Frame{Body: &schema.Frame_ReservationCopyResponse{ReservationCopyResponse: n.replica.Copy(f.clock(n), body.ReservationCopyRequest)}})
 	case *schema.Frame_ReplayRequest:
 		reply(&schema.Frame{Body: &schema.Frame_ReplayResponse{ReplayResponse: n.kept.Replay(body.ReplayRequest)}})
 	default:
@@ -488,7 +488,7 @@
 		return &schema.ReservationResponse{State: schema.ReservationState_RESERVATION_TAKEN, Owner: c.Owner, ReplicaSet: c.ReplicaSet}
 	}
 	now := f.clock(n)
-	return n.keeper.Take(now, c, now < n.core.Local().GrantUntil || f.Options.Breach == "grants")
+	return n.replica.Take(now, c, now < n.core.Local().LeaseUntil || f.Options.Breach == "grants")
 }
 
 func (f *Fleet) call(n *Node, to string, frame *schema.Frame, take func(*schema.Frame)) {
--- a/internal/sim/traffic.go
+++ b/internal/sim/traffic.go
@@ -64,7 +64,7 @@
 	local := n.core.Local()
 	switch f.Options.Breach {
 	case "grants":
-		local.GrantUntil = f.clock(n) + time.Hour
+		local.LeaseUntil = f.clock(n) + time.Hour
 	case "stale":
 		old := f.stale[n.Name]
 		if old == nil || f.staleFrom == 0 || f.clock(n)-old.TickAt > 12*time.Second || old.View.Head.Version == 0 {
@@ -107,7 +107,7 @@
 		n.serial++
 		c := &carried{fleet: f, node: n, boot: n.Boot, id: n.serial, query: q, respond: respond}
 		c.machine = proxy.NewRequestMachine(proxy.RequestOptions{Self: &schema.Node{Id: n.ident, Zone: n.Zone, Region: n.Region}, Loads: n.loads, Kept: n.kept, Draw: n.random.Int63n, Query: q,
-			Holder: fmt.Sprintf("%s/%d", n.ident, n.serial), Begun: f.clock(n)})
+			Owner: fmt.Sprintf("%s/%d", n.ident, n.serial), Begun: f.clock(n)})
 		n.flying[c.id] = c
 		c.next(0, proxy.Event{Kind: proxy.EventBegun})
 	})
@@ -163,17 +163,17 @@
 		c.connect(step, order)
 	case proxy.OrderSend:
 		c.send(step, order)
-	case proxy.OrderClaim:
-		c.claim(step, order, func(o *schema.ReservationResponse) {
-			c.next(step, proxy.Event{Kind: proxy.EventClaimed, Claimed: o})
+	case proxy.OrderReserve:
+		c.reserve(step, order, func(o *schema.ReservationResponse) {
+			c.next(step, proxy.Event{Kind: proxy.EventReserved, Reserved: o})
 		})
 	case proxy.OrderReplay:
 		tell := func(o *schema.ReplayResponse) { c.next(step, proxy.Event{Kind: proxy.EventReplayed, Replayed: o}) }
 		f.after(order.For, func() { tell(nil) })
 		f.call(n, order.Address, &schema.Frame{Body: &schema.Frame_ReplayRequest{ReplayRequest: order.Replay}}, func(o *schema.Frame) { tell(o.GetReplayResponse()) })
 	case proxy.OrderRelease:
-		left := len(order.Claims)
-		c.claim(step, order, func(*schema.ReservationResponse) {
+		left := len(order.Reservations)
+		c.reserve(step, order, func(*schema.ReservationResponse) {
 			if left--; left == 0 {
 				c.next(step, proxy.Event{Kind: proxy.EventReleased})
 			}
@@ -181,9 +181,9 @@
 	}
 }
 
-func (c *carried) claim(step int, order proxy.Order, take func(*schema.ReservationResponse)) {
+func (c *carried) reserve(step int, order proxy.Order, take func(*schema.ReservationResponse)) {
 	f := c.fleet
-	for _, call := range order.Claims {
+	for _, call := range order.Reservations {
 		isTold := false
 		tell := func(o *schema.ReservationResponse) {
 			if !isTold {
@@ -192,7 +192,7 @@
 			}
 		}
 		f.after(order.For, func() { tell(nil) })
-		f.call(c.node, call.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationRequest{ReservationRequest: call.Claim}}, func(o *schema.Frame) { tell(o.GetReservationResponse()) })
+		f.call(c.node, call.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationRequest{ReservationRequest: call.Request}}, func(o *schema.Frame) { tell(o.GetReservationResponse()) })
 	}
 }
 
--- a/internal/standing/standing.go
+++ b/internal/standing/standing.go
@@ -352,7 +352,7 @@
 	}
 	clear := func(index uint64, isFar bool) bool {
 		isReleased, since := released(index)
-		return isReleased && (!isFar || since >= uint64(constants.ClaimWindow.Milliseconds()))
+		return isReleased && (!isFar || since >= uint64(constants.ReservationWindow.Milliseconds()))
 	}
 	for _, region := range homes {
 		key := image.StandingKey(entry.Service, entry.Path, region)
