--- a/cmd/topazshed/doctor.go
+++ b/cmd/topazshed/doctor.go
@@ -246,8 +246,8 @@
 	if leader == nil {
 		add("no-quorum", "no node leads with a majority behind it", "bring back disk machines until more than half of the voters run")
 	} else {
-		if leader.LeaderSilent == "" && leader.LossesBorne == 0 {
-			add("thin-quorum", fmt.Sprintf("%d of %d voters are silent (%s); one more loss stops changes", len(leader.SilentVoters), len(leader.Voters), strings.Join(leader.SilentVoters, ", ")),
+		if leader.LeaderUnreachable == "" && leader.LossesBorne == 0 {
+			add("thin-quorum", fmt.Sprintf("%d of %d voters are silent (%s); one more loss stops changes", len(leader.UnresponsiveVoters), len(leader.Voters), strings.Join(leader.UnresponsiveVoters, ", ")),
 				"bring a disk machine back, empty if need be; with fewer than three voters, add one")
 		}
 		if len(leader.Unconfirmed) > 0 {
--- a/cmd/topazshed/doctor_routed.go
+++ b/cmd/topazshed/doctor_routed.go
@@ -17,8 +17,8 @@
 	add := func(kind, remedy, form string, args ...any) {
 		findings = append(findings, Finding{kind, fmt.Sprintf(form, args...), remedy})
 	}
-	if first.LeaderSilent != "" {
-		add("no-leader-word", "bring back disk machines until more than half of the voters run, then look again", "%s", first.LeaderSilent)
+	if first.LeaderUnreachable != "" {
+		add("no-leader-word", "bring back disk machines until more than half of the voters run, then look again", "%s", first.LeaderUnreachable)
 	}
 	for _, service := range first.Routed.Services {
 		switch {
@@ -34,7 +34,7 @@
 		}
 	}
 	for _, node := range first.Nodes {
-		if first.LeaderSilent == "" && first.Configuration > 0 && node.State == "ready" && !node.InForce {
+		if first.LeaderUnreachable == "" && first.Configuration > 0 && node.State == "ready" && !node.InForce {
 			add("configuration-not-in-force", "wait 2.5 s and look again; then check its links to the disk machines", "%s in %s has index %d, the newest configuration is later", node.ID, node.Zone, node.Index)
 		}
 	}
--- a/cmd/topazshed/doctor_test.go
+++ b/cmd/topazshed/doctor_test.go
@@ -41,7 +41,7 @@
 		{"healthy", nil, ""},
 		{"nobody leads", func(l, _ *control.Status) { l.Role = "follower" }, "no-quorum"},
 		{"too few voters", func(l, _ *control.Status) {
-			l.Voters, l.LossesBorne, l.SilentVoters = []string{"a", "x", "y"}, 0, []string{"x", "y"}
+			l.Voters, l.LossesBorne, l.UnresponsiveVoters = []string{"a", "x", "y"}, 0, []string{"x", "y"}
 			l.Nodes = append(l.Nodes, control.NodeStatus{ID: "x", State: "lost"}, control.NodeStatus{ID: "y", State: "lost"})
 		}, "lost-node thin-quorum"},
 		{"an older configuration", func(_, r *control.Status) { r.Configuration = 2 }, "differing-versions"},
--- a/cmd/topazshed/platform.go
+++ b/cmd/topazshed/platform.go
@@ -79,16 +79,16 @@
 	defer ticker.Stop()
 	stamp := platform.Stamp()
 	for {
-		isTold := false
+		isKnown := false
 		select {
 		case <-hangups:
-			isTold = true
+			isKnown = true
 		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
 		newest := platform.Stamp()
-		if newest == stamp && !isTold {
+		if newest == stamp && !isKnown {
 			continue
 		}
 		stamp = newest
--- a/cmd/topazshed/platform_test.go
+++ b/cmd/topazshed/platform_test.go
@@ -48,7 +48,7 @@
 			status := command.Execute(context.Background(), flags)
 			os.Stderr = was
 			writer.Close()
-			told, err := io.ReadAll(reader)
+			reported, err := io.ReadAll(reader)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -56,8 +56,8 @@
 				t.Errorf("exit status %d", status)
 			}
 			for _, want := range c.want {
-				if !strings.Contains(string(told), want) {
-					t.Errorf("%q is not told in %q", want, told)
+				if !strings.Contains(string(reported), want) {
+					t.Errorf("%q is not told in %q", want, reported)
 				}
 			}
 		})
--- a/cmd/topazshed/rollout.go
+++ b/cmd/topazshed/rollout.go
@@ -41,8 +41,8 @@
 func assess(s *control.Status) rollout {
 	r := rollout{InUse: s.Fleet, Newest: s.Newest, Holds: []versions.Hold{}, Waits: []string{}}
 	wait := func(form string, args ...any) { r.Waits = append(r.Waits, fmt.Sprintf(form, args...)) }
-	if s.LeaderSilent != "" {
-		wait("no leader answers (%s); wait until one does", s.LeaderSilent)
+	if s.LeaderUnreachable != "" {
+		wait("no leader answers (%s); wait until one does", s.LeaderUnreachable)
 	}
 	if len(s.Voters) == 0 {
 		wait("this machine does not know the voters; ask the door of one with a disk")
@@ -57,7 +57,7 @@
 		known[n.ID] = true
 		isVoter := slices.Contains(s.Voters, n.ID)
 		isHeard := n.State == "ready"
-		if s.Routed != nil && s.LeaderSilent == "" {
+		if s.Routed != nil && s.LeaderUnreachable == "" {
 			isHeard = n.HeardMs >= 0 && n.HeardMs <= constants.NodeLostAfter.Milliseconds()
 		}
 		switch {
@@ -65,7 +65,7 @@
 			wait("machine %s in %s is %s; wait until it is back, or taken out", n.ID, n.Zone, n.State)
 		case !isHeard:
 			wait("machine %s in %s was not heard of late; look at it first", n.ID, n.Zone)
-		case s.Routed != nil && s.LeaderSilent == "" && !n.InForce:
+		case s.Routed != nil && s.LeaderUnreachable == "" && !n.InForce:
 			wait("the newest configuration is not in force at machine %s in %s; wait until it is", n.ID, n.Zone)
 		}
 		if isVoter && isHeard && n.State == "ready" {
--- a/cmd/topazshed/rollout_test.go
+++ b/cmd/topazshed/rollout_test.go
@@ -41,7 +41,7 @@
 		{"a member is nowhere", func(s *control.Status) { s.Voters = append(s.Voters, "gone") }, []string{"member gone of the log"}, []string{"gone"}, 1},
 		{"three voters of three", func(s *control.Status) { s.Voters = s.Voters[:3] }, nil, nil, 2},
 		{"two voters", func(s *control.Status) { s.Voters = s.Voters[:2] }, []string{"2 of 2 voters are well"}, nil, 2},
-		{"no leader", func(s *control.Status) { s.LeaderSilent = "no leader is known" }, []string{"no leader answers"}, nil, 2},
+		{"no leader", func(s *control.Status) { s.LeaderUnreachable = "no leader is known" }, []string{"no leader answers"}, nil, 2},
 		{"a door without the voters", func(s *control.Status) { s.Voters = nil }, []string{"ask the door of one with a disk"}, nil, 2},
 		{"an emptied district", func(s *control.Status) { s.Zones = []control.ZoneStatus{{Name: "mu-a", Emptied: true}} }, []string{"district mu-a is emptied"}, nil, 2},
 		{"keys without a holder", func(s *control.Status) {
--- a/cmd/topazshed/status.go
+++ b/cmd/topazshed/status.go
@@ -12,14 +12,14 @@
 func printStatus(w io.Writer, s *control.Status) {
 	line := func(form string, args ...any) { fmt.Fprintf(w, form+"\n", args...) }
 	line("node %s (%s), term %d, leader %s, index %d, configuration %d, fit %v, grant %d ms", s.Node, s.Role, s.Term, s.Leader, s.Index, s.Configuration, s.Fit, s.LeaseMs)
-	if s.LeaderSilent != "" {
-		line("the leader's word is missing: %s", s.LeaderSilent)
+	if s.LeaderUnreachable != "" {
+		line("the leader's word is missing: %s", s.LeaderUnreachable)
 	}
 	if text := unconfirmedText(s.Unconfirmed); text != "" {
 		line("%s", text)
 	}
-	if s.LeaderSilent == "" {
-		line("losses   %d more voters may be lost before no order is taken, silent %v", s.LossesBorne, s.SilentVoters)
+	if s.LeaderUnreachable == "" {
+		line("losses   %d more voters may be lost before no order is taken, silent %v", s.LossesBorne, s.UnresponsiveVoters)
 	}
 	if s.Disk != nil {
 		line("disk     %s last sync %d ms, worst %d ms, fault %s", s.Disk.Folder, s.Disk.LastSyncMs, s.Disk.WorstMs, cmp.Or(s.Disk.Fault, "none"))
@@ -70,7 +70,7 @@
 // wordOf is what the leader told of a machine.
 func wordOf(s *control.Status, n control.NodeStatus) string {
 	switch {
-	case s.Routed == nil || s.LeaderSilent != "":
+	case s.Routed == nil || s.LeaderUnreachable != "":
 		return ""
 	case n.HeardMs < 0:
 		return ", not heard by this leader"
--- a/cmd/topazshed/status_test.go
+++ b/cmd/topazshed/status_test.go
@@ -38,9 +38,9 @@
 		{"one machine is behind, one is silent", func(s *control.Status) {
 			s.Nodes[0].InForce, s.Nodes[1].HeardMs, s.Unconfirmed = false, -1, []string{"mu-b"}
 		}, []string{"newest configuration NOT in force (index 40)", "not heard by this leader", "not confirmed yet by every proxy of mu-b"}, []string{", configuration in force"}},
-		{"two of six voters are silent", func(s *control.Status) { s.LossesBorne, s.SilentVoters = 0, []string{"b", "c"} }, []string{"losses   0 more voters may be lost before no order is taken, silent [b c]"}, nil},
+		{"two of six voters are silent", func(s *control.Status) { s.LossesBorne, s.UnresponsiveVoters = 0, []string{"b", "c"} }, []string{"losses   0 more voters may be lost before no order is taken, silent [b c]"}, nil},
 		{"all six are heard", func(s *control.Status) { s.LossesBorne = 2 }, []string{"losses   2 more voters may be lost before no order is taken, silent []"}, nil},
-		{"no leader answers", func(s *control.Status) { s.LeaderSilent, s.Role = "no leader is known; ask again", "follower" }, []string{"the leader's word is missing: no leader is known; ask again"}, []string{"in force", "list ", "losses "}},
+		{"no leader answers", func(s *control.Status) { s.LeaderUnreachable, s.Role = "no leader is known; ask again", "follower" }, []string{"the leader's word is missing: no leader is known; ask again"}, []string{"in force", "list ", "losses "}},
 		{"a fleet of entries", func(s *control.Status) { s.Routed, s.Changes, s.Resting, s.Disk = nil, nil, nil, nil }, []string{"standing "}, []string{"in force", "routes", "resting", "disk    "}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 		want   string
 	}{
 		{"healthy", nil, ""},
-		{"no leader answers", func(s *control.Status) { s.LeaderSilent, s.Nodes[0].InForce = "no leader is known", false }, "no-leader-word"},
+		{"no leader answers", func(s *control.Status) { s.LeaderUnreachable, s.Nodes[0].InForce = "no leader is known", false }, "no-leader-word"},
 		{"a service without back ends", func(s *control.Status) { s.Routed.Services[0].Ready = 0 }, "service-without-back-end"},
 		{"a service that no route leads to", func(s *control.Status) { s.Routed.Services[0].Ready, s.Routed.Services[0].Routes = 0, 0 }, ""},
 		{"keys that nobody holds", func(s *control.Status) { s.Routed.Services[1].Unheld = 64 }, "keys-without-holder"},
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -112,7 +112,7 @@
 	reservationOf := func(attempt, owner string, replicas uint64) *schema.ReservationRequest {
 		return &schema.ReservationRequest{Attempt: attempt, Owner: owner, ReplicaSet: replicas, Region: "r"}
 	}
-	taken, held, silent, stale := schema.ReservationState_RESERVATION_TAKEN, schema.ReservationState_RESERVATION_HELD, schema.ReservationState_RESERVATION_UNAVAILABLE, schema.ReservationState_RESERVATION_STALE
+	taken, held, unavailable, stale := schema.ReservationState_RESERVATION_TAKEN, schema.ReservationState_RESERVATION_HELD, schema.ReservationState_RESERVATION_UNAVAILABLE, schema.ReservationState_RESERVATION_STALE
 	for _, c := range []struct {
 		name        string
 		id          string
@@ -124,9 +124,9 @@
 		want        schema.ReservationState
 	}{
 		{"a first set's keeper is ready", "a", false, nil, 0, reservationOf("x", "p/1", 1), false, taken},
-		{"one that has lived before is not", "a", true, nil, 0, reservationOf("x", "p/1", 1), false, silent},
-		{"nor one without a live grant", "a", false, nil, 0, reservationOf("x", "p/1", 1), true, silent},
-		{"nor one outside the set", "z", false, nil, 0, reservationOf("x", "p/1", 1), false, silent},
+		{"one that has lived before is not", "a", true, nil, 0, reservationOf("x", "p/1", 1), false, unavailable},
+		{"nor one without a live grant", "a", false, nil, 0, reservationOf("x", "p/1", 1), true, unavailable},
+		{"nor one outside the set", "z", false, nil, 0, reservationOf("x", "p/1", 1), false, unavailable},
 		{"another set's number is stale", "a", false, nil, 0, reservationOf("x", "p/1", 2), false, stale},
 		{"a second holder is held off", "a", false, func(k *Replica) { k.Take(0, reservationOf("x", "p/1", 1), true) }, time.Second, reservationOf("x", "p/2", 1), false, held},
 		{"the same holder may ask again", "a", false, func(k *Replica) { k.Take(0, reservationOf("x", "p/1", 1), true) }, time.Second, reservationOf("x", "p/1", 1), false, taken},
@@ -149,7 +149,7 @@
 			k.Take(0, &schema.ReservationRequest{Attempt: "x", Owner: "p/1", ReplicaSet: 1, Region: "r", Round: 2}, true)
 			k.Take(0, &schema.ReservationRequest{Attempt: "x", Owner: "p/1", ReplicaSet: 1, Region: "r", Round: 1, Ended: true}, true)
 		}, time.Second, reservationOf("x", "p/3", 1), false, held},
-		{"after a change a keeper is silent", "a", false, func(k *Replica) { k.Adopt(0, second) }, constants.ReservationWindow * 3, reservationOf("x", "p/1", 2), false, silent},
+		{"after a change a keeper is silent", "a", false, func(k *Replica) { k.Adopt(0, second) }, constants.ReservationWindow * 3, reservationOf("x", "p/1", 2), false, unavailable},
 		{"until all but one former keeper gave theirs", "a", false, func(k *Replica) {
 			k.Adopt(0, second)
 			k.Copied(0, "b", &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 2, Reservations: []*schema.Reservation{{Attempt: "x", Owner: "p/9", LeftMs: 5000}}})
@@ -161,7 +161,7 @@
 		{"but not before", "d", false, func(k *Replica) {
 			k.Adopt(0, second)
 			k.Adopt(0, &schema.ReplicaSet{Region: "r", Number: 2, Members: second.Members, Former: second.Former})
-		}, constants.ReservationWindow - time.Millisecond, reservationOf("x", "p/1", 2), false, silent},
+		}, constants.ReservationWindow - time.Millisecond, reservationOf("x", "p/1", 2), false, unavailable},
 		{"an id is still held off two minutes later", "a", false, func(k *Replica) { k.Take(0, reservationOf("x", "p/1", 1), true) }, 2 * time.Minute, reservationOf("x", "p/2", 1), false, held},
 		{"also after its keepers have changed twice", "d", false, func(k *Replica) {
 			k.Adopt(0, second)
@@ -187,16 +187,16 @@
 			for _, id := range []string{"a", "b"} {
 				k.Copied(0, id, &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 2, Next: 7})
 			}
-		}, time.Second, reservationOf("x", "p/1", 2), false, silent},
+		}, time.Second, reservationOf("x", "p/1", 2), false, unavailable},
 		{"a keeper that missed a set knows too little, though it is all that is left", "a", false, func(k *Replica) {
 			k.Adopt(0, &schema.ReplicaSet{Region: "r", Number: 3, Members: members("a"), Former: members("a"), Fenced: true})
-		}, time.Second, reservationOf("x", "p/1", 3), false, silent},
+		}, time.Second, reservationOf("x", "p/1", 3), false, unavailable},
 		{"a copy for another set counts for nothing", "d", false, func(k *Replica) {
 			k.Adopt(0, second)
 			for _, id := range []string{"a", "b", "c"} {
 				k.Copied(0, id, &schema.ReservationCopyResponse{Ready: true, ReplicaSet: 1})
 			}
-		}, time.Second, reservationOf("x", "p/1", 2), false, silent},
+		}, time.Second, reservationOf("x", "p/1", 2), false, unavailable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			k := NewReplica(c.id, c.hasLived)
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -40,7 +40,7 @@
 	ProposalWait = 5 * time.Second
 
 	// BeatEvery (time) is a node's report to the leader: ten in a grant; each tells the image it has.
-	BeatEvery = 400 * time.Millisecond
+	HeartbeatEvery = 400 * time.Millisecond
 	// NodeLostAfter (time) is the silence after which the leader takes a node as lost: five beats and a far link.
 	NodeLostAfter = 2400 * time.Millisecond
 	// GrantTime (time) is how long a node may start unsafe legs after it sent the beat that was granted: ten beats, and grant, margin and claim window together stay under 15 s.
@@ -86,13 +86,13 @@
 	// SubscribeEvery (time) renews a subscription; the server forgets one after four missed renewals.
 	SubscribeEvery = 500 * time.Millisecond
 	// SubscriptionLife (time) is when the server forgets a silent subscriber.
-	SubscriptionLife = 2 * time.Second
+	SubscriptionTTL = 2 * time.Second
 	// SourceSilent (time) is when a subscriber turns to another source of deltas.
-	SourceSilent = 900 * time.Millisecond
+	SourceTimeout = 900 * time.Millisecond
 	// SourceTryPause (time) more passes before each further machine is tried as a source, so that a fleet without a majority does not storm the few that have the log.
 	SourceTryPause = 150 * time.Millisecond
 	// SourceTryPauseMost (time) is the longest such pause.
-	SourceTryPauseMost = 2 * SourceSilent
+	SourceTryPauseMost = 2 * SourceTimeout
 	// HomeSourceEvery (time) is how often a machine whose source is in another region asks one of its own.
 	HomeSourceEvery = 4 * time.Second
 	// DeltaKeep (rows) changes stay in memory for deltas; a subscriber further behind gets whole ranges.
@@ -109,11 +109,11 @@
 	// RosterCall (time) bounds one page's call.
 	RosterCall = 800 * time.Millisecond
 	// VitalsEvery (time) is the probing period of a back end by one proxy.
-	VitalsEvery = 700 * time.Millisecond
+	HealthCheckEvery = 700 * time.Millisecond
 	// VitalsWait (time) bounds one probe.
-	VitalsWait = 600 * time.Millisecond
+	HealthCheckTimeout = 600 * time.Millisecond
 	// VitalsFails (probes) in a row make a back end failing at one proxy.
-	VitalsFails = 2
+	HealthCheckFailures = 2
 
 	// ClaimWindow (time) is the longest wait of an unsafe query, and what must be waited out when most keepers of an id are lost: short, since service must be back in 15 s.
 	ReservationWindow = 6 * time.Second
@@ -139,7 +139,7 @@
 	ReservationCopyEvery = 200 * time.Millisecond
 
 	// MatchLife (time) is how long a caller may use a directory's outcome.
-	MatchLife = 2 * time.Second
+	MatchTTL = 2 * time.Second
 	// MatchProxies (proxies) are handed out at most.
 	MatchProxies = 3
 	// WaitMost (time) is the longest wait a caller may name.
@@ -183,7 +183,7 @@
 	// SafeLegMost (time) bounds one repeat-safe leg so that another back end can still be tried.
 	SafeAttemptMost = 2 * time.Second
 	// IdleLife (time) is how long a proved connection may lie idle.
-	IdleLife = 4 * time.Second
+	IdleTTL = 4 * time.Second
 	// IdlePerBackend (connections) are kept at most.
 	IdlePerBackend = 8
 	// LegsMost (tries) bounds the legs of one repeat-safe query.
@@ -202,7 +202,7 @@
 	// DialWait (time) bounds a connection to a peer.
 	DialWait = 800 * time.Millisecond
 	// FrameSilence (time) without word that sent bytes arrived after which a connection to a peer is given up and dialled anew: after a healed cut its own next try may be seconds away.
-	FrameSilence = time.Second
+	FrameIdleTimeout = time.Second
 	// DialPause (time) passes after a connection to a peer failed before the next is tried: a process that starts is found soon, one that is gone costs little.
 	DialPause = 100 * time.Millisecond
 	// DisjointPause (time) passes before a peer that has no version in common is called again: only an operator changes that.
@@ -238,7 +238,7 @@
 	SlowSync = 800 * time.Millisecond
 
 	// StopLinger (time) is how long a stopping proxy still accepts: a match's life and one spread.
-	StopLinger = MatchLife + 1200*time.Millisecond
+	StopLinger = MatchTTL + 1200*time.Millisecond
 	// StopMost (time) bounds a planned stop: the longest wait a caller may name and the linger.
 	StopMost = StopLinger + WaitMost
 	// StaleList (time) is the list's age at which doctor complains.
@@ -339,7 +339,7 @@
 	// BackendConnect (time) bounds a connection to a back end: two ways over the longest link and a busy machine.
 	BackendConnect = 400 * time.Millisecond
 	// BackendSilence (time) without word that sent bytes arrived after which a connection is given up: eight ways over the longest link.
-	BackendSilence = 700 * time.Millisecond
+	BackendIdleTimeout = 700 * time.Millisecond
 	// KeepAliveIdle (time) of silence before a connection is probed.
 	KeepAliveIdle = time.Second
 	// KeepAliveEvery (time) between two probes.
@@ -421,13 +421,13 @@
 	// FarNeighbours (nodes) of other regions are probed at most where the own region has too few: bytes between regions are dear.
 	FarNeighbours = 1
 	// RoutedHeartbeat (time) keeps a routed fleet's leader known: four fit into the shortest election wait.
-	RoutedHeartbeat = 250 * time.Millisecond
+	RoutedRaftHeartbeat = 250 * time.Millisecond
 	// RoutedElectionLeast (time) is the shortest silence before a voter of a routed fleet asks for votes: its keys stay held for seconds, so it may wait.
 	RoutedElectionLeast = time.Second
 	// RoutedElectionSpread (time) is drawn on top.
 	RoutedElectionSpread = 600 * time.Millisecond
 	// RoutedBeat (time) is how often a routed fleet's nodes report to their relay, and relays to the leader: three in the silence after which a node is lost.
-	RoutedBeat = 700 * time.Millisecond
+	RoutedHeartbeat = 700 * time.Millisecond
 	// RoutedLostAfter (time) is the silence after which the leader of a routed fleet takes a node as lost: two beats, each through a relay.
 	RoutedLostAfter = 2100 * time.Millisecond
 	// RoutedProbe (time) is the probing period of one neighbour in a routed fleet.
@@ -445,7 +445,7 @@
 	// RoutedDigest (time) is how often a subscriber of a routed fleet compares its ranges: they differ only after a fault.
 	RoutedDigest = 6 * time.Second
 	// WholeBeats (beats) one of which tells a node's addresses; the others only its state.
-	WholeBeats = 12
+	FullHeartbeatEvery = 12
 	// FarSourceAfter (time) without a source in the own region after which a reader turns to another region's.
 	FarSourceAfter = 2500 * time.Millisecond
 	// ListEvery (time) is the pause between reads of a routed fleet's list: draining ones are known well within 2.5 s.
@@ -503,7 +503,7 @@
 	// DrainShare (parts) of a stop's grace in which requests in flight may still end.
 	DrainShare = 0.9
 	// ResolveLife (time) is how long a caller of a routed fleet may use a directory's answer: a lost node is out of them all soon.
-	ResolveLife = 2 * time.Second
+	ResolveTTL = 2 * time.Second
 	// ResolveLeast (nodes) of the caller's own district are enough for an answer; with fewer, the region's others are added.
 	ResolveLeast = 2
 	// ResolveMost (nodes) are handed out at most.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -129,30 +129,30 @@
 	ClockMs int64  `json:"clock_ms"`
 	FreshMs int64  `json:"fresh_ms"`
 	// Strays are the answers that belonged to nothing that this process waits for.
-	Strays      uint64            `json:"strays,omitempty"`
-	LeaseMs     int64             `json:"grant_ms"`
-	ListMs      int64             `json:"list_ms"`
-	ListFault   string            `json:"list_fault,omitempty"`
-	Voters      []string          `json:"voters"`
-	Learners    []string          `json:"learners"`
-	Suspects    []string          `json:"suspects"`
-	Replica     map[string]any    `json:"keeper"`
-	Disk        *Disk             `json:"disk,omitempty"`
-	Results     map[string]uint64 `json:"outcomes"`
-	Nodes       []NodeStatus      `json:"nodes"`
-	Zones       []ZoneStatus      `json:"districts"`
-	Standings   []Standing        `json:"standings"`
-	Entries     []string          `json:"entries"`
-	Backends    []BackendStatus   `json:"backends"`
-	Unconfirmed []string          `json:"unconfirmed,omitempty"`
+	StaleResponses uint64            `json:"strays,omitempty"`
+	LeaseMs        int64             `json:"grant_ms"`
+	ListMs         int64             `json:"list_ms"`
+	ListFault      string            `json:"list_fault,omitempty"`
+	Voters         []string          `json:"voters"`
+	Learners       []string          `json:"learners"`
+	Suspects       []string          `json:"suspects"`
+	Replica        map[string]any    `json:"keeper"`
+	Disk           *Disk             `json:"disk,omitempty"`
+	Results        map[string]uint64 `json:"outcomes"`
+	Nodes          []NodeStatus      `json:"nodes"`
+	Zones          []ZoneStatus      `json:"districts"`
+	Standings      []Standing        `json:"standings"`
+	Entries        []string          `json:"entries"`
+	Backends       []BackendStatus   `json:"backends"`
+	Unconfirmed    []string          `json:"unconfirmed,omitempty"`
 	// LossesBorne is how many more voters may be lost before there is no majority; SilentVoters are those that the leader does not hear.
-	LossesBorne  uint32   `json:"losses_borne"`
-	SilentVoters []string `json:"silent_voters,omitempty"`
+	LossesBorne        uint32   `json:"losses_borne"`
+	UnresponsiveVoters []string `json:"silent_voters,omitempty"`
 	// LeaderSilent tells why the leader's part is missing: the changes, and what each machine has.
-	LeaderSilent string        `json:"leader_silent,omitempty"`
-	Changes      []Change      `json:"changes,omitempty"`
-	Resting      []string      `json:"resting,omitempty"`
-	Routed       *RoutedStatus `json:"routed,omitempty"`
+	LeaderUnreachable string        `json:"leader_silent,omitempty"`
+	Changes           []Change      `json:"changes,omitempty"`
+	Resting           []string      `json:"resting,omitempty"`
+	Routed            *RoutedStatus `json:"routed,omitempty"`
 }
 
 // Door serves directory and operators.
@@ -315,7 +315,7 @@
 	now, local := d.options.Now(), d.options.Local()
 	view := local.View
 	s := &Status{Node: d.options.Self.Id, System: local.System, Role: local.Role, Term: local.Term, Leader: local.Leader, Index: view.Version, Rows: local.Rows,
-		Configuration: view.Head.Version, Fleet: view.Fleet, Newest: versions.Newest, Fit: d.isFit(now, local), ClockMs: now.Milliseconds(), FreshMs: (now - local.FreshAt).Milliseconds(), Strays: local.Strays, LeaseMs: max(0, local.LeaseUntil-now).Milliseconds(),
+		Configuration: view.Head.Version, Fleet: view.Fleet, Newest: versions.Newest, Fit: d.isFit(now, local), ClockMs: now.Milliseconds(), FreshMs: (now - local.FreshAt).Milliseconds(), StaleResponses: local.StaleResponses, LeaseMs: max(0, local.LeaseUntil-now).Milliseconds(),
 		ListMs: -1, ListFault: local.ListFault, Suspects: local.Suspects, Results: d.options.Stats()}
 	if local.ListAt > 0 {
 		s.ListMs = (now - local.ListAt).Milliseconds()
@@ -339,7 +339,7 @@
 		}
 	}
 	for _, node := range view.Nodes {
-		speaks, err := versions.Told(node.SpeaksLow, node.SpeaksHigh)
+		speaks, err := versions.ReadSpan(node.SpeaksLow, node.SpeaksHigh)
 		if err != nil {
 			speaks = versions.Span{Low: versions.First, High: versions.First}
 		}
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -33,7 +33,7 @@
 	gauge("term", s.Term)
 	gauge("leads", flag(s.Role == "leader"))
 	gauge("fit", flag(s.Fit))
-	metrics.WriteCounterUint64(&text, "topazshed_stray_answers_total", s.Strays)
+	metrics.WriteCounterUint64(&text, "topazshed_stray_answers_total", s.StaleResponses)
 	gauge("fresh_milliseconds", uint64(max(0, s.FreshMs)))
 	gauge("resting_back_ends", uint64(len(s.Resting)))
 	if s.ListMs >= 0 {
--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -39,16 +39,16 @@
 				t.Fatalf("%d %v", w.Code, w.Header())
 			}
 			lines := strings.Split(strings.TrimSuffix(w.Body.String(), "\n"), "\n")
-			told := map[string]bool{}
+			notified := map[string]bool{}
 			for _, line := range lines {
 				if !metricForm.MatchString(line) {
 					t.Errorf("%q is no line of the text form", line)
 				}
 				name, _, _ := strings.Cut(line, " ")
-				if told[name] {
+				if notified[name] {
 					t.Errorf("%s is told twice", name)
 				}
-				told[name] = true
+				notified[name] = true
 			}
 			for _, want := range c.want {
 				if !strings.Contains(w.Body.String(), want+"\n") {
--- a/internal/control/routed.go
+++ b/internal/control/routed.go
@@ -110,11 +110,11 @@
 // hear adds what the leader told.
 func (s *Status) hear(response *schema.OperatorResponse, err error, name func(number uint64) string) {
 	if err != nil {
-		s.LeaderSilent = err.Error()
+		s.LeaderUnreachable = err.Error()
 		return
 	}
 	s.Unconfirmed = response.Unconfirmed
-	s.LossesBorne, s.SilentVoters = response.ToleratedLosses, response.UnresponsiveVoters
+	s.LossesBorne, s.UnresponsiveVoters = response.ToleratedLosses, response.UnresponsiveVoters
 	for _, report := range response.Reports {
 		for i := range s.Nodes {
 			if s.Nodes[i].ID != report.Id {
@@ -129,9 +129,9 @@
 	s.Changes = changesOf(response.Changes, name)
 }
 
-func changesOf(told []*schema.FailoverChange, name func(number uint64) string) []Change {
+func changesOf(notified []*schema.FailoverChange, name func(number uint64) string) []Change {
 	var changes []Change
-	for _, c := range told {
+	for _, c := range notified {
 		change := Change{Service: c.Service, Path: c.Path, Region: c.Region, From: c.From, To: c.To, Was: name(c.From), Is: name(c.To), Cause: c.Cause, Evidence: c.Evidence,
 			Leader: c.Leader, Index: c.Index, Term: c.Term}
 		if c.AtMs > 0 {
@@ -233,7 +233,7 @@
 	Reason  string   `json:"reason"`
 	Changes []Change `json:"changes"`
 	// LeaderSilent tells why the changes are missing.
-	LeaderSilent string `json:"leader_silent,omitempty"`
+	LeaderUnreachable string `json:"leader_silent,omitempty"`
 }
 
 func (d *Door) standings(w http.ResponseWriter, r *http.Request) {
@@ -261,7 +261,7 @@
 	}
 	response, err := d.leaderWord(r.Context())
 	if err != nil {
-		answer.LeaderSilent = err.Error()
+		answer.LeaderUnreachable = err.Error()
 	}
 	for _, change := range changesOf(response.GetChanges(), d.placeName(view)) {
 		if change.Region == region && (change.Service == "" || change.Service == service) {
--- a/internal/control/routed_test.go
+++ b/internal/control/routed_test.go
@@ -55,7 +55,7 @@
 }
 
 func TestRoutedDoor(t *testing.T) {
-	told := &schema.OperatorResponse{Unconfirmed: []string{"mu-a"}, Reports: []*schema.NodeReport{{Id: "n1", Index: 9, InForce: true}, {Id: "n2", NeverHeard: true}},
+	notified := &schema.OperatorResponse{Unconfirmed: []string{"mu-a"}, Reports: []*schema.NodeReport{{Id: "n1", Index: 9, InForce: true}, {Id: "n2", NeverHeard: true}},
 		Changes: []*schema.FailoverChange{{Region: "mu", From: 10000, To: 20002, Cause: "its open districts", Evidence: "mu-a is emptied (new racks)", Leader: "n1", Index: 8, Term: 3, AtMs: 1777896000123},
 			{Service: "nickel", Region: "mu", From: 20002, To: 20003, Cause: "work goes to xi", Index: 9, Term: 3}}}
 	for _, c := range []struct {
@@ -74,10 +74,10 @@
 		{"nobody to be named", "GET", "/v1/match?region=mu", "", ground{}, 503, []string{"ask another node"}},
 		{"a match", "GET", "/v1/match", "", ground{proxies: []string{"10.0.0.1:1"}}, 200, []string{`{"proxies":["10.0.0.1:1"],"live_ms":2000}`}},
 		{"all standings", "GET", "/v1/standings", "", ground{}, 200, []string{`"kind":"region","region":"mu","active":"mu:mu-b","number":20002`, `"kind":"service","region":"mu","active":"region xi","number":20003`}},
-		{"one standing with its changes only", "GET", "/v1/standings/mu?service=copper", "", ground{response: told}, 200, []string{`"group":"mu:mu-b"`, `"trail":"20002"`, `"changes":[{"region":"mu","from":10000,"to":20002,"was":"mu","is":"mu:mu-b"`, `"leader":"n1","index":8,"term":3}]`}},
+		{"one standing with its changes only", "GET", "/v1/standings/mu?service=copper", "", ground{response: notified}, 200, []string{`"group":"mu:mu-b"`, `"trail":"20002"`, `"changes":[{"region":"mu","from":10000,"to":20002,"was":"mu","is":"mu:mu-b"`, `"leader":"n1","index":8,"term":3}]`}},
 		{"one standing while no leader answers", "GET", "/v1/standings/mu", "", ground{fault: errors.New("timed out")}, 200, []string{`"changes":[]`, `"leader_silent":"the leader did not answer in time (timed out); run doctor`}},
 		{"a standing that leads to nobody", "GET", "/v1/standings/mu?service=nickel", "", ground{}, 503, []string{"no-standing"}},
-		{"status", "GET", "/v1/status", "", ground{response: told}, 200, []string{`"unconfirmed":["mu-a"]`, `"index":9,"in_force":true`, `"heard_ms":-1`, `"at":"2026-05-04T12:00:00.123Z"`, `"evidence":"mu-a is emptied (new racks)"`,
+		{"status", "GET", "/v1/status", "", ground{response: notified}, 200, []string{`"unconfirmed":["mu-a"]`, `"index":9,"in_force":true`, `"heard_ms":-1`, `"at":"2026-05-04T12:00:00.123Z"`, `"evidence":"mu-a is emptied (new racks)"`,
 			`"resting":["c-1","c-9"]`, `"routes":1`, `{"name":"copper","routes":1,"ready":1,"draining":1,"cold":1}`, `"name":"nickel","keyed":true,"routes":0,"ready":0,"draining":0,"cold":0,"unheld":32768`,
 			`"spans":[{"service":"nickel","first":0,"last":32767,"instance":"i-1","fence":7}]`, `"state":"ready, cold"`}},
 		{"status while no leader answers", "GET", "/v1/status", "", ground{response: &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "no leader is known; ask again"}}, 200, []string{`"leader_silent":"no leader is known; ask again"`}},
--- a/internal/core/beats.go
+++ b/internal/core/beats.go
@@ -24,7 +24,7 @@
 	if r == nil {
 		return quorum.Pace{}
 	}
-	pace := quorum.Pace{Heartbeat: constants.RoutedHeartbeat, ElectionLeast: constants.RoutedElectionLeast, ElectionSpread: constants.RoutedElectionSpread}
+	pace := quorum.Pace{Heartbeat: constants.RoutedRaftHeartbeat, ElectionLeast: constants.RoutedElectionLeast, ElectionSpread: constants.RoutedElectionSpread}
 	if least := max(constants.RaftElectionLeast, r.options.Quiet/constants.QuietElections); r.options.Quiet > 0 && least < pace.ElectionLeast {
 		pace.Heartbeat = pace.Heartbeat * least / pace.ElectionLeast
 		pace.ElectionSpread = pace.ElectionSpread * least / pace.ElectionLeast
@@ -33,11 +33,11 @@
 	return pace
 }
 
-func (r *routedState) beatEvery() time.Duration {
+func (r *routedState) heartbeatEvery() time.Duration {
 	if r == nil {
-		return constants.BeatEvery
+		return constants.HeartbeatEvery
 	}
-	return constants.RoutedBeat
+	return constants.RoutedHeartbeat
 }
 
 func (r *routedState) deltaEvery() time.Duration {
@@ -69,25 +69,25 @@
 }
 
 // beatRouted reports to the relay, a disk machine of the own region; relays report to the leader what they were told since.
-func (c *Core) beatRouted(b *schema.Heartbeat) {
+func (c *Core) sendRelayedHeartbeat(b *schema.Heartbeat) {
 	r := c.routed
-	to := c.beatTarget()
-	if c.serial%constants.WholeBeats != 1 && r.beatTo == to && r.beatState == c.self.State {
+	to := c.heartbeatTarget()
+	if c.serial%constants.FullHeartbeatEvery != 1 && r.heartbeatTo == to && r.heartbeatState == c.self.State {
 		b.Node = &schema.Node{Id: c.self.Id, State: c.self.State, Incarnation: c.self.Incarnation, Disk: c.self.Disk}
 	}
-	r.beatTo, r.beatState = to, c.self.State
+	r.heartbeatTo, r.heartbeatState = to, c.self.State
 	if c.quorum != nil && c.quorum.Role() == quorum.Leader {
-		c.noteBeat(b)
+		c.noteHeartbeat(b)
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.relayed)) {
 		b.Relayed = append(b.Relayed, r.relayed[id])
 	}
 	r.relayed = map[string]*schema.Heartbeat{}
-	c.send(r.beatTo, &schema.Frame{Body: &schema.Frame_Heartbeat{Heartbeat: b}})
+	c.send(r.heartbeatTo, &schema.Frame{Body: &schema.Frame_Heartbeat{Heartbeat: b}})
 }
 
-func (c *Core) beatTarget() string {
+func (c *Core) heartbeatTarget() string {
 	isLeaderKnown := c.leader != "" && c.leader != c.self.Address && c.now-c.leaderAt <= constants.NodeLostAfter
 	switch {
 	case c.view.Nodes[c.self.Id] == nil && c.leader != "" && c.leader != c.self.Address && c.serial%2 == 0:
@@ -100,37 +100,37 @@
 	return c.pick(func(node *schema.Node) bool { return node.Disk && node.Address != c.self.Address })
 }
 
-func (c *Core) takeBeatRouted(f *schema.Frame, b *schema.Heartbeat) {
+func (c *Core) takeHeartbeatRouted(f *schema.Frame, b *schema.Heartbeat) {
 	if c.IsLeading() {
-		for _, beat := range b.Relayed {
-			c.noteBeat(beat)
+		for _, heartbeat := range b.Relayed {
+			c.noteHeartbeat(heartbeat)
 		}
 		b.Relayed = nil
-		c.noteBeat(b)
+		c.noteHeartbeat(b)
 		return
 	}
 	if c.quorum == nil {
 		return
 	}
-	for _, beat := range append(b.Relayed, b) {
-		beat.Relayed = nil
-		if was := c.routed.relayed[beat.Node.GetId()]; was != nil {
-			if beat.Node.Address == "" && was.Node.Address != "" && was.Node.State == beat.Node.State {
-				beat.Node = was.Node
+	for _, heartbeat := range append(b.Relayed, b) {
+		heartbeat.Relayed = nil
+		if was := c.routed.relayed[heartbeat.Node.GetId()]; was != nil {
+			if heartbeat.Node.Address == "" && was.Node.Address != "" && was.Node.State == heartbeat.Node.State {
+				heartbeat.Node = was.Node
 			}
-			if len(beat.Load) == 0 {
-				beat.Load = was.Load
+			if len(heartbeat.Load) == 0 {
+				heartbeat.Load = was.Load
 			}
-			beat.Health = append(was.Health, beat.Health...)
+			heartbeat.Health = append(was.Health, heartbeat.Health...)
 		}
-		c.routed.relayed[beat.Node.GetId()] = beat
-		if beat.Node.State == schema.NodeState_NODE_STOPPING || beat.Node.Address != "" && c.view.Nodes[beat.Node.Id] == nil {
-			c.beatAt = 0
+		c.routed.relayed[heartbeat.Node.GetId()] = heartbeat
+		if heartbeat.Node.State == schema.NodeState_NODE_STOPPING || heartbeat.Node.Address != "" && c.view.Nodes[heartbeat.Node.Id] == nil {
+			c.heartbeatAt = 0
 		}
 	}
 }
 
-func (c *Core) noteBeat(b *schema.Heartbeat) {
+func (c *Core) noteHeartbeat(b *schema.Heartbeat) {
 	if b.Node == nil {
 		return
 	}
@@ -171,8 +171,8 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
 		node := c.view.Nodes[id]
-		isTold := slices.ContainsFunc(nodes, func(other *schema.Node) bool { return other.Id == id })
-		if node.Disk && !isTold && node.Region == to.GetRegion() && node.State == schema.NodeState_NODE_READY {
+		isNotified := slices.ContainsFunc(nodes, func(other *schema.Node) bool { return other.Id == id })
+		if node.Disk && !isNotified && node.Region == to.GetRegion() && node.State == schema.NodeState_NODE_READY {
 			nodes = append(nodes, node)
 		}
 	}
--- a/internal/core/changes_test.go
+++ b/internal/core/changes_test.go
@@ -35,7 +35,7 @@
 		s.core.Tick(s.now)
 		if s.core.IsLeading() {
 			for _, zone := range zones {
-				s.core.noteBeat(&schema.Heartbeat{Version: s.core.table.Version(), Node: &schema.Node{Id: "of-" + zone, Address: zone, Proxy: zone, Admin: zone, Zone: zone, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
+				s.core.noteHeartbeat(&schema.Heartbeat{Version: s.core.table.Version(), Node: &schema.Node{Id: "of-" + zone, Address: zone, Proxy: zone, Admin: zone, Zone: zone, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
 			}
 		}
 		for range 8 {
@@ -62,7 +62,7 @@
 	return s.response
 }
 
-func TestChangesOfStandingAreToldFromTheLog(t *testing.T) {
+func TestChangesOfAssignmentsAreReportedFromTheLog(t *testing.T) {
 	s := &solo{now: time.Hour, epoch: time.Date(2026, 5, 4, 12, 0, 0, 0, time.UTC)}
 	s.core = New(s.now, s.options())
 	s.run(5*time.Second, "mu-a", "mu-b")
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -92,7 +92,7 @@
 	IsStopping bool
 	First      uint64
 	// Strays are the answers that belonged to nothing that this life of the process waits for.
-	Strays uint64
+	StaleResponses uint64
 }
 
 // waiter is an order that is not answered yet.
@@ -168,8 +168,8 @@
 	thawedAt       time.Duration
 	leader         string
 	leaderAt       time.Duration
-	beatAt         time.Duration
-	beats          map[uint64]asked
+	heartbeatAt    time.Duration
+	heartbeats     map[uint64]asked
 	serial         uint64
 	leaseUntil     time.Duration
 	freshAt        time.Duration
@@ -189,7 +189,7 @@
 	waiters        []*waiter
 	confirming     []*waiter
 	undecided      []*waiter
-	strays         uint64
+	staleResponses uint64
 	reads          map[uint64]*waiter
 	nextRead       uint64
 	whoAt          time.Duration
@@ -200,7 +200,7 @@
 	listAt         time.Duration
 	listFault      string
 	sweep          *roster.Sweep
-	vitals         []*schema.HealthReport
+	healthReports  []*schema.HealthReport
 	reservationSet uint64
 	isKeeping      bool
 	floor          uint64
@@ -208,13 +208,13 @@
 	pending        map[string]uint64
 	verdicts       map[uint64]string
 	imageAt        uint64
-	told           uint64
+	knownCommit    uint64
 	fences         map[string]time.Duration
 	behindAt       time.Duration
 	opened         map[string]time.Duration
 	openedAs       map[string]uint64
 	addresses      map[string]string
-	toldAt         time.Duration
+	knownCommitAt  time.Duration
 	routed         *routedState
 	changes        []*schema.FailoverChange
 	speaks         versions.Span
@@ -228,7 +228,7 @@
 // New restores a node from its journal, or makes an empty one.
 func New(now time.Duration, options Options) *Core {
 	c := &Core{options: options, log: options.Log, self: proto.Clone(options.Self).(*schema.Node), system: options.System,
-		table: image.NewTable(), view: image.NewView(), rost: roster.New(), beats: map[uint64]asked{}, held: map[string]bool{},
+		table: image.NewTable(), view: image.NewView(), rost: roster.New(), heartbeats: map[uint64]asked{}, held: map[string]bool{},
 		wanted: map[string]time.Duration{}, subs: map[uint64]asked{}, subscriber: map[string]*subscriber{}, nodes: map[string]*nodeRecord{},
 		releasedAt: map[uint64]time.Duration{}, reads: map[uint64]*waiter{}, seeds: map[string]time.Duration{}, empties: map[string]bool{},
 		peers: map[string]time.Duration{}, pending: map[string]uint64{}, verdicts: map[uint64]string{}, fences: map[string]time.Duration{}, opened: map[string]time.Duration{}, openedAs: map[string]uint64{}, addresses: map[string]string{}, now: now, tickedAt: now, speaks: options.Speaks.OrOwn(), refusedNodes: map[string]uint64{}}
@@ -304,7 +304,9 @@
 }
 
 // SetVitals takes this node's probes of back ends.
-func (c *Core) SetVitals(vitals []*schema.HealthReport) { c.vitals = vitals }
+func (c *Core) SetHealthReports(healthReports []*schema.HealthReport) {
+	c.healthReports = healthReports
+}
 
 // SetKeeper takes this node's state as a keeper.
 func (c *Core) SetReservationReplica(number uint64, isReady bool) {
@@ -319,7 +321,7 @@
 	c.now = now
 	c.self.State = schema.NodeState_NODE_STOPPING
 	c.self.Incarnation++
-	c.beat()
+	c.sendHeartbeat()
 	if c.quorum != nil && c.quorum.Role() == quorum.Leader {
 		c.quorum.Handover(now)
 	}
@@ -384,7 +386,7 @@
 		if c.quorum.LeaderID() == f.From {
 			c.leader, c.leaderAt = f.Address, now
 			if body.Raft.Kind == schema.RaftKind_RAFT_APPEND {
-				c.told, c.toldAt = body.Raft.Commit, now
+				c.knownCommit, c.knownCommitAt = body.Raft.Commit, now
 			}
 		}
 	case *schema.Frame_DiscoverRequest:
@@ -426,10 +428,10 @@
 	case *schema.Frame_ProbeResponse:
 	case *schema.Frame_Heartbeat:
 		if c.routed != nil {
-			c.takeBeatRouted(f, body.Heartbeat)
+			c.takeHeartbeatRouted(f, body.Heartbeat)
 			return
 		}
-		c.takeBeat(f, body.Heartbeat)
+		c.takeHeartbeat(f, body.Heartbeat)
 	case *schema.Frame_HeartbeatResponse:
 		c.takeLease(f, body.HeartbeatResponse)
 	case *schema.Frame_Subscribe:
@@ -498,8 +500,8 @@
 		c.lead()
 		c.refresh()
 	}
-	if now-c.beatAt >= c.routed.beatEvery() {
-		c.beat()
+	if now-c.heartbeatAt >= c.routed.heartbeatEvery() {
+		c.sendHeartbeat()
 	}
 	c.seek()
 	if c.quorum == nil {
@@ -556,37 +558,37 @@
 		Members: &schema.Members{Voters: []*schema.Member{{Id: c.self.Id, Address: c.self.Address, Zone: c.self.Zone}}}, Reason: "founding"})
 }
 
-func (c *Core) beat() {
+func (c *Core) sendHeartbeat() {
 	if c.system == "" {
 		return
 	}
-	c.beatAt = c.now
+	c.heartbeatAt = c.now
 	c.serial++
-	b := &schema.Heartbeat{Node: c.spoken(c.near.Self()), Version: c.table.Version(), Health: c.vitals, Suspects: c.near.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isKeeping, OldestIndex: c.floor}
+	b := &schema.Heartbeat{Node: c.spoken(c.near.Self()), Version: c.table.Version(), Health: c.healthReports, Suspects: c.near.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isKeeping, OldestIndex: c.floor}
 	if c.routed != nil {
 		b.Load = c.routed.takeHeat(c.now)
-		if vitals := c.routed.options.Vitals; vitals != nil {
-			b.Health = vitals()
+		if healthReports := c.routed.options.HealthReports; healthReports != nil {
+			b.Health = healthReports()
 		}
-		c.beatRouted(b)
+		c.sendRelayedHeartbeat(b)
 		return
 	}
 	if c.quorum != nil && c.quorum.Role() == quorum.Leader {
-		c.noteBeatSent(c.self.Address)
-		c.takeBeat(&schema.Frame{From: c.self.Id, Address: c.self.Address}, b)
+		c.noteHeartbeatSent(c.self.Address)
+		c.takeHeartbeat(&schema.Frame{From: c.self.Id, Address: c.self.Address}, b)
 		return
 	}
 	to := c.leader
 	if to == "" || to == c.self.Address || c.now-c.leaderAt > constants.RaftElectionLeast*2 && c.serial%2 == 0 {
 		to = c.pick(func(node *schema.Node) bool { return node.Disk })
 	}
-	c.noteBeatSent(to)
+	c.noteHeartbeatSent(to)
 	c.send(to, &schema.Frame{Body: &schema.Frame_Heartbeat{Heartbeat: b}})
 }
 
-func (c *Core) noteBeatSent(to string) {
-	c.beats[c.serial] = asked{c.now, to}
-	delete(c.beats, c.serial-questionsKept)
+func (c *Core) noteHeartbeatSent(to string) {
+	c.heartbeats[c.serial] = asked{c.now, to}
+	delete(c.heartbeats, c.serial-questionsKept)
 }
 
 // pick draws one of the known nodes that fit, or a seed if there is none.
@@ -614,7 +616,7 @@
 	return addresses
 }
 
-func (c *Core) takeBeat(f *schema.Frame, b *schema.Heartbeat) {
+func (c *Core) takeHeartbeat(f *schema.Frame, b *schema.Heartbeat) {
 	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: c.table.Version()}
 	isLeader := c.IsLeading() && c.isFitNode(b.Node)
 	if isLeader {
@@ -656,18 +658,18 @@
 	if !o.Accepted {
 		if o.Leader != "" && o.Leader != c.leader && o.Leader != f.Address {
 			c.leader, c.leaderAt = o.Leader, c.now
-			c.beatAt = 0
+			c.heartbeatAt = 0
 		}
 		return
 	}
 	c.leader, c.leaderAt = f.Address, c.now
-	beat, isKnown := c.beats[o.Serial]
-	if !isKnown || beat.to != f.Address {
-		c.strays++
+	heartbeat, isKnown := c.heartbeats[o.Serial]
+	if !isKnown || heartbeat.to != f.Address {
+		c.staleResponses++
 		return
 	}
 	if o.LeaseMs > 0 {
-		c.leaseUntil = max(c.leaseUntil, beat.at+time.Duration(o.LeaseMs)*time.Millisecond)
+		c.leaseUntil = max(c.leaseUntil, heartbeat.at+time.Duration(o.LeaseMs)*time.Millisecond)
 	}
 }
 
@@ -682,7 +684,7 @@
 	if slices.ContainsFunc(changed, func(row *schema.Row) bool {
 		return row.Key == image.HeadKey || strings.HasPrefix(row.Key, "district/")
 	}) {
-		c.beatAt = 0
+		c.heartbeatAt = 0
 	}
 	c.noteFences(changed)
 	if c.system == "" && c.view.System != "" {
@@ -732,7 +734,7 @@
 func (c *Core) Local() *Local {
 	l := &Local{View: c.view, Held: c.held, IsFull: c.isFull(), FreshAt: c.freshAt, LeaseUntil: c.leaseUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
 		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.near.Suspects(), Rows: c.table.Size(),
-		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", Strays: c.strays}
+		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", StaleResponses: c.staleResponses}
 	if c.quorum != nil {
 		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), c.quorum.Term(), c.quorum.Commit(), c.quorum.Members(), c.quorum.First()
 		if c.quorum.Role() == quorum.Leader {
@@ -854,10 +856,10 @@
 
 func (c *Core) refresh() {
 	switch {
-	case c.table.Version() >= c.told:
+	case c.table.Version() >= c.knownCommit:
 		c.behindAt = 0
-		if c.told > 0 {
-			c.freshAt = c.toldAt
+		if c.knownCommit > 0 {
+			c.freshAt = c.knownCommitAt
 		}
 	case c.behindAt == 0:
 		c.behindAt = c.now
--- a/internal/core/history_test.go
+++ b/internal/core/history_test.go
@@ -72,8 +72,8 @@
 }
 
 const (
-	silenceMost = time.Second
-	triesMost   = 12
+	maxSinceHeard = time.Second
+	triesMost     = 12
 )
 
 func (o *operators) give(op putOrRead) {
@@ -111,7 +111,7 @@
 				}
 			})
 		}
-		again(silenceMost)
+		again(maxSinceHeard)
 		up := slices.DeleteFunc(slices.Clone(w.machines), func(m *machine) bool { return !m.isUp })
 		leading := slices.DeleteFunc(slices.Clone(up), func(m *machine) bool { return !m.core.IsLeading() })
 		if len(leading) > 0 && w.random.Intn(2) == 0 {
@@ -305,7 +305,7 @@
 					}
 					w.run(w.between(20*time.Millisecond, 400*time.Millisecond))
 				}
-				w.run(triesMost * silenceMost)
+				w.run(triesMost * maxSinceHeard)
 				if o.taken < 5 {
 					t.Errorf("seed %d: only %d orders were taken, %d refused", seed, o.taken, o.refused)
 				}
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -34,7 +34,7 @@
 		c.log.Info("this machine leads", "term", c.quorum.Term(), "index", c.table.Version())
 		c.electedAt = c.now
 		c.sweep = nil
-		c.beat()
+		c.sendHeartbeat()
 	}
 	c.leader, c.leaderAt = c.self.Address, c.now
 	if c.now-c.planAt < constants.StandingPlanEvery {
@@ -201,14 +201,14 @@
 		if g := c.nodes[id]; g != nil {
 			heard = max(heard, g.heard)
 		}
-		silence := c.now - heard
+		sinceHeard := c.now - heard
 		lostAfter := c.routed.lostAfter()
-		isLost := silence > lostAfter && witnesses[id] >= constants.SuspectWitnesses || silence > 2*lostAfter
-		isLapsed := silence > constants.LeaseDuration+constants.LeaseClockMargin+constants.ReservationWindow
+		isLost := sinceHeard > lostAfter && witnesses[id] >= constants.SuspectWitnesses || sinceHeard > 2*lostAfter
+		isLapsed := sinceHeard > constants.LeaseDuration+constants.LeaseClockMargin+constants.ReservationWindow
 		if c.routed != nil && !row.Disk && newest[row.Address] > row.Incarnation {
 			put(image.NodeKey(id), image.Gone(image.NodeKey(id)))
 			delete(c.nodes, id)
-		} else if isLapsed && row.State == schema.NodeState_NODE_STOPPING && !row.Disk || silence > time.Minute && !row.Disk {
+		} else if isLapsed && row.State == schema.NodeState_NODE_STOPPING && !row.Disk || sinceHeard > time.Minute && !row.Disk {
 			put(image.NodeKey(id), image.Gone(image.NodeKey(id)))
 			delete(c.nodes, id)
 			c.rost.Drop(id)
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -36,7 +36,7 @@
 // planMembers proposes the next change of members, if one is needed; another one follows once a majority has it.
 func (c *Core) planMembers() {
 	members := proto.Clone(c.quorum.Members()).(*schema.Members)
-	for _, change := range []func(*schema.Members) string{c.dropReplaced, c.admitMember, c.dropSilentLearner, c.dropSilentVoter} {
+	for _, change := range []func(*schema.Members) string{c.dropReplaced, c.admitMember, c.dropUnresponsiveLearner, c.dropUnresponsiveVoter} {
 		reason := change(members)
 		if reason == "" {
 			continue
@@ -101,16 +101,16 @@
 }
 
 // silence is how long a member has not answered this leader.
-func (c *Core) silence(id string) time.Duration {
+func (c *Core) sinceHeard(id string) time.Duration {
 	if id == c.self.Id {
 		return 0
 	}
 	return c.now - max(c.quorum.Heard(id), c.electedAt)
 }
 
-func (c *Core) dropSilentLearner(members *schema.Members) string {
+func (c *Core) dropUnresponsiveLearner(members *schema.Members) string {
 	for i, m := range members.Learners {
-		if c.silence(m.Id) > 2*constants.MemberLostAfter {
+		if c.sinceHeard(m.Id) > 2*constants.MemberLostAfter {
 			members.Learners = slices.Delete(members.Learners, i, i+1)
 			return "learner " + m.Id + " is silent"
 		}
@@ -120,24 +120,24 @@
 
 // dropSilentVoter takes out a voter that has been silent for long. Where the majority of the voters gets smaller without the silent ones, so that
 // one more loss is borne, that is done sooner: of four voters three must live, and of three that are left only two.
-func (c *Core) dropSilentVoter(members *schema.Members) string {
+func (c *Core) dropUnresponsiveVoter(members *schema.Members) string {
 	if len(members.Voters) <= votersLeast {
 		return ""
 	}
-	silent, live := 0, 0
+	unresponsive, live := 0, 0
 	for _, m := range members.Voters {
-		switch silence := c.silence(m.Id); {
-		case silence > c.routed.lostAfter():
-			silent++
-		case silence < time.Second:
+		switch sinceHeard := c.sinceHeard(m.Id); {
+		case sinceHeard > c.routed.lostAfter():
+			unresponsive++
+		case sinceHeard < time.Second:
 			live++
 		}
 	}
 	after := constants.MemberLostAfter
-	if majority(len(members.Voters)-silent) < majority(len(members.Voters)) {
+	if majority(len(members.Voters)-unresponsive) < majority(len(members.Voters)) {
 		after = c.routed.lostAfter()
 	}
-	isLost := func(m *schema.Member) bool { return c.silence(m.Id) > after }
+	isLost := func(m *schema.Member) bool { return c.sinceHeard(m.Id) > after }
 	i := slices.IndexFunc(members.Voters, isLost)
 	if i < 0 || live < majority(len(members.Voters)-1) {
 		return ""
@@ -151,12 +151,12 @@
 func majority(voters int) int { return voters/2 + 1 }
 
 // lossesBorne is how many more voters may be lost before there is no majority, and the voters that are silent already.
-func (c *Core) lossesBorne() (borne uint32, silent []string) {
+func (c *Core) lossesBorne() (borne uint32, unresponsive []string) {
 	voters := c.quorum.Members().Voters
 	for _, m := range voters {
-		if c.silence(m.Id) > c.routed.lostAfter() {
-			silent = append(silent, m.Id)
+		if c.sinceHeard(m.Id) > c.routed.lostAfter() {
+			unresponsive = append(unresponsive, m.Id)
 		}
 	}
-	return uint32(max(0, len(voters)-len(silent)-majority(len(voters)))), silent
+	return uint32(max(0, len(voters)-len(unresponsive)-majority(len(voters)))), unresponsive
 }
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -393,7 +393,7 @@
 func (c *Core) takeResponse(f *schema.Frame, response *schema.OperatorResponse) {
 	at := slices.IndexFunc(c.waiters, func(w *waiter) bool { return w.isSent && w.ticket == f.Call && slices.Contains(w.asked, f.Address) })
 	if at < 0 {
-		c.strays++
+		c.staleResponses++
 		return
 	}
 	w := c.waiters[at]
--- a/internal/core/pass_on_test.go
+++ b/internal/core/pass_on_test.go
@@ -101,8 +101,8 @@
 			if len(core.Take().Responses) != 0 {
 				t.Fatal("an answer was given twice")
 			}
-			if strays := core.Local().Strays; c.want && strays != 1 || !c.want && strays != 2 {
-				t.Errorf("%d strays are counted", strays)
+			if staleResponses := core.Local().StaleResponses; c.want && staleResponses != 1 || !c.want && staleResponses != 2 {
+				t.Errorf("%d strays are counted", staleResponses)
 			}
 		})
 	}
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -31,7 +31,7 @@
 	// Heat gives the requests by key since it was last asked.
 	Heat func(since time.Duration) []*schema.ShardLoad
 	// Vitals give the back ends that failed this node's requests, or served it although they are failing, since it was last asked; nil is none.
-	Vitals func() []*schema.HealthReport
+	HealthReports func() []*schema.HealthReport
 }
 
 type nodeHeat struct {
@@ -42,7 +42,7 @@
 // GrantCall is a call to a back end, with the granter's life that made it.
 type LeaseCall struct {
 	keys.Call
-	Life uint64
+	Incarnation uint64
 }
 
 type routedState struct {
@@ -51,15 +51,15 @@
 	watch        *roster.Watch
 	jury         *roster.Jury
 	listing      *roster.Listing
-	life         uint64
+	incarnation  uint64
 	heats        map[string][]nodeHeat
 	heatAt       time.Duration
 	dead         map[string]bool
 	deferred     []*waiter
 	// relayed are the beats that this node took for the leader since it last told it.
-	relayed   map[string]*schema.Heartbeat
-	beatTo    string
-	beatState schema.NodeState
+	relayed        map[string]*schema.Heartbeat
+	heartbeatTo    string
+	heartbeatState schema.NodeState
 	// disks are the seeds that answered, and whether they have one; founder is who shall found the system if none has.
 	disks   map[string]bool
 	founder string
@@ -78,7 +78,7 @@
 	r.jury = roster.NewJury()
 	r.listing = nil
 	r.heats = map[string][]nodeHeat{}
-	r.life++
+	r.incarnation++
 	r.dead = map[string]bool{}
 }
 
@@ -149,9 +149,9 @@
 }
 
 // Granted takes what became of a call to a back end; an answer for a former granter is worth nothing.
-func (c *Core) LeaseAnswered(now time.Duration, life uint64, answer keys.Answer) {
+func (c *Core) LeaseAnswered(now time.Duration, incarnation uint64, answer keys.Answer) {
 	c.now = now
-	if c.routed != nil && c.routed.life == life {
+	if c.routed != nil && c.routed.incarnation == incarnation {
 		c.routed.leaseManager.Answered(now, answer)
 		c.planAt = 0
 	}
@@ -181,7 +181,7 @@
 		c.propose(record)
 	}
 	for _, call := range effects.Calls {
-		c.effects.Calls = append(c.effects.Calls, LeaseCall{call, r.life})
+		c.effects.Calls = append(c.effects.Calls, LeaseCall{call, r.incarnation})
 	}
 }
 
--- a/internal/core/source_test.go
+++ b/internal/core/source_test.go
@@ -10,7 +10,7 @@
 	"topazshed/internal/schema"
 )
 
-func TestASilentSourceIsLeftAtOnce(t *testing.T) {
+func TestAnUnresponsiveSourceIsLeftAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		// speaks is how long after the subscription's beginning its source goes on sending deltas.
@@ -47,7 +47,7 @@
 					core.Receive(now, &schema.Frame{System: "x", From: first, Address: first, Body: &schema.Frame_Delta{Delta: &schema.Delta{Serial: core.subSerial}}})
 				}
 			}
-			if most := constants.SourceSilent + 2*constants.RoutedTick; leftAt == 0 || leftAt-heardAt > most {
+			if most := constants.SourceTimeout + 2*constants.RoutedTick; leftAt == 0 || leftAt-heardAt > most {
 				t.Fatalf("the source was left %v after its last word, want %v at the most", leftAt-heardAt, most)
 			}
 		})
--- a/internal/core/spread.go
+++ b/internal/core/spread.go
@@ -53,7 +53,7 @@
 
 // isAlive tells whether the source may still be relied on.
 func (s *source) isAlive(now time.Duration) bool {
-	return s.address != "" && now-max(s.chosenAt, s.heardAt) <= constants.SourceSilent
+	return s.address != "" && now-max(s.chosenAt, s.heardAt) <= constants.SourceTimeout
 }
 
 // found notes that a machine sends rows that a majority has confirmed.
@@ -101,7 +101,7 @@
 	s := &c.source
 	isFit := func(node *schema.Node) bool {
 		staleAt, isNoted := s.staleAt[node.Address]
-		return node.Disk && node.Address != s.address && (!isNoted || c.now-staleAt > constants.SourceSilent)
+		return node.Disk && node.Address != s.address && (!isNoted || c.now-staleAt > constants.SourceTimeout)
 	}
 	isHome := func(node *schema.Node) bool { return isFit(node) && node.Region == c.self.Region }
 	isAway := func(node *schema.Node) bool { return isFit(node) && node.Region != c.self.Region }
@@ -135,7 +135,7 @@
 func (r *routedState) farAfter() time.Duration {
 	after := constants.FarSourceAfter
 	if r.options.Quiet > 0 {
-		after = min(after, r.options.Quiet-constants.SourceSilent-constants.SourceFound)
+		after = min(after, r.options.Quiet-constants.SourceTimeout-constants.SourceFound)
 	}
 	return max(0, after)
 }
@@ -244,7 +244,7 @@
 func (c *Core) spread() {
 	for _, to := range slices.Sorted(maps.Keys(c.subscriber)) {
 		sub := c.subscriber[to]
-		if c.now-sub.renewed > constants.SubscriptionLife || !c.isFull() {
+		if c.now-sub.renewed > constants.SubscriptionTTL || !c.isFull() {
 			delete(c.subscriber, to)
 			continue
 		}
@@ -257,11 +257,11 @@
 func (c *Core) takeDelta(from string, d *schema.Delta) {
 	question, isKnown := c.subs[d.Serial]
 	if !isKnown || question.to != from {
-		c.strays++
+		c.staleResponses++
 		return
 	}
 	age := time.Duration(d.AgeMs) * time.Millisecond
-	isFresh := age < constants.SourceSilent
+	isFresh := age < constants.SourceTimeout
 	if c.quorum != nil || !c.mayTake(from, isFresh) {
 		return
 	}
@@ -299,7 +299,7 @@
 	isHome := func(address string) bool {
 		return len(c.known(func(node *schema.Node) bool { return node.Address == address && node.Region == c.self.Region })) > 0
 	}
-	return c.now-c.source.heardAt > constants.SourceSilent || c.routed != nil && isHome(from) && !isHome(c.source.address)
+	return c.now-c.source.heardAt > constants.SourceTimeout || c.routed != nil && isHome(from) && !isHome(c.source.address)
 }
 
 // seek asks around for disk machines while this node has no source of rows.
--- a/internal/core/startup_world_test.go
+++ b/internal/core/startup_world_test.go
@@ -170,7 +170,9 @@
 func (f *startupFleet) lease(n *startupNode, call core.LeaseCall) {
 	fmt.Fprintln(f.history, "grant", f.now, n.index, call.ID)
 	f.after(startupLeaseDelay, func() {
-		f.step(n, func() { n.core.LeaseAnswered(f.clock(n), call.Life, keys.Answer{ID: call.ID, Result: keys.Done}) })
+		f.step(n, func() {
+			n.core.LeaseAnswered(f.clock(n), call.Incarnation, keys.Answer{ID: call.ID, Result: keys.Done})
+		})
 	})
 }
 
--- a/internal/core/version.go
+++ b/internal/core/version.go
@@ -46,7 +46,7 @@
 	if c.pending[image.VersionKey] > c.table.Version() {
 		fleet = max(fleet, c.proposed)
 	}
-	span, err := versions.Told(node.GetSpeaksLow(), node.GetSpeaksHigh())
+	span, err := versions.ReadSpan(node.GetSpeaksLow(), node.GetSpeaksHigh())
 	if err == nil {
 		err = versions.CheckFleet(span, fleet)
 	}
@@ -77,7 +77,7 @@
 		r := versions.Reader{ID: id, Span: versions.Span{Low: versions.First, High: versions.First}, IsVoter: isVoter[id]}
 		row, g := c.view.Nodes[id], c.nodes[id]
 		if row != nil && g != nil {
-			span, err := versions.Told(row.SpeaksLow, row.SpeaksHigh)
+			span, err := versions.ReadSpan(row.SpeaksLow, row.SpeaksHigh)
 			isSame := g.node.GetSpeaksLow() == row.SpeaksLow && g.node.GetSpeaksHigh() == row.SpeaksHigh
 			r.IsHeard = err == nil && isSame && c.now-g.heard <= constants.NodeLostAfter
 			if err == nil {
--- a/internal/core/version_test.go
+++ b/internal/core/version_test.go
@@ -51,7 +51,7 @@
 				}
 			}
 			for id, node := range core.view.Nodes {
-				if span, err := versions.Told(node.SpeaksLow, node.SpeaksHigh); err != nil || !span.Has(core.view.Fleet) {
+				if span, err := versions.ReadSpan(node.SpeaksLow, node.SpeaksHigh); err != nil || !span.Has(core.view.Fleet) {
 					t.Fatalf("%s: the fleet uses %d and node %s speaks %v", name, core.view.Fleet, id, span)
 				}
 			}
@@ -70,10 +70,10 @@
 func TestMixedFleetsRiseOnceAllCanRead(t *testing.T) {
 	old, next := versions.Span{Low: 1, High: 1}, versions.Span{Low: 1, High: 3}
 	for _, c := range []struct {
-		name   string
-		speaks map[string]versions.Span
-		silent string
-		want   uint32
+		name         string
+		speaks       map[string]versions.Span
+		unresponsive string
+		want         uint32
 	}{
 		{"all new", nil, "", 2},
 		{"all old", map[string]versions.Span{"a": old, "b": old, "c": old, "d": old, "e": old}, "", 1},
@@ -88,7 +88,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newMixedWorld(c.speaks)
 			w.run(t, 2500*time.Millisecond)
-			w.cut[c.silent] = true
+			w.cut[c.unresponsive] = true
 			w.run(t, 17500*time.Millisecond)
 			for name, core := range w.cores {
 				if w.cut[name] {
@@ -97,7 +97,7 @@
 				if core.view.Fleet != c.want || core.refused != nil || len(core.view.Nodes) != 5 {
 					t.Errorf("%s: the fleet uses %d, %d nodes known, refused %v", name, core.view.Fleet, len(core.view.Nodes), core.refused)
 				}
-				if voters := core.quorum; voters != nil && c.silent == "" && len(voters.Members().Voters) != 3 {
+				if voters := core.quorum; voters != nil && c.unresponsive == "" && len(voters.Members().Voters) != 3 {
 					t.Errorf("%s: %d voters", name, len(voters.Members().Voters))
 				}
 			}
--- a/internal/core/vitals_test.go
+++ b/internal/core/vitals_test.go
@@ -12,12 +12,12 @@
 )
 
 func TestNodesWordsMakeABackEndFailing(t *testing.T) {
-	vitals := func(ids ...string) []*schema.HealthReport {
-		var told []*schema.HealthReport
+	healthReports := func(ids ...string) []*schema.HealthReport {
+		var notified []*schema.HealthReport
 		for _, id := range ids {
-			told = append(told, &schema.HealthReport{Instance: id, Failing: true})
+			notified = append(notified, &schema.HealthReport{Instance: id, Failing: true})
 		}
-		return told
+		return notified
 	}
 	for _, c := range []struct {
 		name string
@@ -25,16 +25,16 @@
 		own, straight, relayed []*schema.HealthReport
 		want                   bool
 	}{
-		{"the leader's word alone", vitals("i-0"), nil, nil, false},
-		{"words that name different ones", vitals("i-0"), vitals("i-1"), vitals("i-2"), false},
-		{"the leader's, a node's and a relayed word", vitals("i-0"), vitals("i-0"), vitals("i-0", "i-3"), true},
+		{"the leader's word alone", healthReports("i-0"), nil, nil, false},
+		{"words that name different ones", healthReports("i-0"), healthReports("i-1"), healthReports("i-2"), false},
+		{"the leader's, a node's and a relayed word", healthReports("i-0"), healthReports("i-0"), healthReports("i-0", "i-3"), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			node := func(id string) *schema.Node {
 				return &schema.Node{Id: id, Address: id, Proxy: id, Admin: id, Zone: "d", Region: "r", Disk: id == "a", Incarnation: 1, State: schema.NodeState_NODE_READY}
 			}
 			core := New(time.Hour, Options{Self: node("a"), Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-				Routed: &Routed{HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }, Vitals: func() []*schema.HealthReport { return c.own }}})
+				Routed: &Routed{HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }, HealthReports: func() []*schema.HealthReport { return c.own }}})
 			isFailing := false
 			for now := time.Hour; now < time.Hour+12*time.Second; now += 20 * time.Millisecond {
 				core.Tick(now)
@@ -46,9 +46,9 @@
 					}
 					core.SetListing(now, roster.Listing{Items: items, BegunAt: now, IsWhole: true})
 					for i := range 4 {
-						core.noteBeat(&schema.Heartbeat{Node: node(fmt.Sprint("idle-", i))})
+						core.noteHeartbeat(&schema.Heartbeat{Node: node(fmt.Sprint("idle-", i))})
 					}
-					core.takeBeatRouted(nil, &schema.Heartbeat{Node: node("b"), Health: c.straight, Relayed: []*schema.Heartbeat{{Node: node("c"), Health: c.relayed}}})
+					core.takeHeartbeatRouted(nil, &schema.Heartbeat{Node: node("b"), Health: c.straight, Relayed: []*schema.Heartbeat{{Node: node("c"), Health: c.relayed}}})
 				}
 				for range 8 {
 					effects := core.Take()
@@ -78,10 +78,10 @@
 	core := New(time.Hour, Options{Self: &schema.Node{Id: "a", Address: "a", Zone: "d", Region: "r", Disk: true, State: schema.NodeState_NODE_READY}, Seeds: []string{"s"}, System: "x",
 		Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
 	for _, id := range []string{"i-1", "i-2"} {
-		core.takeBeatRouted(nil, &schema.Heartbeat{Node: peer, Health: []*schema.HealthReport{{Instance: id, Failing: true}}})
+		core.takeHeartbeatRouted(nil, &schema.Heartbeat{Node: peer, Health: []*schema.HealthReport{{Instance: id, Failing: true}}})
 	}
-	core.takeBeatRouted(nil, &schema.Heartbeat{Node: peer})
-	if told := core.routed.relayed["b"].GetHealth(); len(told) != 2 {
-		t.Fatalf("the relay tells %v", told)
+	core.takeHeartbeatRouted(nil, &schema.Heartbeat{Node: peer})
+	if notified := core.routed.relayed["b"].GetHealth(); len(notified) != 2 {
+		t.Fatalf("the relay tells %v", notified)
 	}
 }
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -52,7 +52,7 @@
 	disk        *sim.Disk
 	core        *core.Core
 	driver      *core.Driver
-	life        int
+	incarnation int
 	isUp        bool
 	writing     func() error
 	syncTime    time.Duration
@@ -137,11 +137,11 @@
 
 // on does something at a machine unless its process has ended since; while it stands still it waits.
 func (w *world) on(m *machine, d time.Duration, do func()) {
-	life := m.life
+	incarnation := m.incarnation
 	var attempt func()
 	attempt = func() {
 		switch {
-		case m.life != life || !m.isUp:
+		case m.incarnation != incarnation || !m.isUp:
 		case w.now < m.frozenUntil:
 			w.after(m.frozenUntil-w.now, attempt)
 		default:
@@ -187,7 +187,7 @@
 
 func (m *machine) start() {
 	w := m.w
-	self := &schema.Node{Id: fmt.Sprintf("%s-%d", m.name, m.life), Address: m.name, Proxy: m.name, Admin: m.name, Zone: m.zone, Region: m.region, Disk: m.isDisk,
+	self := &schema.Node{Id: fmt.Sprintf("%s-%d", m.name, m.incarnation), Address: m.name, Proxy: m.name, Admin: m.name, Zone: m.zone, Region: m.region, Disk: m.isDisk,
 		Incarnation: uint64(w.now.Milliseconds()), State: schema.NodeState_NODE_READY}
 	options := core.Options{Self: self, Seeds: w.seeds(), Draw: w.random.Int63n, Log: w.log.With("machine", m.name), Rejoin: m.isFounded,
 		Routed: &core.Routed{HoldMost: 10 * time.Second, Zones: w.zones(), Quiet: 4 * time.Second, Fits: w.sizes.Fits, FitsWhole: w.sizes.FitsImage, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}}
@@ -310,7 +310,7 @@
 // kill ends a machine's process; its files stay as they are.
 func (m *machine) kill() {
 	m.isUp = false
-	m.life++
+	m.incarnation++
 	m.answers = map[uint64]func(*schema.OperatorResponse){}
 	m.disk.Flush()
 }
@@ -318,7 +318,7 @@
 // cutPower ends a machine so that what it has not synced survives only in part.
 func (m *machine) cutPower() {
 	m.isUp = false
-	m.life++
+	m.incarnation++
 	m.answers = map[uint64]func(*schema.OperatorResponse){}
 	if m.writing != nil {
 		m.disk.CutAfter(m.w.random.Intn(6))
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return later(err.Error())
 	}
-	match := &Match{Origin: origin.String(), Version: local.View.Head.Version, Number: owner.Number, LiveMilli: constants.MatchLife.Milliseconds()}
+	match := &Match{Origin: origin.String(), Version: local.View.Head.Version, Number: owner.Number, LiveMilli: constants.MatchTTL.Milliseconds()}
 	var nodes []*schema.Node
 	for _, node := range local.View.Nodes {
 		if node.Zone == owner.Zone && node.State == schema.NodeState_NODE_READY {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -55,7 +55,7 @@
 				for _, p := range match.Proxies {
 					proxies += p.Address
 				}
-				if match.LiveMilli != constants.MatchLife.Milliseconds() {
+				if match.LiveMilli != constants.MatchTTL.Milliseconds() {
 					t.Errorf("lives %d ms", match.LiveMilli)
 				}
 			}
--- a/internal/frame/agree.go
+++ b/internal/frame/agree.go
@@ -34,12 +34,12 @@
 // Writer sends frames on one connection; the first one tells the versions that this process speaks. Once the peer has told that it reads
 // versions.SenderOnce, only frames whose sender differs from what the connection has told name it.
 type Writer struct {
-	out        io.Writer
-	own        versions.Span
-	isTold     bool
-	origin     *schema.Frame
-	agreed     atomic.Uint32
-	isDisjoint atomic.Bool
+	out          io.Writer
+	own          versions.Span
+	isOriginSent bool
+	origin       *schema.Frame
+	agreed       atomic.Uint32
+	isDisjoint   atomic.Bool
 }
 
 // NewWriter begins the frames to a peer that is known to speak this program's newest version.
@@ -62,16 +62,16 @@
 
 // Write sends one frame, which stays as it is.
 func (w *Writer) Write(frame *schema.Frame) error {
-	told := &schema.Frame{Call: frame.Call, Response: frame.Response, Body: frame.Body}
+	announced := &schema.Frame{Call: frame.Call, Response: frame.Response, Body: frame.Body}
 	isKnown := frame.From != "" && isSameOrigin(frame, w.origin)
 	if !isKnown || !versions.Has(w.agreed.Load(), versions.SenderOnce) {
-		told.System, told.From, told.Address = frame.System, frame.From, frame.Address
+		announced.System, announced.From, announced.Address = frame.System, frame.From, frame.Address
 	}
-	if !w.isTold {
-		told.SpeaksLow, told.SpeaksHigh = w.own.Wire()
+	if !w.isOriginSent {
+		announced.SpeaksLow, announced.SpeaksHigh = w.own.Wire()
 	}
-	w.isTold, w.origin = true, frame
-	return Write(w.out, told)
+	w.isOriginSent, w.origin = true, frame
+	return Write(w.out, announced)
 }
 
 // Heed waits for the peer's versions and agrees on one; its end is the connection's end, and nothing but that one answer may come before it.
@@ -83,7 +83,7 @@
 	if answer.Body != nil || answer.From != "" || answer.System != "" || answer.Address != "" || answer.Call != 0 || answer.Response {
 		return &AnswerError{}
 	}
-	peer, err := versions.Told(answer.SpeaksLow, answer.SpeaksHigh)
+	peer, err := versions.ReadSpan(answer.SpeaksLow, answer.SpeaksHigh)
 	if err != nil {
 		return err
 	}
@@ -150,20 +150,20 @@
 func (r *Reader) agree(frame *schema.Frame) error {
 	low, high := frame.SpeaksLow, frame.SpeaksHigh
 	frame.SpeaksLow, frame.SpeaksHigh = 0, 0
-	isTold := low != 0 || high != 0
+	isOriginSent := low != 0 || high != 0
 	if r.agreed != 0 {
-		if isTold {
+		if isOriginSent {
 			return &RepeatedSpanError{}
 		}
 		return nil
 	}
-	peer, err := versions.Told(low, high)
+	peer, err := versions.ReadSpan(low, high)
 	if err != nil {
 		return err
 	}
 	agreed, err := versions.Agree(r.own, peer)
 	var disjoint *versions.DisjointError
-	r.isAnswerDue = isTold && r.own.High > versions.First && (err == nil || errors.As(err, &disjoint))
+	r.isAnswerDue = isOriginSent && r.own.High > versions.First && (err == nil || errors.As(err, &disjoint))
 	if err != nil {
 		return err
 	}
--- a/internal/frame/agree_test.go
+++ b/internal/frame/agree_test.go
@@ -76,9 +76,9 @@
 	}
 }
 
-func TestReadersHoldPeersToWhatTheyTold(t *testing.T) {
+func TestReadersHoldPeersToWhatTheyAnnounced(t *testing.T) {
 	bare := &schema.Frame{Body: &schema.Frame_Probe{Probe: &schema.Probe{Serial: 2}}}
-	told := func(low, high uint32) *schema.Frame {
+	announced := func(low, high uint32) *schema.Frame {
 		f := probeFrom("a", 1)
 		f.SpeaksLow, f.SpeaksHigh = low, high
 		return f
@@ -91,18 +91,18 @@
 		isAnswer bool
 		fault    any
 	}{
-		{"a version-1 peer names its sender each time and gets no answer", versions.Own, []*schema.Frame{told(0, 0), probeFrom("a", 2)}, 2, false, io.EOF},
-		{"and may not leave it out", versions.Own, []*schema.Frame{told(0, 0), bare}, 1, false, new(*OriginError)},
-		{"a version-2 peer may", versions.Own, []*schema.Frame{told(0, 2), bare, probeFrom("b", 3), bare}, 4, true, io.EOF},
-		{"a newer peer", versions.Own, []*schema.Frame{told(2, 9), bare}, 2, true, io.EOF},
+		{"a version-1 peer names its sender each time and gets no answer", versions.Own, []*schema.Frame{announced(0, 0), probeFrom("a", 2)}, 2, false, io.EOF},
+		{"and may not leave it out", versions.Own, []*schema.Frame{announced(0, 0), bare}, 1, false, new(*OriginError)},
+		{"a version-2 peer may", versions.Own, []*schema.Frame{announced(0, 2), bare, probeFrom("b", 3), bare}, 4, true, io.EOF},
+		{"a newer peer", versions.Own, []*schema.Frame{announced(2, 9), bare}, 2, true, io.EOF},
 		{"the first frame names no sender", versions.Own, []*schema.Frame{{SpeaksHigh: 2, Call: 4}}, 0, true, new(*OriginError)},
-		{"no version in common: it is told ours before the end", versions.Own, []*schema.Frame{told(3, 9)}, 0, true, new(*versions.DisjointError)},
-		{"a silent peer that is too old", versions.Span{Low: 2, High: 3}, []*schema.Frame{told(0, 0)}, 0, false, new(*versions.DisjointError)},
-		{"an impossible span", versions.Own, []*schema.Frame{told(9, 3)}, 0, false, new(*versions.ImpossibleError)},
-		{"a span out of reach", versions.Own, []*schema.Frame{told(1, 1<<30)}, 0, false, new(*versions.ImpossibleError)},
-		{"a span told twice", versions.Own, []*schema.Frame{told(0, 2), told(0, 2)}, 1, true, new(*RepeatedSpanError)},
-		{"a span told late", versions.Own, []*schema.Frame{told(0, 0), told(0, 2)}, 1, false, new(*RepeatedSpanError)},
-		{"a version-1 process reads a version-2 peer and answers nothing", versions.Span{Low: 1, High: 1}, []*schema.Frame{told(0, 2), probeFrom("a", 2)}, 2, false, io.EOF},
+		{"no version in common: it is told ours before the end", versions.Own, []*schema.Frame{announced(3, 9)}, 0, true, new(*versions.DisjointError)},
+		{"a silent peer that is too old", versions.Span{Low: 2, High: 3}, []*schema.Frame{announced(0, 0)}, 0, false, new(*versions.DisjointError)},
+		{"an impossible span", versions.Own, []*schema.Frame{announced(9, 3)}, 0, false, new(*versions.ImpossibleError)},
+		{"a span out of reach", versions.Own, []*schema.Frame{announced(1, 1<<30)}, 0, false, new(*versions.ImpossibleError)},
+		{"a span told twice", versions.Own, []*schema.Frame{announced(0, 2), announced(0, 2)}, 1, true, new(*RepeatedSpanError)},
+		{"a span told late", versions.Own, []*schema.Frame{announced(0, 0), announced(0, 2)}, 1, false, new(*RepeatedSpanError)},
+		{"a version-1 process reads a version-2 peer and answers nothing", versions.Span{Low: 1, High: 1}, []*schema.Frame{announced(0, 2), probeFrom("a", 2)}, 2, false, io.EOF},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			reader := NewReaderFor(bytes.NewReader(encoded(t, c.frames...)), c.own)
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -187,7 +187,7 @@
 	var writer *Writer
 	var failedAt time.Time
 	pause := constants.DialPause
-	dialer := net.Dialer{Timeout: constants.DialWait, LocalAddr: n.local, Control: sockets.Silence(constants.FrameSilence)}
+	dialer := net.Dialer{Timeout: constants.DialWait, LocalAddr: n.local, Control: sockets.IdleTimeout(constants.FrameIdleTimeout)}
 	defer func() {
 		if conn != nil {
 			conn.Close()
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestOriginsAreToldOncePerConnection(t *testing.T) {
+func TestOriginsAreSentOncePerConnection(t *testing.T) {
 	probe := func(system, from, address string) *schema.Frame {
 		return &schema.Frame{System: system, From: from, Address: address, Call: 7, Response: true, Body: &schema.Frame_Probe{Probe: &schema.Probe{Subject: "s", Serial: 3}}}
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -25,11 +25,11 @@
 // Conn is one connection to a back end.
 type Conn struct {
 	net.Conn
-	reader *bufio.Reader
-	writer *bufio.Writer
-	idleAt time.Time
-	life   time.Duration
-	isUsed bool
+	reader   *bufio.Reader
+	writer   *bufio.Writer
+	idleAt   time.Time
+	lifetime time.Duration
+	isUsed   bool
 	// rested is how long it lay idle before its present use.
 	rested time.Duration
 }
@@ -54,7 +54,7 @@
 func NewPool(local string, stats *Stats) *Pool {
 	p := &Pool{stats: stats, fresh: NewFreshness(), since: time.Now()}
 	p.dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: constants.KeepAliveIdle, Interval: constants.KeepAliveEvery, Count: constants.KeepAliveCount}
-	p.dialer.Control = sockets.Silence(constants.BackendSilence)
+	p.dialer.Control = sockets.IdleTimeout(constants.BackendIdleTimeout)
 	if address, err := netip.ParseAddrPort(local); err == nil {
 		p.dialer.LocalAddr = &net.TCPAddr{IP: address.Addr().AsSlice()}
 	}
@@ -75,7 +75,7 @@
 			break
 		}
 		s.idle[b.Instance] = s.idle[b.Instance][:n-1]
-		if conn.rested > conn.life || conn.RemoteAddr().String() != b.Address || !conn.isQuiet() {
+		if conn.rested > conn.lifetime || conn.RemoteAddr().String() != b.Address || !conn.isQuiet() {
 			conn.Close()
 			continue
 		}
@@ -90,7 +90,7 @@
 		return nil, fmt.Errorf("connect to %s: %w", b.Address, err)
 	}
 	p.stats.Connections.Add(1)
-	return &Conn{Conn: raw, reader: bufio.NewReaderSize(raw, 4<<10), writer: bufio.NewWriterSize(raw, 2<<10), life: constants.IdleDefault}, nil
+	return &Conn{Conn: raw, reader: bufio.NewReaderSize(raw, 4<<10), writer: bufio.NewWriterSize(raw, 2<<10), lifetime: constants.IdleDefault}, nil
 }
 
 func (p *Pool) bound(service string, isRepeatable bool) time.Duration {
@@ -141,7 +141,7 @@
 		for instance, conns := range s.idle {
 			kept := conns[:0]
 			for _, conn := range conns {
-				if !isKnown(instance) || time.Since(conn.idleAt) > conn.life {
+				if !isKnown(instance) || time.Since(conn.idleAt) > conn.lifetime {
 					conn.Close()
 				} else {
 					kept = append(kept, conn)
@@ -291,9 +291,9 @@
 		} else {
 			answer.Length = int64(len(kept))
 		}
-		conn.life = constants.IdleDefault
+		conn.lifetime = constants.IdleDefault
 		if seconds, isSaid := keepAlive(response.Header.Get("Keep-Alive")); isSaid {
-			conn.life = max(0, seconds-constants.IdleMargin)
+			conn.lifetime = max(0, seconds-constants.IdleMargin)
 		}
 		return answer, !isEnding && skipped == 0, nil
 	}
--- a/internal/gateway/failing_test.go
+++ b/internal/gateway/failing_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestVitals(t *testing.T) {
+func TestHealthReports(t *testing.T) {
 	// A step is good or bad (an attempt at i-1), start and stop, a time to wait, or what is told: failing, served or nothing.
 	for _, c := range []struct {
 		name, steps string
@@ -102,16 +102,16 @@
 				case err == nil:
 					now += wait
 				default:
-					told := "nothing"
-					for _, vital := range o.TakeVitals(now, func(string) bool { return c.isFailing }) {
-						told = map[bool]string{true: "failing", false: "served"}[vital.Failing]
+					announced := "nothing"
+					for _, healthReport := range o.TakeHealthReports(now, func(string) bool { return c.isFailing }) {
+						announced = map[bool]string{true: "failing", false: "served"}[healthReport.Failing]
 					}
-					if told != step {
-						t.Fatalf("step %d: told %s, want %s", at, told, step)
+					if announced != step {
+						t.Fatalf("step %d: told %s, want %s", at, announced, step)
 					}
 				}
 			}
-			if fmt.Sprint(o.TakeVitals(now, func(string) bool { return false })) != "[]" {
+			if fmt.Sprint(o.TakeHealthReports(now, func(string) bool { return false })) != "[]" {
 				t.Fatal("it is told again")
 			}
 		})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -110,7 +110,7 @@
 }
 
 // Vitals are the back ends that failed this node's requests, or served it although they are failing, since it was last asked.
-func (g *Gateway) Vitals() []*schema.HealthReport {
+func (g *Gateway) HealthReports() []*schema.HealthReport {
 	failing := map[string]bool{}
 	for _, service := range g.options.Local().View.Services {
 		for _, backend := range service.Backends {
@@ -119,7 +119,7 @@
 			}
 		}
 	}
-	return g.loads.TakeVitals(g.options.Now(), func(id string) bool { return failing[id] })
+	return g.loads.TakeHealthReports(g.options.Now(), func(id string) bool { return failing[id] })
 }
 
 type fault struct {
--- a/internal/gateway/outliers.go
+++ b/internal/gateway/outliers.go
@@ -194,18 +194,18 @@
 }
 
 // TakeVitals gives the back ends that were ejected or did not answer since it was last asked, and those that served although they are failing for the whole fleet.
-func (o *Outliers) TakeVitals(now time.Duration, isFailing func(id string) bool) []*schema.HealthReport {
-	var vitals []*schema.HealthReport
+func (o *Outliers) TakeHealthReports(now time.Duration, isFailing func(id string) bool) []*schema.HealthReport {
+	var healthReports []*schema.HealthReport
 	for _, id := range slices.Sorted(maps.Keys(o.suspects)) {
 		s := o.suspects[id]
 		if s.hasFailed || o.isOverdue(now, s.service, s) {
-			vitals = append(vitals, &schema.HealthReport{Instance: id, Failing: true})
+			healthReports = append(healthReports, &schema.HealthReport{Instance: id, Failing: true})
 		} else if s.hasServed && isFailing(id) {
-			vitals = append(vitals, &schema.HealthReport{Instance: id})
+			healthReports = append(healthReports, &schema.HealthReport{Instance: id})
 		}
 		s.hasFailed, s.hasServed = false, false
 	}
-	return vitals
+	return healthReports
 }
 
 // Keep forgets the back ends that are no longer known and have no attempt in flight.
--- a/internal/gateway/pressure_test.go
+++ b/internal/gateway/pressure_test.go
@@ -206,7 +206,7 @@
 // All callers refused at one moment must not come back at one moment, and each must be able to heed what it is told.
 func TestRefusedCallersComeBackSpread(t *testing.T) {
 	for _, left := range []time.Duration{2 * time.Second, 300 * time.Millisecond} {
-		told := map[time.Duration]bool{}
+		announced := map[time.Duration]bool{}
 		for i := range int64(50) {
 			w := newWorld(t)
 			w.backend("i-0", "kol-a", "x", isDraining)
@@ -214,10 +214,10 @@
 			if p.feed("begun"); p.last.Kind != OrderRefuse || p.last.RetryAfter <= 0 || p.last.RetryAfter > left/3 {
 				t.Fatalf("%v left: told %v", left, p.last.RetryAfter)
 			}
-			told[p.last.RetryAfter] = true
+			announced[p.last.RetryAfter] = true
 		}
-		if len(told) < 40 {
-			t.Fatalf("%v left: only %d waits for 50 callers", left, len(told))
+		if len(announced) < 40 {
+			t.Fatalf("%v left: only %d waits for 50 callers", left, len(announced))
 		}
 	}
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -134,10 +134,10 @@
 }
 
 // TakeVitals gives the back ends that failed requests, or that served although they are failing, since it was last asked.
-func (l *Loads) TakeVitals(now time.Duration, isFailing func(id string) bool) []*schema.HealthReport {
+func (l *Loads) TakeHealthReports(now time.Duration, isFailing func(id string) bool) []*schema.HealthReport {
 	l.judged.lock.Lock()
 	defer l.judged.lock.Unlock()
-	return l.judged.Outliers.TakeVitals(now, isFailing)
+	return l.judged.Outliers.TakeHealthReports(now, isFailing)
 }
 
 // Standing is how this node takes a back end.
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -126,7 +126,7 @@
 }
 
 // silence is a back end that left a grant unanswered: only probes go to it until one comes through.
-type silence struct {
+type unresponsiveOwner struct {
 	next      time.Duration
 	isWaiting bool
 }
@@ -144,20 +144,20 @@
 
 // memory is what the leader remembers of one service, none of which a successor needs.
 type memory struct {
-	eligibleAt  time.Duration
-	hasEligible bool
-	eligible    int
-	proposed    map[string]proposal
-	leases      map[identity]*progress
-	releases    map[identity]*progress
-	targets     map[uint32]string
-	failedAt    map[string]time.Duration
-	downAt      map[string]time.Duration
-	silent      map[string]*silence
-	shunned     map[string]time.Duration
-	leaving     map[string]departure
-	unevenAt    time.Duration
-	isUneven    bool
+	eligibleAt   time.Duration
+	hasEligible  bool
+	eligible     int
+	proposed     map[string]proposal
+	leases       map[identity]*progress
+	releases     map[identity]*progress
+	targets      map[uint32]string
+	failedAt     map[string]time.Duration
+	downAt       map[string]time.Duration
+	unresponsive map[string]*unresponsiveOwner
+	shunned      map[string]time.Duration
+	leaving      map[string]departure
+	unevenAt     time.Duration
+	isUneven     bool
 }
 
 // Granter decides which back end holds which keys.
@@ -232,7 +232,7 @@
 		m := g.services[name]
 		if m == nil {
 			m = &memory{proposed: map[string]proposal{}, leases: map[identity]*progress{}, releases: map[identity]*progress{},
-				targets: map[uint32]string{}, failedAt: map[string]time.Duration{}, downAt: map[string]time.Duration{}, silent: map[string]*silence{}, shunned: map[string]time.Duration{}, leaving: map[string]departure{}}
+				targets: map[uint32]string{}, failedAt: map[string]time.Duration{}, downAt: map[string]time.Duration{}, unresponsive: map[string]*unresponsiveOwner{}, shunned: map[string]time.Duration{}, leaving: map[string]departure{}}
 			g.services[name] = m
 		}
 		s := &step{g: g, m: m, f: f, service: service, effects: &effects}
@@ -277,9 +277,9 @@
 		return
 	}
 	if p.call.Kind == Probe {
-		switch quiet := m.silent[p.call.Instance]; {
+		switch quiet := m.unresponsive[p.call.Instance]; {
 		case a.Result == Done:
-			delete(m.silent, p.call.Instance)
+			delete(m.unresponsive, p.call.Instance)
 		case quiet != nil:
 			quiet.isWaiting, quiet.next = false, now+constants.KeyRetryPause
 		}
@@ -319,8 +319,8 @@
 }
 
 func (m *memory) hush(instance string, now time.Duration) {
-	if m.silent[instance] == nil {
-		m.silent[instance] = &silence{next: now + constants.KeyRetryPause}
+	if m.unresponsive[instance] == nil {
+		m.unresponsive[instance] = &unresponsiveOwner{next: now + constants.KeyRetryPause}
 	}
 }
 
--- a/internal/keys/step.go
+++ b/internal/keys/step.go
@@ -89,7 +89,7 @@
 	maps.DeleteFunc(s.m.downAt, func(instance string, _ time.Duration) bool {
 		return s.service.Backend(instance) == nil && !slices.ContainsFunc(s.rows, func(r row) bool { return r.Instance == instance })
 	})
-	maps.DeleteFunc(s.m.silent, func(instance string, _ *silence) bool { return s.service.Backend(instance) == nil })
+	maps.DeleteFunc(s.m.unresponsive, func(instance string, _ *unresponsiveOwner) bool { return s.service.Backend(instance) == nil })
 	for first := range s.m.targets {
 		if isReleasing, isThere := firsts[first]; isThere && !isReleasing && len(s.m.proposed) == 0 {
 			delete(s.m.targets, first)
@@ -322,7 +322,7 @@
 	if p.isWaiting || s.f.Now < p.next || !s.hasLease() || s.isWithdrawn(r) || s.isShared(backend) {
 		return
 	}
-	if quiet := s.m.silent[r.Instance]; quiet != nil {
+	if quiet := s.m.unresponsive[r.Instance]; quiet != nil {
 		if quiet.isWaiting || s.f.Now < quiet.next {
 			return
 		}
--- a/internal/node/native.go
+++ b/internal/node/native.go
@@ -117,7 +117,7 @@
 
 // newCaller calls from a local address; its connections are reset when they are closed, so that what a cut holds up never arrives.
 func newCaller(local string) *caller {
-	dialer := &net.Dialer{Timeout: constants.DialWait, Control: sockets.Silence(constants.BackendSilence)}
+	dialer := &net.Dialer{Timeout: constants.DialWait, Control: sockets.IdleTimeout(constants.BackendIdleTimeout)}
 	if address, err := netip.ParseAddrPort(local); err == nil {
 		dialer.LocalAddr = &net.TCPAddr{IP: address.Addr().AsSlice()}
 	}
--- a/internal/node/native_test.go
+++ b/internal/node/native_test.go
@@ -256,7 +256,7 @@
 		}
 		return len(status.Nodes) == 4
 	})
-	if status.Configuration != 1 || !status.Fit || status.Disk == nil || len(status.Voters) != 3 || status.Routed.Routes != 2 || len(status.Routed.Services) != 2 || len(status.Changes) == 0 || status.LeaderSilent != "" || len(status.Backends) != 3 {
+	if status.Configuration != 1 || !status.Fit || status.Disk == nil || len(status.Voters) != 3 || status.Routed.Routes != 2 || len(status.Routed.Services) != 2 || len(status.Changes) == 0 || status.LeaderUnreachable != "" || len(status.Backends) != 3 {
 		t.Errorf("%+v, %+v", status, status.Routed)
 	}
 	if status, _, text := machines[3].door("POST", "/v1/districts/mu-a/restore", ""); status != 200 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -53,24 +53,24 @@
 	journal  *journal.Journal
 	calls    sync.Map
 	// serial numbers questions; each life of the process begins elsewhere, so that an answer to a former life's is known as such.
-	serial   atomic.Uint64
-	strays   atomic.Uint64
-	operates sync.Map
-	loads    *proxy.Loads
-	kept     *proxy.Kept
-	pool     *proxy.Pool
-	executor *proxy.Executor
-	disk     atomic.Pointer[control.Disk]
-	context  context.Context
-	cancel   context.CancelFunc
-	tasks    sync.WaitGroup
-	stopping atomic.Bool
-	servers  []*http.Server
-	callers  *gateway.Callers
-	fatal    chan error
-	seam     *Seam
-	gateway  *gateway.Gateway
-	refused  map[string]time.Duration
+	serial         atomic.Uint64
+	staleResponses atomic.Uint64
+	operates       sync.Map
+	loads          *proxy.Loads
+	kept           *proxy.Kept
+	pool           *proxy.Pool
+	executor       *proxy.Executor
+	disk           atomic.Pointer[control.Disk]
+	context        context.Context
+	cancel         context.CancelFunc
+	tasks          sync.WaitGroup
+	stopping       atomic.Bool
+	servers        []*http.Server
+	callers        *gateway.Callers
+	fatal          chan error
+	seam           *Seam
+	gateway        *gateway.Gateway
+	refused        map[string]time.Duration
 }
 
 func draw(n int64) int64 {
@@ -361,7 +361,7 @@
 
 func (n *Node) publish() {
 	local := n.core.Local()
-	local.Strays += n.strays.Load()
+	local.StaleResponses += n.staleResponses.Load()
 	was := n.local.Load()
 	n.local.Store(local)
 	if n.seam != nil {
@@ -397,7 +397,7 @@
 func (n *Node) takeAnswer(f *schema.Frame) {
 	waiting, isThere := n.calls.Load(f.Call)
 	if !isThere || waiting.(*call).to != f.Address || !n.calls.CompareAndDelete(f.Call, waiting) {
-		n.strays.Add(1)
+		n.staleResponses.Add(1)
 		return
 	}
 	waiting.(*call).answer <- f
@@ -502,7 +502,7 @@
 }
 
 func (n *Node) probe() {
-	ticker := time.NewTicker(constants.VitalsEvery)
+	ticker := time.NewTicker(constants.HealthCheckEvery)
 	defer ticker.Stop()
 	var lock sync.Mutex
 	fails := map[string]int{}
@@ -526,7 +526,7 @@
 				}
 				listed[b.Instance] = true
 				group.Go(func() {
-					ctx, cancel := context.WithTimeout(n.context, constants.VitalsWait)
+					ctx, cancel := context.WithTimeout(n.context, constants.HealthCheckTimeout)
 					defer cancel()
 					conn, err := n.pool.Get(ctx, b.Address, proxy.Identity{Service: b.Service, Instance: b.Instance})
 					if err == nil {
@@ -550,17 +550,17 @@
 		}
 		group.Wait()
 		lock.Lock()
-		var vitals []*schema.HealthReport
+		var healthReports []*schema.HealthReport
 		for instance, count := range fails {
 			if !listed[instance] {
 				delete(fails, instance)
 				continue
 			}
-			vitals = append(vitals, &schema.HealthReport{Instance: instance, Failing: count >= constants.VitalsFails})
+			healthReports = append(healthReports, &schema.HealthReport{Instance: instance, Failing: count >= constants.HealthCheckFailures})
 		}
 		lock.Unlock()
-		slices.SortFunc(vitals, func(a, b *schema.HealthReport) int { return strings.Compare(a.Instance, b.Instance) })
-		n.do(func() { n.core.SetVitals(vitals) })
+		slices.SortFunc(healthReports, func(a, b *schema.HealthReport) int { return strings.Compare(a.Instance, b.Instance) })
+		n.do(func() { n.core.SetHealthReports(healthReports) })
 	}
 }
 
--- a/internal/node/routed.go
+++ b/internal/node/routed.go
@@ -74,8 +74,8 @@
 	reckon := gateway.NewLoads(n.Now(), bounds.Bounds)
 	sizes := journal.Sized(n.settings.DiskBytes)
 	return &core.Routed{Fits: sizes.Fits, FitsWhole: sizes.FitsImage, HoldMost: bounds.HoldMost, ListLag: bounds.ListLag, Zones: n.seam.Zones, Quiet: bounds.Quiet, ColdBearable: reckon.ColdBearable,
-		Heat:   func(span time.Duration) []*schema.ShardLoad { return n.gateway.Loads().TakeHeat(span) },
-		Vitals: func() []*schema.HealthReport { return n.gateway.Vitals() }}
+		Heat:          func(span time.Duration) []*schema.ShardLoad { return n.gateway.Loads().TakeHeat(span) },
+		HealthReports: func() []*schema.HealthReport { return n.gateway.HealthReports() }}
 }
 
 func (n *Node) startRouted() error {
@@ -130,7 +130,7 @@
 		own = far
 	}
 	slices.Sort(own)
-	return own[:min(len(own), constants.ResolveMost)], min(constants.ResolveLife, n.seam.Bounds.ResolveMost)
+	return own[:min(len(own), constants.ResolveMost)], min(constants.ResolveTTL, n.seam.Bounds.ResolveMost)
 }
 
 func (n *Node) tend() {
@@ -228,7 +228,7 @@
 			} else {
 				delete(n.refused, call.Instance)
 			}
-			n.core.LeaseAnswered(now, call.Life, answer)
+			n.core.LeaseAnswered(now, call.Incarnation, answer)
 		})
 	})
 }
--- a/internal/node/routed_test.go
+++ b/internal/node/routed_test.go
@@ -308,8 +308,8 @@
 		})
 	}
 	until(t, "the directory knows the machines", func() bool {
-		addresses, life := machines[3].outside.Resolve("mu", "mu-a")
-		return life > 0 && strings.Contains(strings.Join(addresses, " "), all[0].Proxy) && strings.Contains(strings.Join(addresses, " "), all[3].Proxy)
+		addresses, incarnation := machines[3].outside.Resolve("mu", "mu-a")
+		return incarnation > 0 && strings.Contains(strings.Join(addresses, " "), all[0].Proxy) && strings.Contains(strings.Join(addresses, " "), all[3].Proxy)
 	})
 
 	// A planned stop: what is in flight ends whole, what still comes is served, and its connections are closed.
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -113,7 +113,7 @@
 func (l *Loads) IsBad(instance string) bool {
 	s, free := l.in(instance)
 	defer free()
-	return s.bad[instance] >= constants.VitalsFails
+	return s.bad[instance] >= constants.HealthCheckFailures
 }
 
 // MayBegin holds a cold back end to this proxy's part of a rising rate and counts the leg where it may begin; the part is asked for only then.
--- a/internal/proxy/course.go
+++ b/internal/proxy/course.go
@@ -128,7 +128,7 @@
 	taken      int
 	elsewhere  int
 	owner      string
-	silence    time.Duration
+	sinceBytes time.Duration
 	attempts   int
 	isTouched  bool
 	tried      map[string]bool
@@ -168,7 +168,7 @@
 	case phaseReservePause:
 		if c.now-c.parkedAt >= constants.ParkShort {
 			fault := newRefusalLater("no-claim", "the keepers of this attempt id did not agree; send again")
-			fault.RetryAfter = max(constants.RetryAfter, c.silence)
+			fault.RetryAfter = max(constants.RetryAfter, c.sinceBytes)
 			return c.giveUp(fault)
 		}
 	case phaseConnect:
@@ -323,7 +323,7 @@
 		c.elsewhere++
 		c.owner = cmp.Or(e.Reserved.Owner, c.owner)
 	case schema.ReservationState_RESERVATION_UNAVAILABLE:
-		c.silence = time.Duration(e.Reserved.LeftMs) * time.Millisecond
+		c.sinceBytes = time.Duration(e.Reserved.LeftMs) * time.Millisecond
 	}
 	isTaken := c.taken >= claim.Majority(len(c.held))
 	switch {
--- a/internal/proxy/executor.go
+++ b/internal/proxy/executor.go
@@ -81,7 +81,7 @@
 func Tell(self, attempt string, result *Result, fault *RefusalError) *Result {
 	told := &Result{Header: http.Header{}}
 	if fault != nil {
-		told = fault.told()
+		told = fault.describe()
 	} else {
 		told.Status, told.Header, told.Body = result.Status, result.Header.Clone(), result.Body
 		told.Header.Set(HeaderOutcome, ResultSealed)
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -72,7 +72,7 @@
 	for n := len(s.idle[who]); n > 0; n = len(s.idle[who]) {
 		conn := s.idle[who][n-1]
 		s.idle[who] = s.idle[who][:n-1]
-		if time.Since(conn.idle) > constants.IdleLife || conn.reader.Buffered() > 0 || conn.RemoteAddr().String() != address || !sockets.IsQuiet(conn.Conn) {
+		if time.Since(conn.idle) > constants.IdleTTL || conn.reader.Buffered() > 0 || conn.RemoteAddr().String() != address || !sockets.IsQuiet(conn.Conn) {
 			conn.Close()
 			continue
 		}
--- a/internal/proxy/query.go
+++ b/internal/proxy/query.go
@@ -75,7 +75,7 @@
 	Result  string `json:"outcome"`
 }
 
-func (e *RefusalError) told() *Result {
+func (e *RefusalError) describe() *Result {
 	body, err := json.Marshal(errorBody{e.Kind, e.Message, e.Result})
 	if err != nil {
 		body = []byte("{}")
@@ -91,7 +91,7 @@
 
 // Write gives the outcome to the caller.
 func (e *RefusalError) Write(w http.ResponseWriter) {
-	told := e.told()
+	told := e.describe()
 	for name, values := range told.Header {
 		w.Header()[name] = values
 	}
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -70,38 +70,38 @@
 
 // Quorum is one member's machine.
 type Quorum struct {
-	options   Options
-	id        string
-	term      uint64
-	vote      string
-	synced    *schema.HardState
-	role      Role
-	leader    string
-	first     uint64
-	firstTerm uint64
-	base      *schema.Members
-	items     []*schema.LogItem
-	unsynced  uint64
-	commit    uint64
-	handed    uint64
-	image     *schema.Snapshot
-	isBehind  bool
-	votes     map[string]bool
-	isPre     bool
-	others    map[string]*progress
-	deadline  time.Duration
-	heard     time.Duration
-	beatAt    time.Duration
-	round     uint64
-	sentAt    map[uint64]time.Duration
-	reads     []read
-	ready     Ready
-	now       time.Duration
-	electedAt time.Duration
-	passing   string
-	passingAt time.Duration
-	encoded   *encodedSnapshot
-	received  *reception
+	options     Options
+	id          string
+	term        uint64
+	vote        string
+	synced      *schema.HardState
+	role        Role
+	leader      string
+	first       uint64
+	firstTerm   uint64
+	base        *schema.Members
+	items       []*schema.LogItem
+	unsynced    uint64
+	commit      uint64
+	handed      uint64
+	image       *schema.Snapshot
+	isBehind    bool
+	votes       map[string]bool
+	isPre       bool
+	others      map[string]*progress
+	deadline    time.Duration
+	heard       time.Duration
+	heartbeatAt time.Duration
+	round       uint64
+	sentAt      map[uint64]time.Duration
+	reads       []read
+	ready       Ready
+	now         time.Duration
+	electedAt   time.Duration
+	passing     string
+	passingAt   time.Duration
+	encoded     *encodedSnapshot
+	received    *reception
 	// logBytes is the size of the items in memory.
 	logBytes int
 }
@@ -287,7 +287,7 @@
 func (q *Quorum) Tick(now time.Duration) {
 	q.now = now
 	if q.role == Leader {
-		if now-q.beatAt >= q.options.Pace.Heartbeat {
+		if now-q.heartbeatAt >= q.options.Pace.Heartbeat {
 			q.broadcast()
 		}
 		if q.passing != "" && now-q.passingAt > q.options.Pace.ElectionLeast {
--- a/internal/quorum/replication.go
+++ b/internal/quorum/replication.go
@@ -38,7 +38,7 @@
 
 func (q *Quorum) broadcast() {
 	q.round++
-	q.beatAt = q.now
+	q.heartbeatAt = q.now
 	q.sentAt[q.round] = q.now
 	delete(q.sentAt, q.round-512)
 	for _, m := range q.peers() {
--- a/internal/roster/jury.go
+++ b/internal/roster/jury.go
@@ -44,10 +44,10 @@
 func NewJury() *Jury { return &Jury{votes: map[string]map[string]vote{}, trials: map[string]*trial{}} }
 
 // Report takes what a node tells of the back ends that failed it, or that served it although they are failing, since it last told.
-func (j *Jury) Report(now time.Duration, node, zone string, vitals []*schema.HealthReport) {
-	for _, vital := range vitals {
-		id := vital.Instance
-		if !vital.Failing {
+func (j *Jury) Report(now time.Duration, node, zone string, healthReports []*schema.HealthReport) {
+	for _, healthReport := range healthReports {
+		id := healthReport.Instance
+		if !healthReport.Failing {
 			if t := j.trials[id]; t != nil && t.stage == stageTrial {
 				t.goods++
 			}
--- a/internal/roster/jury_test.go
+++ b/internal/roster/jury_test.go
@@ -102,11 +102,11 @@
 			j := newJuried(t, c.service)
 			each := func(nodes, backends string, isFailing bool) {
 				for _, n := range nodes {
-					var vitals []*schema.HealthReport
+					var healthReports []*schema.HealthReport
 					for _, b := range backends {
-						vitals = append(vitals, &schema.HealthReport{Instance: "i-" + string(b), Failing: isFailing})
+						healthReports = append(healthReports, &schema.HealthReport{Instance: "i-" + string(b), Failing: isFailing})
 					}
-					j.jury.Report(j.now, "n"+string(n), map[bool]string{true: "kol-a", false: "kol-b"}[n < '3'], vitals)
+					j.jury.Report(j.now, "n"+string(n), map[bool]string{true: "kol-a", false: "kol-b"}[n < '3'], healthReports)
 				}
 			}
 			for _, step := range strings.Fields(c.steps) {
--- a/internal/roster/pace.go
+++ b/internal/roster/pace.go
@@ -9,10 +9,10 @@
 
 // Pace says when the list may be called next, which takes only so many calls a second from all nodes together.
 type Pace struct {
-	usable float64
-	turns  []time.Duration
-	begun  time.Duration
-	told   int
+	usable   float64
+	turns    []time.Duration
+	begun    time.Duration
+	reported int
 }
 
 // NewPace makes one for a list that takes so many calls a second; 0 is no bound.
@@ -27,15 +27,15 @@
 
 // Begin tells that a read of the list begins, and gives when.
 func (p *Pace) Begin(now time.Duration) time.Duration {
-	p.begun, p.told = now, 0
+	p.begun, p.reported = now, 0
 	return now
 }
 
 // Part gives when the read began, and whether the back ends that it has given so far are to be taken now: a long read's pages as they come.
 func (p *Pace) Part(now time.Duration, count int) (time.Duration, bool) {
-	isDue := count > p.told && now-p.begun >= constants.ListTellAfter
+	isDue := count > p.reported && now-p.begun >= constants.ListTellAfter
 	if isDue {
-		p.told = count
+		p.reported = count
 	}
 	return p.begun, isDue
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -92,32 +92,32 @@
 
 // Roster remembers at the leader how long a back end has been missing and who finds it failing.
 type Roster struct {
-	missing map[string]int
-	vitals  map[string]map[string]bool
-	coldAt  map[string]time.Duration
+	missing       map[string]int
+	healthReports map[string]map[string]bool
+	coldAt        map[string]time.Duration
 }
 
 // New makes an empty roster.
 func New() *Roster {
-	return &Roster{missing: map[string]int{}, vitals: map[string]map[string]bool{}, coldAt: map[string]time.Duration{}}
+	return &Roster{missing: map[string]int{}, healthReports: map[string]map[string]bool{}, coldAt: map[string]time.Duration{}}
 }
 
 // Report takes one node's probes.
-func (r *Roster) Report(node string, vitals []*schema.HealthReport) {
+func (r *Roster) Report(node string, healthReports []*schema.HealthReport) {
 	fresh := map[string]bool{}
-	for _, vital := range vitals {
-		fresh[vital.Instance] = vital.Failing
+	for _, healthReport := range healthReports {
+		fresh[healthReport.Instance] = healthReport.Failing
 	}
-	r.vitals[node] = fresh
+	r.healthReports[node] = fresh
 }
 
 // Drop forgets a lost node's probes.
-func (r *Roster) Drop(node string) { delete(r.vitals, node) }
+func (r *Roster) Drop(node string) { delete(r.healthReports, node) }
 
 func (r *Roster) isFailing(instance string) bool {
 	bad, good := 0, 0
-	for _, vitals := range r.vitals {
-		if isBad, isSeen := vitals[instance]; isSeen && isBad {
+	for _, healthReports := range r.healthReports {
+		if isBad, isSeen := healthReports[instance]; isSeen && isBad {
 			bad++
 		} else if isSeen {
 			good++
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -85,11 +85,11 @@
 			begin := Join(pages(all...))
 			step(&begin)
 			for _, node := range []string{"n1", "n2"} {
-				var vitals []*schema.HealthReport
+				var healthReports []*schema.HealthReport
 				for _, name := range all {
-					vitals = append(vitals, &schema.HealthReport{Instance: name, Failing: slices.Contains(c.failing, name)})
+					healthReports = append(healthReports, &schema.HealthReport{Instance: name, Failing: slices.Contains(c.failing, name)})
 				}
-				r.Report(node, vitals)
+				r.Report(node, healthReports)
 			}
 			for i := range c.sweeps {
 				step(&c.sweeps[i])
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -284,7 +284,7 @@
 			}
 		}}
 	f.tick(n, boot)
-	f.vitals(n, boot)
+	f.healthReports(n, boot)
 	if n.HasDisk {
 		f.list(n, boot)
 	}
@@ -354,9 +354,9 @@
 	})
 }
 
-func (f *Fleet) vitals(n *Node, boot int) {
+func (f *Fleet) healthReports(n *Node, boot int) {
 	f.on(n, boot, func() {
-		var vitals []*schema.HealthReport
+		var healthReports []*schema.HealthReport
 		view := n.core.Local().View
 		for _, b := range f.Backends {
 			if b.State == "gone" || regionOf(b.Zone) != n.Region || view.Services[b.Service] == nil {
@@ -369,10 +369,10 @@
 				n.fails[b.Instance]++
 			}
 			n.loads.Report(b.Instance, err)
-			vitals = append(vitals, &schema.HealthReport{Instance: b.Instance, Failing: n.fails[b.Instance] >= constants.VitalsFails})
+			healthReports = append(healthReports, &schema.HealthReport{Instance: b.Instance, Failing: n.fails[b.Instance] >= constants.HealthCheckFailures})
 		}
-		n.core.SetVitals(vitals)
-		f.after(constants.VitalsEvery, func() { f.vitals(n, boot) })
+		n.core.SetHealthReports(healthReports)
+		f.after(constants.HealthCheckEvery, func() { f.healthReports(n, boot) })
 	})
 }
 
@@ -585,7 +585,7 @@
 			if f.Options.Breach == "read-back" && o.Version > 1 && query.Kind == schema.OperatorKind_OPERATOR_SHOW {
 				o.Version--
 			}
-			f.told(n, at, base, query, o)
+			f.notified(n, at, base, query, o)
 			take(o)
 		}
 		n.core.Operate(f.clock(n), n.serial, query)
@@ -593,7 +593,7 @@
 	})
 }
 
-func (f *Fleet) told(n *Node, at time.Duration, base uint64, query *schema.OperatorRequest, o *schema.OperatorResponse) {
+func (f *Fleet) notified(n *Node, at time.Duration, base uint64, query *schema.OperatorRequest, o *schema.OperatorResponse) {
 	e := judge.OperatorEvent{At: at, End: f.Now, Zone: query.Zone, Version: o.Version, Base: base, Status: 200, Node: n.Name}
 	switch query.Kind {
 	case schema.OperatorKind_OPERATOR_PUT:
--- a/internal/sim/traffic.go
+++ b/internal/sim/traffic.go
@@ -184,10 +184,10 @@
 func (c *carried) reserve(step int, order proxy.Order, take func(*schema.ReservationResponse)) {
 	f := c.fleet
 	for _, call := range order.Reservations {
-		isTold := false
+		isNotified := false
 		tell := func(o *schema.ReservationResponse) {
-			if !isTold {
-				isTold = true
+			if !isNotified {
+				isNotified = true
 				take(o)
 			}
 		}
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -22,7 +22,7 @@
 		{"the peer closes", func(peer net.Conn) { peer.Close() }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			dialer := net.Dialer{Control: Silence(700 * time.Millisecond)}
+			dialer := net.Dialer{Control: IdleTimeout(700 * time.Millisecond)}
 			conn, err := dialer.Dial("tcp", listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
--- a/internal/standing/version.go
+++ b/internal/standing/version.go
@@ -19,7 +19,7 @@
 		return true, nil
 	case strings.HasPrefix(row.Key, "node/"):
 		node := image.Decode[schema.Node](row)
-		span, err := versions.Told(node.GetSpeaksLow(), node.GetSpeaksHigh())
+		span, err := versions.ReadSpan(node.GetSpeaksLow(), node.GetSpeaksHigh())
 		if err == nil {
 			err = versions.CheckFleet(span, inUse)
 		}
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -14,7 +14,7 @@
 	// SenderOnce: a frame names its sender only where it differs from what its connection has told.
 	SenderOnce Feature = "senders are told once a connection"
 	// SpanTold: the first frame of a connection, whole beats and the rows of nodes tell the span of versions that a process speaks.
-	SpanTold Feature = "spans are told in first frames and whole beats"
+	SpanAnnounced Feature = "spans are told in first frames and whole beats"
 	// FleetRow: the version that the fleet uses is a row; images and hard states carry it.
 	FleetRow Feature = "the fleet's version is a row, and stands on disks"
 )
@@ -37,7 +37,7 @@
 // List has every version that this program speaks, the oldest first.
 var List = []Version{
 	{First, nil},
-	{2, []Feature{SenderOnce, SpanTold, FleetRow}},
+	{2, []Feature{SenderOnce, SpanAnnounced, FleetRow}},
 }
 
 // Span is the versions that a process speaks, both ends included; the zero value is this program's own.
@@ -124,7 +124,7 @@
 }
 
 // Told reads the two fields that tell a span.
-func Told(low, high uint32) (Span, error) {
+func ReadSpan(low, high uint32) (Span, error) {
 	span := Span{max(low, First), max(high, First)}
 	if span.Low > span.High || span.High > Most {
 		return Span{}, &ImpossibleError{low, high}
@@ -147,7 +147,7 @@
 }
 
 // InUse reads the fleet's version; an absent one is the first.
-func InUse(told uint32) uint32 { return max(told, First) }
+func InUse(announced uint32) uint32 { return max(announced, First) }
 
 // CheckFleet declines a fleet that uses what a process does not speak.
 func CheckFleet(own Span, fleet uint32) error {
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestSpansAreToldAndAgreedOn(t *testing.T) {
+func TestSpansAreAnnouncedAndAgreedOn(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		own       Span
@@ -27,7 +27,7 @@
 		{"a span up to the last number there is", Span{1, 2}, 1, 1<<32 - 1, 0, &ImpossibleError{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			peer, err := Told(c.low, c.high)
+			peer, err := ReadSpan(c.low, c.high)
 			got := uint32(0)
 			if err == nil {
 				got, err = Agree(c.own, peer)
@@ -72,7 +72,7 @@
 
 func TestWireLeavesOutTheFirst(t *testing.T) {
 	for _, span := range []Span{{1, 1}, {1, 2}, {2, 2}, {3, 9}, {1, Most}} {
-		if back, err := Told(span.Wire()); err != nil || back != span {
+		if back, err := ReadSpan(span.Wire()); err != nil || back != span {
 			t.Errorf("%v was told as %v, %v", span, back, err)
 		}
 	}
@@ -82,7 +82,7 @@
 	for _, c := range []struct {
 		name        string
 		own         Span
-		told        uint32
+		announced   uint32
 		fleet, disk any
 	}{
 		{"none told is the first", Span{1, 2}, 0, nil, nil},
@@ -91,8 +91,8 @@
 		{"older than any that is spoken: a disk is still read", Span{2, 3}, 1, &FleetError{}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			checkFault(t, CheckFleet(c.own, c.told), c.fleet)
-			checkFault(t, CheckDisk(c.own, "the image", c.told), c.disk)
+			checkFault(t, CheckFleet(c.own, c.announced), c.fleet)
+			checkFault(t, CheckDisk(c.own, "the image", c.announced), c.disk)
 		})
 	}
 }
@@ -155,11 +155,11 @@
 	f.Add(uint32(1), uint32(2), uint32(3), uint32(2))
 	f.Add(uint32(2), uint32(3), uint32(1), uint32(1<<31))
 	f.Fuzz(func(t *testing.T, ownLow, ownHigh, low, high uint32) {
-		own, err := Told(ownLow, ownHigh)
+		own, err := ReadSpan(ownLow, ownHigh)
 		if err != nil {
 			return
 		}
-		peer, err := Told(low, high)
+		peer, err := ReadSpan(low, high)
 		if err != nil {
 			return
 		}
