--- a/cmd/topazshed/doctor.go
+++ b/cmd/topazshed/doctor.go
@@ -111,7 +111,7 @@
 		return []Finding{{"no-data-folder", err.Error(), "make the folder or mount its disk"}}
 	}
 	free := int64(room.Bavail) * room.Bsize
-	need := int64(constants.JournalFiles*constants.JournalFileBytes + 2*constants.ImageFileBytes)
+	need := int64(constants.JournalFiles*constants.JournalFileBytes + 2*constants.SnapshotFileBytes)
 	for i := range constants.JournalFiles {
 		if info, err := os.Stat(fmt.Sprintf("%s/ring-%d", folder, i)); err == nil {
 			need -= info.Size()
@@ -149,7 +149,7 @@
 	case err != nil:
 		findings = append(findings, Finding{"unreadable-journal", err.Error(), "check the disk and the folder's rights"})
 	default:
-		fmt.Printf("journal: node %s, system %s, term %d, image at %d, %d items behind it, torn tail %v\n", state.Hard.Id, state.Hard.System, state.Hard.Term, state.Image.GetIndex(), len(state.Items), state.Torn)
+		fmt.Printf("journal: node %s, system %s, term %d, image at %d, %d items behind it, torn tail %v\n", state.Hard.Id, state.Hard.System, state.Hard.Term, state.Snapshot.GetIndex(), len(state.Items), state.Torn)
 	}
 	return findings
 }
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -29,7 +29,7 @@
 	// SnapshotBytesMost (bytes) is the largest snapshot that is received: above any that the size to design for has (55 MB packed), below a size that is noise.
 	SnapshotBytesMost = 1 << 30
 	// RaftImageEvery (items) is the log length after which a new image is written.
-	RaftImageEvery = 4096
+	RaftSnapshotEvery = 4096
 	// RaftLogBytes (bytes) of log in memory above which a new snapshot is written, whatever their number: an eighth of the smallest machines' memory.
 	RaftLogBytes = 24 << 20
 	// LearnerGap (items) is how near a learner must be to the commit before it may vote.
@@ -229,7 +229,7 @@
 	// JournalMargin (bytes) of a ring file are left beside its largest record: its head and the state that goes along.
 	JournalMargin = 8 << 10
 	// ImageFileBytes (bytes) of one of the two preallocated image areas.
-	ImageFileBytes = 16 << 20
+	SnapshotFileBytes = 16 << 20
 	// FullDiskPause (time) between two tries to write to a full disk.
 	FullDiskPause = 50 * time.Millisecond
 	// FullDiskMost (time) that a full disk is waited out before its machine gives up; the others' disks carry the log meanwhile.
--- a/internal/core/catch_up_test.go
+++ b/internal/core/catch_up_test.go
@@ -65,7 +65,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range seeds(t, 1) {
-				w := newSizedWorld(t, seed, 3, 0, journal.Options{Files: 4, FileBytes: 2 << 20, ImageBytes: 4 << 20})
+				w := newSizedWorld(t, seed, 3, 0, journal.Options{Files: 4, FileBytes: 2 << 20, SnapshotBytes: 4 << 20})
 				away := w.machines[1]
 				if away == w.leader() {
 					away = w.machines[2]
@@ -110,7 +110,7 @@
 // The log in memory is bounded by its bytes, however many changes the ring on disk still has room for.
 func TestTheLogInMemoryIsBounded(t *testing.T) {
 	const bytes = 1 << 20
-	w := newSizedWorld(t, 1, 3, 0, journal.Options{Files: 4, FileBytes: 2 << 20, ImageBytes: 4 << 20})
+	w := newSizedWorld(t, 1, 3, 0, journal.Options{Files: 4, FileBytes: 2 << 20, SnapshotBytes: 4 << 20})
 	for version := uint64(1); version <= 2*constants.RaftLogBytes/bytes; version++ {
 		query := largeRoutesOf(w.random, version, 0)
 		query.Routes.Document = []byte(strings.Repeat(fmt.Sprint("packs well ", version), bytes/12))
@@ -125,7 +125,7 @@
 
 // A state that would outgrow the disk is refused with a remedy while it still fits, and the machines live on.
 func TestAStateThatOutgrowsTheDiskIsRefused(t *testing.T) {
-	w := newSizedWorld(t, 1, 3, 0, journal.Options{Files: 4, FileBytes: 512 << 10, ImageBytes: 512 << 10})
+	w := newSizedWorld(t, 1, 3, 0, journal.Options{Files: 4, FileBytes: 512 << 10, SnapshotBytes: 512 << 10})
 	w.put(w.leader(), routesOf(1, 0, "one"))
 	var refusal *schema.OperatorResponse
 	w.order(w.leader(), largeRoutesOf(w.random, 2, 400<<10), func(o *schema.OperatorResponse) { refusal = o })
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,15 +23,15 @@
 
 // Options make a Core. Hard, Image and Items are what the journal held; Draw is the seeded source.
 type Options struct {
-	Self    *schema.Node
-	Seeds   []string
-	System  string
-	Hard    *schema.HardState
-	Image   *schema.Snapshot
-	Items   []*schema.LogItem
-	Draw    func(int64) int64
-	Log     *slog.Logger
-	Restart bool
+	Self     *schema.Node
+	Seeds    []string
+	System   string
+	Hard     *schema.HardState
+	Snapshot *schema.Snapshot
+	Items    []*schema.LogItem
+	Draw     func(int64) int64
+	Log      *slog.Logger
+	Restart  bool
 	// Rejoin says that the system was founded before, so that this node never founds one.
 	Rejoin bool
 	// Routed says that this fleet carries routes: attempt ids are never sent twice, so that claims and fences are not needed.
@@ -207,7 +207,7 @@
 	peers          map[string]time.Duration
 	pending        map[string]uint64
 	verdicts       map[uint64]string
-	imageAt        uint64
+	snapshotAt     uint64
 	knownCommit    uint64
 	fences         map[string]time.Duration
 	behindAt       time.Duration
@@ -239,10 +239,10 @@
 	c.serial, c.subSerial = c.firstNumber(), c.firstNumber()
 	c.near = neighbours.New(neighbours.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Pace: c.routed.nearPace()})
 	if options.Self.Disk {
-		if options.Image != nil {
-			c.table.Restore(options.Image)
+		if options.Snapshot != nil {
+			c.table.Restore(options.Snapshot)
 		}
-		c.quorum = quorum.New(now, quorum.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Image: options.Image, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.routed.quorumPace()})
+		c.quorum = quorum.New(now, quorum.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Snapshot: options.Snapshot, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.routed.quorumPace()})
 		c.view = image.Compile(c.table)
 		c.noteFences(c.table.Rows(image.All))
 		c.guard(c.view.Fleet)
@@ -783,7 +783,7 @@
 			effects.Hard.Id, effects.Hard.System, effects.Hard.Version = c.self.Id, c.system, c.shownFleet()
 		}
 	}
-	effects.IsWork = effects.Hard != nil || len(effects.Quorum.Items) > 0 || effects.Quorum.Image != nil || len(effects.Sends) > 0 || len(effects.Responses) > 0 || len(effects.Calls) > 0 ||
+	effects.IsWork = effects.Hard != nil || len(effects.Quorum.Items) > 0 || effects.Quorum.Snapshot != nil || len(effects.Sends) > 0 || len(effects.Responses) > 0 || len(effects.Calls) > 0 ||
 		len(effects.Quorum.Reads) > 0 || len(effects.Quorum.LostReads) > 0
 	return effects
 }
@@ -832,12 +832,12 @@
 	if c.quorum == nil {
 		return
 	}
-	if effects.Quorum.Image != nil {
-		c.table.Restore(effects.Quorum.Image)
+	if effects.Quorum.Snapshot != nil {
+		c.table.Restore(effects.Quorum.Snapshot)
 		c.view = image.Compile(c.table)
 		c.fences = map[string]time.Duration{}
-		c.noteFences(effects.Quorum.Image.Rows)
-		c.imageAt = effects.Quorum.Image.Index
+		c.noteFences(effects.Quorum.Snapshot.Rows)
+		c.snapshotAt = effects.Quorum.Snapshot.Index
 		if c.guard(c.view.Fleet) != nil {
 			return
 		}
@@ -901,14 +901,14 @@
 
 // Compactable tells whether a new image should be written.
 func (c *Core) Compactable() bool {
-	if c.quorum == nil || c.table.Version() <= c.imageAt {
+	if c.quorum == nil || c.table.Version() <= c.snapshotAt {
 		return false
 	}
-	return c.table.Version() >= c.imageAt+constants.RaftImageEvery || c.quorum.LogBytes() > constants.RaftLogBytes
+	return c.table.Version() >= c.snapshotAt+constants.RaftSnapshotEvery || c.quorum.LogBytes() > constants.RaftLogBytes
 }
 
 // Compacted tells that an image of that index is on disk.
 func (c *Core) Compacted(index uint64) {
-	c.imageAt = index
+	c.snapshotAt = index
 	c.quorum.Compact(index)
 }
--- a/internal/core/driver.go
+++ b/internal/core/driver.go
@@ -31,7 +31,7 @@
 		if !effects.IsWork {
 			break
 		}
-		if d.Journal != nil && (effects.Hard != nil || len(effects.Quorum.Items) > 0 || effects.Quorum.Image != nil) {
+		if d.Journal != nil && (effects.Hard != nil || len(effects.Quorum.Items) > 0 || effects.Quorum.Snapshot != nil) {
 			d.store(effects, false)
 			continue
 		}
@@ -43,7 +43,7 @@
 	if d.failed != nil {
 		return d.failed
 	}
-	if d.Journal != nil && !d.isBusy && (d.Core.Compactable() || d.Journal.NeedsImage()) {
+	if d.Journal != nil && !d.isBusy && (d.Core.Compactable() || d.Journal.NeedsSnapshot()) {
 		d.compact(func() {})
 	}
 	if d.isBusy {
@@ -65,8 +65,8 @@
 
 func (d *Driver) store(effects Effects, isAgain bool) {
 	d.write(func() error {
-		if image := effects.Quorum.Image; image != nil && d.Journal.ImageIndex() < image.Index {
-			if err := d.Journal.PutImage(image); err != nil {
+		if snapshot := effects.Quorum.Snapshot; snapshot != nil && d.Journal.SnapshotIndex() < snapshot.Index {
+			if err := d.Journal.WriteSnapshot(snapshot); err != nil {
 				return err
 			}
 		}
@@ -104,11 +104,11 @@
 
 func (d *Driver) compact(next func()) {
 	whole := d.Core.Whole()
-	if whole.Index == 0 || d.Journal.ImageIndex() >= whole.Index {
+	if whole.Index == 0 || d.Journal.SnapshotIndex() >= whole.Index {
 		next()
 		return
 	}
-	d.write(func() error { return d.Journal.PutImage(whole) }, func(err error) {
+	d.write(func() error { return d.Journal.WriteSnapshot(whole) }, func(err error) {
 		if err != nil {
 			d.failed = err
 			return
--- a/internal/core/driver_test.go
+++ b/internal/core/driver_test.go
@@ -25,13 +25,13 @@
 		{"and never if the disk fails", errors.New("input/output error"), 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			j, state, err := journal.Open(sim.NewDisk(), journal.Options{Files: 4, FileBytes: 64 << 10, ImageBytes: 64 << 10})
+			j, state, err := journal.Open(sim.NewDisk(), journal.Options{Files: 4, FileBytes: 64 << 10, SnapshotBytes: 64 << 10})
 			if err != nil {
 				t.Fatal(err)
 			}
 			now := time.Hour
 			self := &schema.Node{Id: "a", Address: "a", Zone: "d", Region: "r", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
-			machine := core.New(now, core.Options{Self: self, Seeds: []string{"a", "b", "c"}, System: "s", Hard: state.Hard, Image: state.Image, Items: state.Items,
+			machine := core.New(now, core.Options{Self: self, Seeds: []string{"a", "b", "c"}, System: "s", Hard: state.Hard, Snapshot: state.Snapshot, Items: state.Items,
 				Draw: func(n int64) int64 { return n - 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 			var finish func(error)
 			votes, others := 0, 0
--- a/internal/core/startup_world_test.go
+++ b/internal/core/startup_world_test.go
@@ -151,7 +151,7 @@
 			f.t.Fatal(err)
 		}
 		opened = ring
-		options.Hard, options.Image, options.Items = state.Hard, state.Image, state.Items
+		options.Hard, options.Snapshot, options.Items = state.Hard, state.Snapshot, state.Items
 	}
 	n.core = core.New(f.clock(n), options)
 	n.driver = &core.Driver{Core: n.core, Journal: opened, Now: func() time.Duration { return f.clock(n) },
--- a/internal/core/version_test.go
+++ b/internal/core/version_test.go
@@ -168,10 +168,10 @@
 	}
 	members := &schema.Members{Voters: []*schema.Member{{Id: "n", Address: "n"}}}
 	for _, c := range []struct {
-		name  string
-		image *schema.Snapshot
-		items []*schema.LogItem
-		want  string
+		name     string
+		snapshot *schema.Snapshot
+		items    []*schema.LogItem
+		want     string
 	}{
 		{"its own version", &schema.Snapshot{Index: 3, Term: 1, Members: members, Rows: rows(2)}, nil, ""},
 		{"a newer image", &schema.Snapshot{Index: 3, Term: 1, Members: members, Rows: rows(3)}, nil, "version 3"},
@@ -181,7 +181,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			core := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r", Disk: true}, Seeds: []string{"n"}, System: "x", Draw: func(int64) int64 { return 0 },
 				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }},
-				Hard: &schema.HardState{Term: 1, Id: "n", System: "x", Commit: 4}, Image: c.image, Items: c.items, Restart: true})
+				Hard: &schema.HardState{Term: 1, Id: "n", System: "x", Commit: 4}, Snapshot: c.snapshot, Items: c.items, Restart: true})
 			for now := time.Hour; now < time.Hour+5*time.Second; now += 20 * time.Millisecond {
 				core.Tick(now)
 				effects := core.Take()
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -104,7 +104,7 @@
 	nearWay   = time.Millisecond
 )
 
-var worldSizes = journal.Options{Files: 4, FileBytes: 256 << 10, ImageBytes: 1 << 20}
+var worldSizes = journal.Options{Files: 4, FileBytes: 256 << 10, SnapshotBytes: 1 << 20}
 
 // newWorld founds a fleet of so many voters, spread over three regions of two zones, and some readers.
 func newWorld(t *testing.T, seed int64, voters, readers int) *world {
@@ -190,7 +190,7 @@
 	self := &schema.Node{Id: fmt.Sprintf("%s-%d", m.name, m.incarnation), Address: m.name, Proxy: m.name, Admin: m.name, Zone: m.zone, Region: m.region, Disk: m.isDisk,
 		Incarnation: uint64(w.now.Milliseconds()), State: schema.NodeState_NODE_READY}
 	options := core.Options{Self: self, Seeds: w.seeds(), Draw: w.random.Int63n, Log: w.log.With("machine", m.name), Rejoin: m.isFounded,
-		Routed: &core.Routed{HoldMost: 10 * time.Second, Zones: w.zones(), Quiet: 4 * time.Second, Fits: w.sizes.Fits, FitsWhole: w.sizes.FitsImage, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}}
+		Routed: &core.Routed{HoldMost: 10 * time.Second, Zones: w.zones(), Quiet: 4 * time.Second, Fits: w.sizes.Fits, FitsWhole: w.sizes.FitsSnapshot, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}}
 	m.isFounded = true
 	m.isUp, m.writing, m.frozenUntil = true, nil, 0
 	var opened *journal.Journal
@@ -204,7 +204,7 @@
 			w.t.Fatal(err)
 		}
 		opened = j
-		options.Hard, options.Image, options.Items = state.Hard, state.Image, state.Items
+		options.Hard, options.Snapshot, options.Items = state.Hard, state.Snapshot, state.Items
 		options.System, options.Restart = state.Hard.System, state.Hard.Id != ""
 		if options.Restart {
 			self.Id = state.Hard.Id
--- a/internal/image/table.go
+++ b/internal/image/table.go
@@ -280,12 +280,12 @@
 }
 
 // Restore replaces everything by an image.
-func (t *Table) Restore(image *schema.Snapshot) {
+func (t *Table) Restore(snapshot *schema.Snapshot) {
 	t.rows.Clear()
-	for _, row := range image.Rows {
+	for _, row := range snapshot.Rows {
 		t.rows.Put(row.Key, row)
 	}
-	t.version, t.since, t.changes = image.Index, image.Index, nil
+	t.version, t.since, t.changes = snapshot.Index, snapshot.Index, nil
 }
 
 // Digest is the digest of a range.
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -34,16 +34,16 @@
 
 // Options size the ring.
 type Options struct {
-	Files      int
-	FileBytes  int64
-	ImageBytes int64
+	Files         int
+	FileBytes     int64
+	SnapshotBytes int64
 	// Speaks are the versions whose disks are read; the zero value is the program's own.
 	Speaks versions.Span
 }
 
 // DefaultOptions are the sizes in the constants.
 func DefaultOptions() Options {
-	return Options{Files: constants.JournalFiles, FileBytes: constants.JournalFileBytes, ImageBytes: constants.ImageFileBytes}
+	return Options{Files: constants.JournalFiles, FileBytes: constants.JournalFileBytes, SnapshotBytes: constants.SnapshotFileBytes}
 }
 
 // Sized are sizes that fit a disk of so many bytes with room to spare; 0 is no bound.
@@ -51,7 +51,7 @@
 	options := DefaultOptions()
 	if disk > 0 {
 		options.FileBytes = min(options.FileBytes, disk/constants.JournalDiskParts)
-		options.ImageBytes = min(options.ImageBytes, 2*disk/constants.JournalDiskParts)
+		options.SnapshotBytes = min(options.SnapshotBytes, 2*disk/constants.JournalDiskParts)
 	}
 	return options
 }
@@ -73,12 +73,12 @@
 }
 
 // FitsImage tells whether a snapshot, packed, fits its area with a quarter to spare: rows that no operator puts are added to it later.
-func (o Options) FitsImage(image *schema.Snapshot) bool {
-	limit := (o.ImageBytes - imageHead) * 3 / 4
-	if int64(proto.Size(image)) <= limit {
+func (o Options) FitsSnapshot(snapshot *schema.Snapshot) bool {
+	limit := (o.SnapshotBytes - snapshotHead) * 3 / 4
+	if int64(proto.Size(snapshot)) <= limit {
 		return true
 	}
-	text, err := proto.Marshal(image)
+	text, err := proto.Marshal(snapshot)
 	return err == nil && int64(len(pack(text))) <= limit
 }
 
@@ -123,24 +123,24 @@
 
 // State is what a journal held when it was opened.
 type State struct {
-	Hard  *schema.HardState
-	Image *schema.Snapshot
-	Items []*schema.LogItem
-	Torn  bool
+	Hard     *schema.HardState
+	Snapshot *schema.Snapshot
+	Items    []*schema.LogItem
+	Torn     bool
 }
 
 const (
-	recordHead  = 24
-	kindHard    = 1
-	kindItem    = 2
-	kindPacked  = 3
-	fileMagic   = 0x7a5d0001
-	imageMagic  = 0x7a5d0002
-	packedMagic = 0x7a5d0003
-	fileHead    = 24
-	imageHead   = 32
-	recordGuard = 0x7a5d
-	magicFamily = 0x7a5d
+	recordHead    = 24
+	kindHard      = 1
+	kindItem      = 2
+	kindPacked    = 3
+	fileMagic     = 0x7a5d0001
+	snapshotMagic = 0x7a5d0002
+	packedMagic   = 0x7a5d0003
+	fileHead      = 24
+	snapshotHead  = 32
+	recordGuard   = 0x7a5d
+	magicFamily   = 0x7a5d
 )
 
 var table = crc32.MakeTable(crc32.Castagnoli)
@@ -155,12 +155,12 @@
 
 // Journal is the open ring.
 type Journal struct {
-	options    Options
-	files      []*ringFile
-	images     [2]Area
-	imageNext  int
-	imageIndex uint64
-	serial     uint64
+	options       Options
+	files         []*ringFile
+	snapshots     [2]Area
+	snapshotNext  int
+	snapshotIndex uint64
+	serial        uint64
 	// synced is the serial of the newest record that is certainly on disk: those above it are one batch.
 	synced  uint64
 	current int
@@ -180,35 +180,35 @@
 		j.files = append(j.files, &ringFile{name: name, area: area, end: fileHead})
 	}
 	var serials [2]uint64
-	var imageFaults int
-	for i := range j.images {
-		area, err := disk.Area(fmt.Sprintf("image-%d", i), options.ImageBytes)
+	var snapshotFaults int
+	for i := range j.snapshots {
+		area, err := disk.Area(fmt.Sprintf("image-%d", i), options.SnapshotBytes)
 		if err != nil {
 			return nil, nil, err
 		}
-		j.images[i] = area
-		image, serial, err := readImage(area)
+		j.snapshots[i] = area
+		snapshot, serial, err := readSnapshot(area)
 		var newer *versions.DiskError
 		if errors.As(err, &newer) {
 			return nil, nil, newer
 		}
 		if err == nil {
-			if err := versions.CheckDisk(options.Speaks.OrOwn(), "an image", image.GetVersion()); err != nil {
+			if err := versions.CheckDisk(options.Speaks.OrOwn(), "an image", snapshot.GetVersion()); err != nil {
 				return nil, nil, err
 			}
 		}
 		if err != nil {
-			imageFaults++
+			snapshotFaults++
 			continue
 		}
 		serials[i] = serial
-		if image != nil && (state.Image == nil || image.Index > state.Image.Index) {
-			state.Image = image
-			j.imageNext = 1 - i
+		if snapshot != nil && (state.Snapshot == nil || snapshot.Index > state.Snapshot.Index) {
+			state.Snapshot = snapshot
+			j.snapshotNext = 1 - i
 		}
 	}
-	if state.Image != nil {
-		j.imageIndex = state.Image.Index
+	if state.Snapshot != nil {
+		j.snapshotIndex = state.Snapshot.Index
 	}
 	if err := j.readRing(state); err != nil {
 		return nil, nil, err
@@ -216,28 +216,28 @@
 	if err := versions.CheckDisk(options.Speaks.OrOwn(), "the journal", state.Hard.Version); err != nil {
 		return nil, nil, err
 	}
-	if len(state.Items) > 0 && state.Items[0].Index > j.imageIndex+1 {
+	if len(state.Items) > 0 && state.Items[0].Index > j.snapshotIndex+1 {
 		return nil, nil, &CorruptError{"image", 0}
 	}
-	if imageFaults == 2 && state.Hard.Id != "" {
+	if snapshotFaults == 2 && state.Hard.Id != "" {
 		return nil, nil, &CorruptError{"image", 0}
 	}
-	for len(state.Items) > 0 && state.Items[0].Index <= j.imageIndex {
+	for len(state.Items) > 0 && state.Items[0].Index <= j.snapshotIndex {
 		state.Items = state.Items[1:]
 	}
-	if len(state.Items) > 0 && state.Image != nil && state.Items[0].Term < state.Image.Term {
+	if len(state.Items) > 0 && state.Snapshot != nil && state.Items[0].Term < state.Snapshot.Term {
 		state.Items = nil
 	}
 	j.hard = proto.Clone(state.Hard).(*schema.HardState)
 	return j, state, nil
 }
 
-func readImage(area Area) (*schema.Snapshot, uint64, error) {
-	head := make([]byte, imageHead)
+func readSnapshot(area Area) (*schema.Snapshot, uint64, error) {
+	head := make([]byte, snapshotHead)
 	if _, err := area.ReadAt(head, 0); err != nil {
 		return nil, 0, err
 	}
-	if bytes.Equal(head, make([]byte, imageHead)) {
+	if bytes.Equal(head, make([]byte, snapshotHead)) {
 		return nil, 0, nil
 	}
 	size := binary.BigEndian.Uint64(head[8:])
@@ -245,28 +245,28 @@
 	if binary.BigEndian.Uint16(head) == magicFamily && binary.BigEndian.Uint16(head[2:]) > packedMagic&0xffff {
 		return nil, 0, &versions.DiskError{What: "an image", Own: versions.Own}
 	}
-	if !isPacked && binary.BigEndian.Uint32(head) != imageMagic || int64(size) > area.Size()-imageHead {
+	if !isPacked && binary.BigEndian.Uint32(head) != snapshotMagic || int64(size) > area.Size()-snapshotHead {
 		return nil, 0, &CorruptError{"image", 0}
 	}
 	text := make([]byte, size)
-	if _, err := area.ReadAt(text, imageHead); err != nil {
+	if _, err := area.ReadAt(text, snapshotHead); err != nil {
 		return nil, 0, err
 	}
 	if crc32.Checksum(text, table) != binary.BigEndian.Uint32(head[4:]) {
-		return nil, 0, &CorruptError{"image", imageHead}
+		return nil, 0, &CorruptError{"image", snapshotHead}
 	}
 	whole := text
 	if isPacked {
 		var err error
 		if whole, err = unpack(text); err != nil {
-			return nil, 0, &CorruptError{"image", imageHead}
+			return nil, 0, &CorruptError{"image", snapshotHead}
 		}
 	}
-	image := &schema.Snapshot{}
-	if err := proto.Unmarshal(whole, image); err != nil {
-		return nil, 0, &CorruptError{"image", imageHead}
+	snapshot := &schema.Snapshot{}
+	if err := proto.Unmarshal(whole, snapshot); err != nil {
+		return nil, 0, &CorruptError{"image", snapshotHead}
 	}
-	return image, image.Index, nil
+	return snapshot, snapshot.Index, nil
 }
 
 func (j *Journal) readRing(state *State) error {
@@ -483,7 +483,7 @@
 		slot = (j.current + 1) % len(j.files)
 	}
 	file := j.files[slot]
-	if file.generation > 0 && file.lastIndex > j.imageIndex {
+	if file.generation > 0 && file.lastIndex > j.snapshotIndex {
 		return &FullError{}
 	}
 	file.generation = j.files[j.current].generation + 1
@@ -560,17 +560,17 @@
 }
 
 // PutImage writes a whole image to the older area, reads it back, and releases the files behind it.
-func (j *Journal) PutImage(image *schema.Snapshot) error {
-	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(image)
+func (j *Journal) WriteSnapshot(snapshot *schema.Snapshot) error {
+	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(snapshot)
 	if err != nil {
 		return fmt.Errorf("encode image: %w", err)
 	}
 	text = pack(text)
-	if int64(len(text)) > j.options.ImageBytes-imageHead {
-		return &LargeError{int64(len(text)), j.options.ImageBytes}
+	if int64(len(text)) > j.options.SnapshotBytes-snapshotHead {
+		return &LargeError{int64(len(text)), j.options.SnapshotBytes}
 	}
-	area := j.images[j.imageNext]
-	head := make([]byte, imageHead)
+	area := j.snapshots[j.snapshotNext]
+	head := make([]byte, snapshotHead)
 	binary.BigEndian.PutUint32(head, packedMagic)
 	binary.BigEndian.PutUint32(head[4:], crc32.Checksum(text, table))
 	binary.BigEndian.PutUint64(head[8:], uint64(len(text)))
@@ -580,23 +580,23 @@
 	if err := area.Sync(); err != nil {
 		return fmt.Errorf("sync image: %w", err)
 	}
-	read, _, err := readImage(area)
+	read, _, err := readSnapshot(area)
 	if err != nil {
 		return errors.Join(errors.New("image differs from what was written; check the disk"), err)
 	}
-	j.imageIndex = read.Index
-	j.imageNext = 1 - j.imageNext
+	j.snapshotIndex = read.Index
+	j.snapshotNext = 1 - j.snapshotNext
 	return nil
 }
 
 // ImageIndex is the index of the newest image on disk.
-func (j *Journal) ImageIndex() uint64 { return j.imageIndex }
+func (j *Journal) SnapshotIndex() uint64 { return j.snapshotIndex }
 
 // NeedsImage tells whether the next file of the ring is still held.
-func (j *Journal) NeedsImage() bool {
+func (j *Journal) NeedsSnapshot() bool {
 	held := 0
 	for _, file := range j.files {
-		if file.generation > 0 && file.lastIndex > j.imageIndex {
+		if file.generation > 0 && file.lastIndex > j.snapshotIndex {
 			held++
 		}
 	}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -15,7 +15,7 @@
 	"topazshed/internal/sim"
 )
 
-var sizes = journal.Options{Files: 4, FileBytes: 16 << 10, ImageBytes: 32 << 10}
+var sizes = journal.Options{Files: 4, FileBytes: 16 << 10, SnapshotBytes: 32 << 10}
 
 func item(index, term uint64, size int) *schema.LogItem {
 	return &schema.LogItem{Index: index, Term: term, Record: &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{{Key: "k", Value: make([]byte, size)}}}}
@@ -37,7 +37,7 @@
 		j, _ := open(t, disk)
 		var kept []*schema.LogItem
 		hard := &schema.HardState{Term: 1, Id: "n"}
-		imageIndex := uint64(0)
+		snapshotIndex := uint64(0)
 		for range 200 {
 			switch random.Intn(12) {
 			case 0:
@@ -51,22 +51,22 @@
 				var state *schema.HardState
 				opened, read := open(t, disk)
 				j, state = opened, read.Hard
-				compare(t, seed, state, hard, read, kept, imageIndex)
+				compare(t, seed, state, hard, read, kept, snapshotIndex)
 			}
-			next := imageIndex + 1
+			next := snapshotIndex + 1
 			if len(kept) > 0 {
 				next = kept[len(kept)-1].Index + 1
 			}
 			it := item(next, hard.Term, random.Intn(900))
 			err := j.Append(hard, []*schema.LogItem{it})
 			var full *journal.FullError
-			if errors.As(err, &full) || err == nil && j.NeedsImage() {
+			if errors.As(err, &full) || err == nil && j.NeedsSnapshot() {
 				if err != nil && len(kept) == 0 {
 					t.Fatalf("seed %d: the ring is full with nothing in it", seed)
 				}
 				if len(kept) > 0 {
-					imageIndex = kept[len(kept)-1].Index
-					if err := j.PutImage(&schema.Snapshot{Index: imageIndex, Term: hard.Term}); err != nil {
+					snapshotIndex = kept[len(kept)-1].Index
+					if err := j.WriteSnapshot(&schema.Snapshot{Index: snapshotIndex, Term: hard.Term}); err != nil {
 						t.Fatal(err)
 					}
 					kept = nil
@@ -83,13 +83,13 @@
 	}
 }
 
-func compare(t *testing.T, seed int64, state, hard *schema.HardState, read *journal.State, kept []*schema.LogItem, imageIndex uint64) {
+func compare(t *testing.T, seed int64, state, hard *schema.HardState, read *journal.State, kept []*schema.LogItem, snapshotIndex uint64) {
 	t.Helper()
 	if len(kept) > 0 && !proto.Equal(state, hard) && state.Term < kept[len(kept)-1].Term {
 		t.Fatalf("seed %d: hard state %v, want %v", seed, state, hard)
 	}
-	if read.Image.GetIndex() != imageIndex {
-		t.Fatalf("seed %d: image %d, want %d", seed, read.Image.GetIndex(), imageIndex)
+	if read.Snapshot.GetIndex() != snapshotIndex {
+		t.Fatalf("seed %d: image %d, want %d", seed, read.Snapshot.GetIndex(), snapshotIndex)
 	}
 	for i, it := range kept {
 		if i >= len(read.Items) || !proto.Equal(read.Items[i], it) {
@@ -135,7 +135,7 @@
 	j, _ := open(t, sim.NewDisk())
 	value := make([]byte, 64<<10)
 	rand.New(rand.NewSource(1)).Read(value)
-	err := j.PutImage(&schema.Snapshot{Index: 1, Rows: []*schema.Row{{Key: "k", Value: value}}})
+	err := j.WriteSnapshot(&schema.Snapshot{Index: 1, Rows: []*schema.Row{{Key: "k", Value: value}}})
 	var large *journal.LargeError
 	if !errors.As(err, &large) {
 		t.Fatalf("got %v", err)
@@ -164,15 +164,15 @@
 	if err := j.Append(&schema.HardState{Term: 1, Id: "a", System: "s"}, []*schema.LogItem{{Index: 1, Term: 1, Record: record}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := j.PutImage(&schema.Snapshot{Index: 1, Term: 1, Rows: record.Rows}); err != nil {
+	if err := j.WriteSnapshot(&schema.Snapshot{Index: 1, Term: 1, Rows: record.Rows}); err != nil {
 		t.Fatal(err)
 	}
 	_, state, err := journal.Open(disk, sizes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(state.Image.GetRows()) != len(record.Rows) || !proto.Equal(state.Image.Rows[77], record.Rows[77]) {
-		t.Fatalf("%d rows came back", len(state.Image.GetRows()))
+	if len(state.Snapshot.GetRows()) != len(record.Rows) || !proto.Equal(state.Snapshot.Rows[77], record.Rows[77]) {
+		t.Fatalf("%d rows came back", len(state.Snapshot.GetRows()))
 	}
 	noise := make([]byte, 2*sizes.FileBytes)
 	rand.New(rand.NewSource(1)).Read(noise)
--- a/internal/journal/version_test.go
+++ b/internal/journal/version_test.go
@@ -12,22 +12,22 @@
 )
 
 func TestADiskOfANewerVersionIsRefusedUntouched(t *testing.T) {
-	image := func(version uint32) *schema.Snapshot {
+	snapshot := func(version uint32) *schema.Snapshot {
 		return &schema.Snapshot{Index: 1, Term: 1, Members: &schema.Members{}, Version: version}
 	}
 	for _, c := range []struct {
-		name  string
-		hard  uint32
-		image *schema.Snapshot
-		spoil func(*sim.Disk)
-		isNew bool
+		name     string
+		hard     uint32
+		snapshot *schema.Snapshot
+		spoil    func(*sim.Disk)
+		isNew    bool
 	}{
-		{"of version 1, which tells none", 0, image(0), nil, false},
-		{"of the newest that is read", 2, image(2), nil, false},
+		{"of version 1, which tells none", 0, snapshot(0), nil, false},
+		{"of the newest that is read", 2, snapshot(2), nil, false},
 		{"the hard state is newer", 3, nil, nil, true},
-		{"the image is newer", 0, image(3), nil, true},
-		{"an image of an unknown format", 0, image(0), func(disk *sim.Disk) {
-			area, _ := disk.Area("image-0", sizes.ImageBytes)
+		{"the image is newer", 0, snapshot(3), nil, true},
+		{"an image of an unknown format", 0, snapshot(0), func(disk *sim.Disk) {
+			area, _ := disk.Area("image-0", sizes.SnapshotBytes)
 			area.WriteAt(binary.BigEndian.AppendUint32(nil, 0x7a5d0009), 0)
 			area.Sync()
 		}, true},
@@ -38,8 +38,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.image != nil {
-				if err := j.PutImage(c.image); err != nil {
+			if c.snapshot != nil {
+				if err := j.WriteSnapshot(c.snapshot); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/node/earlier_version_test.go
+++ b/internal/node/earlier_version_test.go
@@ -138,7 +138,7 @@
 func restart(t *testing.T, state *journal.State, routed *core.Routed) *schema.Snapshot {
 	t.Helper()
 	restarted := core.New(time.Hour, core.Options{Self: &schema.Node{Id: state.Hard.Id, Address: "here", Disk: true}, System: state.Hard.System, Restart: true,
-		Hard: state.Hard, Image: state.Image, Items: state.Items, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.DiscardHandler), Routed: routed})
+		Hard: state.Hard, Snapshot: state.Snapshot, Items: state.Items, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.DiscardHandler), Routed: routed})
 	if err := restarted.Refused(); err != nil {
 		t.Fatal(err)
 	}
@@ -155,20 +155,20 @@
 
 func describe(t *testing.T, state *journal.State, routed *core.Routed) readBack {
 	t.Helper()
-	if state.Image == nil || len(state.Items) == 0 {
+	if state.Snapshot == nil || len(state.Items) == 0 {
 		t.Fatal("the data folder has no snapshot or no log after it")
 	}
 	last := state.Items[len(state.Items)-1]
 	whole := restart(t, state, routed)
 	found := readBack{
 		Term: state.Hard.Term, Vote: state.Hard.Vote, ID: state.Hard.Id, System: state.Hard.System, Commit: state.Hard.Commit, DiskVersion: state.Hard.Version, Torn: state.Torn,
-		SnapshotIndex: state.Image.Index, SnapshotTerm: state.Image.Term, SnapshotDiskVersion: state.Image.Version, SnapshotRows: digestRows(state.Image.Rows),
+		SnapshotIndex: state.Snapshot.Index, SnapshotTerm: state.Snapshot.Term, SnapshotDiskVersion: state.Snapshot.Version, SnapshotRows: digestRows(state.Snapshot.Rows),
 		LogFirstIndex: state.Items[0].Index, LogLastIndex: last.Index, LogLastTerm: last.Term, LogEntries: len(state.Items), LogRefused: []uint64{},
 		RestartIndex: whole.Index, RestartRows: digestRows(whole.Rows), RestartVoters: ids(whole.Members.Voters), RestartLearners: ids(whole.Members.Learners),
 		Zones: map[string]zoneFacts{}, Machines: map[string]bool{}, Services: []string{}, Routes: []string{},
 	}
 	table := image.NewTable()
-	table.Restore(state.Image)
+	table.Restore(state.Snapshot)
 	for _, item := range state.Items {
 		if _, err := table.Apply(item.Index, item.Record, standing.Check); err != nil {
 			found.LogRefused = append(found.LogRefused, item.Index)
@@ -254,13 +254,13 @@
 			t.Errorf("after an append the rows are %+v at %d, before it %+v at %d", after.FinalRows, after.FinalIndex, before.FinalRows, before.FinalIndex)
 		}
 		whole = restart(t, state, routed)
-		if err := opened.PutImage(whole); err != nil {
+		if err := opened.WriteSnapshot(whole); err != nil {
 			t.Fatal(err)
 		}
 	})
 	withJournal(t, path, func(_ *journal.Journal, state *journal.State) {
-		if state.Image.Index != whole.Index || digestRows(state.Image.Rows) != digestRows(whole.Rows) {
-			t.Errorf("the snapshot written at %d is read back as one at %d", whole.Index, state.Image.Index)
+		if state.Snapshot.Index != whole.Index || digestRows(state.Snapshot.Rows) != digestRows(whole.Rows) {
+			t.Errorf("the snapshot written at %d is read back as one at %d", whole.Index, state.Snapshot.Index)
 		}
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -137,7 +137,7 @@
 		if err != nil {
 			return err
 		}
-		options.Hard, options.Image, options.Items = state.Hard, state.Image, state.Items
+		options.Hard, options.Snapshot, options.Items = state.Hard, state.Snapshot, state.Items
 		options.System, options.Restart = state.Hard.System, state.Hard.Id != ""
 		if options.Restart {
 			n.self.Id = state.Hard.Id
--- a/internal/node/routed.go
+++ b/internal/node/routed.go
@@ -73,7 +73,7 @@
 	bounds := n.seam.Bounds
 	reckon := gateway.NewLoads(n.Now(), bounds.Bounds)
 	sizes := journal.Sized(n.settings.DiskBytes)
-	return &core.Routed{Fits: sizes.Fits, FitsWhole: sizes.FitsImage, HoldMost: bounds.HoldMost, ListLag: bounds.ListLag, Zones: n.seam.Zones, Quiet: bounds.Quiet, ColdBearable: reckon.ColdBearable,
+	return &core.Routed{Fits: sizes.Fits, FitsWhole: sizes.FitsSnapshot, HoldMost: bounds.HoldMost, ListLag: bounds.ListLag, Zones: n.seam.Zones, Quiet: bounds.Quiet, ColdBearable: reckon.ColdBearable,
 		Heat:          func(span time.Duration) []*schema.ShardLoad { return n.gateway.Loads().TakeHeat(span) },
 		HealthReports: func() []*schema.HealthReport { return n.gateway.HealthReports() }}
 }
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -26,13 +26,13 @@
 
 // Options make a Quorum; Draw gives a number below its argument from the seeded source.
 type Options struct {
-	ID    string
-	Hard  *schema.HardState
-	Image *schema.Snapshot
-	Items []*schema.LogItem
-	Draw  func(int64) int64
-	Whole func() *schema.Snapshot
-	Pace  Pace
+	ID       string
+	Hard     *schema.HardState
+	Snapshot *schema.Snapshot
+	Items    []*schema.LogItem
+	Draw     func(int64) int64
+	Whole    func() *schema.Snapshot
+	Pace     Pace
 }
 
 // Pace is how fast members hear of each other and vote anew; the zero value is the pace of the constants.
@@ -46,7 +46,7 @@
 type Ready struct {
 	Hard      *schema.HardState
 	Items     []*schema.LogItem
-	Image     *schema.Snapshot
+	Snapshot  *schema.Snapshot
 	Messages  []*schema.Raft
 	Committed []*schema.LogItem
 	Reads     []uint64
@@ -57,7 +57,7 @@
 	match, next uint64
 	ackRound    uint64
 	heard       time.Duration
-	imageAt     time.Duration
+	snapshotAt  time.Duration
 	isProbing   bool
 	// takesParts says that the member takes snapshots in parts; transfer is the one that it is being sent.
 	takesParts bool
@@ -84,7 +84,7 @@
 	unsynced    uint64
 	commit      uint64
 	handed      uint64
-	image       *schema.Snapshot
+	snapshot    *schema.Snapshot
 	isBehind    bool
 	votes       map[string]bool
 	isPre       bool
@@ -116,9 +116,9 @@
 		q.term, q.vote = options.Hard.Term, options.Hard.Vote
 	}
 	q.synced = q.hard()
-	if options.Image != nil {
-		q.first, q.firstTerm = options.Image.Index, options.Image.Term
-		q.base = options.Image.Members
+	if options.Snapshot != nil {
+		q.first, q.firstTerm = options.Snapshot.Index, options.Snapshot.Term
+		q.base = options.Snapshot.Members
 		q.commit, q.handed = q.first, q.first
 	}
 	q.items = options.Items
@@ -382,13 +382,13 @@
 }
 
 // Describe fills index, term and members of an image taken at the applied index.
-func (q *Quorum) Describe(image *schema.Snapshot) {
-	image.Index = q.handed
-	image.Term, _ = q.termAt(q.handed)
-	image.Members = q.base
+func (q *Quorum) Describe(snapshot *schema.Snapshot) {
+	snapshot.Index = q.handed
+	snapshot.Term, _ = q.termAt(q.handed)
+	snapshot.Members = q.base
 	for _, item := range q.items {
 		if item.Index <= q.handed && item.Record.Kind == schema.RecordKind_RECORD_MEMBERS {
-			image.Members = item.Record.Members
+			snapshot.Members = item.Record.Members
 		}
 	}
 }
@@ -400,8 +400,8 @@
 	if hard := q.hard(); !proto.Equal(hard, q.synced) {
 		ready.Hard = hard
 	}
-	if q.image != nil {
-		ready.Image, q.image = q.image, nil
+	if q.snapshot != nil {
+		ready.Snapshot, q.snapshot = q.snapshot, nil
 	}
 	if q.unsynced <= q.last() {
 		ready.Items = slices.Clone(q.items[q.unsynced-q.first-1:])
@@ -417,7 +417,7 @@
 	if ready.Hard != nil {
 		q.synced = &schema.HardState{Term: ready.Hard.Term, Vote: ready.Hard.Vote}
 	}
-	if ready.Image != nil && q.image == nil {
+	if ready.Snapshot != nil && q.snapshot == nil {
 		q.isBehind = false
 	}
 	if n := len(ready.Items); n > 0 {
--- a/internal/quorum/replication.go
+++ b/internal/quorum/replication.go
@@ -162,7 +162,7 @@
 	q.items, q.logBytes = nil, 0
 	q.unsynced = q.first + 1
 	q.commit, q.handed = q.first, q.first
-	q.image, q.isBehind = m.Snapshot, true
+	q.snapshot, q.isBehind = m.Snapshot, true
 	q.send(response)
 }
 
--- a/internal/quorum/snapshot.go
+++ b/internal/quorum/snapshot.go
@@ -79,10 +79,10 @@
 
 // sendWhole sends a snapshot in one message, to members of a program that knows no parts.
 func (q *Quorum) sendWhole(id string, p *progress) {
-	if q.now-p.imageAt < q.options.Pace.ElectionLeast && p.imageAt > 0 {
+	if q.now-p.snapshotAt < q.options.Pace.ElectionLeast && p.snapshotAt > 0 {
 		return
 	}
-	p.imageAt = q.now
+	p.snapshotAt = q.now
 	q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT, To: id, Snapshot: q.options.Whole(), Round: q.round, Commit: q.commit})
 }
 
--- a/internal/quorum/walk_test.go
+++ b/internal/quorum/walk_test.go
@@ -39,16 +39,16 @@
 
 // walker is one member with its disk and what it is writing.
 type walker struct {
-	name    string
-	quorum  *Quorum
-	rate    float64
-	isUp    bool
-	hard    *schema.HardState
-	image   *schema.Snapshot
-	items   []*schema.LogItem
-	writing *Ready
-	readyAt time.Duration
-	applied uint64
+	name     string
+	quorum   *Quorum
+	rate     float64
+	isUp     bool
+	hard     *schema.HardState
+	snapshot *schema.Snapshot
+	items    []*schema.LogItem
+	writing  *Ready
+	readyAt  time.Duration
+	applied  uint64
 	// members are the newest that this member has applied, base the term at the applied index.
 	terms map[uint64]uint64
 }
@@ -79,8 +79,8 @@
 
 func (w *walk) start(m *walker) {
 	m.isUp, m.writing = true, nil
-	m.applied, m.terms = m.image.GetIndex(), map[uint64]uint64{m.image.GetIndex(): m.image.GetTerm()}
-	m.quorum = New(w.clock(m), Options{ID: m.name, Hard: m.hard, Image: m.image, Items: slices.Clone(m.items), Draw: w.random.Int63n, Whole: func() *schema.Snapshot {
+	m.applied, m.terms = m.snapshot.GetIndex(), map[uint64]uint64{m.snapshot.GetIndex(): m.snapshot.GetTerm()}
+	m.quorum = New(w.clock(m), Options{ID: m.name, Hard: m.hard, Snapshot: m.snapshot, Items: slices.Clone(m.items), Draw: w.random.Int63n, Whole: func() *schema.Snapshot {
 		whole := &schema.Snapshot{Rows: []*schema.Row{{Key: "k", Value: make([]byte, 200<<10)}}}
 		m.quorum.Describe(whole)
 		return whole
@@ -94,7 +94,7 @@
 		part := *m.writing
 		part.Items = part.Items[:w.random.Intn(len(part.Items)+1)]
 		if w.random.Intn(2) == 0 {
-			part.Image, part.Items = nil, nil
+			part.Snapshot, part.Items = nil, nil
 		}
 		m.persist(&part)
 	}
@@ -105,8 +105,8 @@
 	if ready.Hard != nil {
 		m.hard = proto.Clone(ready.Hard).(*schema.HardState)
 	}
-	if ready.Image != nil {
-		m.image = ready.Image
+	if ready.Snapshot != nil {
+		m.snapshot = ready.Snapshot
 		m.items = nil
 	}
 	for _, item := range ready.Items {
@@ -125,8 +125,8 @@
 		ready := *m.writing
 		m.persist(&ready)
 		m.writing = nil
-		if ready.Image != nil {
-			m.applied, m.terms = ready.Image.Index, map[uint64]uint64{ready.Image.Index: ready.Image.Term}
+		if ready.Snapshot != nil {
+			m.applied, m.terms = ready.Snapshot.Index, map[uint64]uint64{ready.Snapshot.Index: ready.Snapshot.Term}
 		}
 		m.quorum.Synced(w.clock(m), ready)
 		for _, message := range ready.Messages {
@@ -135,7 +135,7 @@
 		w.apply(m)
 	}
 	ready := m.quorum.Take()
-	if ready.Hard == nil && len(ready.Items) == 0 && ready.Image == nil && len(ready.Messages) == 0 {
+	if ready.Hard == nil && len(ready.Items) == 0 && ready.Snapshot == nil && len(ready.Messages) == 0 {
 		return
 	}
 	m.writing, m.readyAt = &ready, w.now+time.Duration(w.random.Intn(15))*time.Millisecond
@@ -270,7 +270,7 @@
 
 // compact writes a snapshot of what a member has applied, and drops most of the log behind it.
 func (w *walk) compact(m *walker) {
-	if !m.isUp || m.writing != nil || m.applied <= m.image.GetIndex() || len(m.items) == 0 || m.items[len(m.items)-1].Index < m.applied {
+	if !m.isUp || m.writing != nil || m.applied <= m.snapshot.GetIndex() || len(m.items) == 0 || m.items[len(m.items)-1].Index < m.applied {
 		return
 	}
 	snapshot := &schema.Snapshot{}
@@ -278,7 +278,7 @@
 	if snapshot.Index != m.applied {
 		return
 	}
-	m.image = snapshot
+	m.snapshot = snapshot
 	m.items = slices.DeleteFunc(m.items, func(item *schema.LogItem) bool { return item.Index <= snapshot.Index })
 	dropTo(m.quorum, snapshot.Index)
 }
@@ -318,7 +318,7 @@
 		records += int(w.highest)
 		terms += len(w.leaders)
 		for _, m := range w.members {
-			if m.image != nil {
+			if m.snapshot != nil {
 				snapshots++
 			}
 		}
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -233,7 +233,7 @@
 	options := core.Options{Self: self, Seeds: f.seeds(), Draw: n.random.Int63n, Log: f.log.With("node", n.Name)}
 	var j *journal.Journal
 	if n.HasDisk {
-		sizes := journal.Options{Files: 4, FileBytes: 128 << 10, ImageBytes: 512 << 10}
+		sizes := journal.Options{Files: 4, FileBytes: 128 << 10, SnapshotBytes: 512 << 10}
 		opened, state, err := journal.Open(n.disk, sizes)
 		var newer *versions.DiskError
 		if errors.As(err, &newer) {
@@ -250,7 +250,7 @@
 			}
 		}
 		j = opened
-		options.Hard, options.Image, options.Items = state.Hard, state.Image, state.Items
+		options.Hard, options.Snapshot, options.Items = state.Hard, state.Snapshot, state.Items
 		options.System, options.Restart = state.Hard.System, state.Hard.Id != ""
 		if options.Restart {
 			n.ident = state.Hard.Id
