--- a/cmd/topazshed/doctor_routed.go
+++ b/cmd/topazshed/doctor_routed.go
@@ -28,7 +28,7 @@
 			add("keys-without-holder", "look again in 10 s; if it lasts, look for back ends that don't answer their key calls", "%d keys of %s are held by no back end", service.Unheld, service.Name)
 		}
 	}
-	for _, row := range first.Standings {
+	for _, row := range first.Assignments {
 		if row.Active == "nobody" {
 			add("standing-without-group", "report it: a number must name a group or a region", "%s in %s has number %d, which names nobody", row.Service, row.Region, row.Number)
 		}
--- a/cmd/topazshed/status.go
+++ b/cmd/topazshed/status.go
@@ -34,7 +34,7 @@
 	for _, n := range s.Nodes {
 		line("machine  %s %-9s district %-10s proxy %s door %s disk %v%s", n.ID, n.State, n.Zone, n.Proxy, n.Door, n.Disk, wordOf(s, n))
 	}
-	for _, row := range s.Standings {
+	for _, row := range s.Assignments {
 		line("standing %-20s %-6s %-10s -> %-14s number %d fenced %v: %s", row.Service+row.Path, row.Kind, row.Region, row.Active, row.Number, row.Fenced, row.Reason)
 	}
 	for _, c := range s.Changes {
--- a/cmd/topazshed/status_test.go
+++ b/cmd/topazshed/status_test.go
@@ -10,9 +10,9 @@
 
 func routedStatus() *control.Status {
 	return &control.Status{Node: "a", Role: "leader", Term: 3, Leader: "10.0.0.1:7001", Index: 40, Configuration: 5, Fit: true, ListMs: 120, Voters: []string{"a"}, Disk: &control.Disk{Folder: "/d", LastSyncMs: 2, WorstMs: 9},
-		Zones:     []control.ZoneStatus{{Name: "mu-a", Region: "mu", Emptied: true, Reason: "new racks"}},
-		Nodes:     []control.NodeStatus{{ID: "a", State: "ready", Zone: "mu-b", Index: 40, InForce: true}, {ID: "b", State: "ready", Zone: "mu-b", Index: 40, HeardMs: 300, InForce: true}},
-		Standings: []control.Standing{{Kind: "region", Region: "mu", Active: "mu:mu-b", Number: 20002, Reason: "its open districts"}},
+		Zones:       []control.ZoneStatus{{Name: "mu-a", Region: "mu", Emptied: true, Reason: "new racks"}},
+		Nodes:       []control.NodeStatus{{ID: "a", State: "ready", Zone: "mu-b", Index: 40, InForce: true}, {ID: "b", State: "ready", Zone: "mu-b", Index: 40, HeardMs: 300, InForce: true}},
+		Assignments: []control.Assignment{{Kind: "region", Region: "mu", Active: "mu:mu-b", Number: 20002, Reason: "its open districts"}},
 		Changes: []control.Change{{Region: "mu", From: 10000, To: 20002, Was: "mu", Is: "mu:mu-b", Cause: "its open districts", Evidence: "mu-a is emptied (new racks)", At: "2026-05-04T12:00:00.123Z", Leader: "a", Index: 38, Term: 3},
 			{Service: "nickel", Region: "xi", From: 1, To: 2, Was: "xi", Is: "region mu", Cause: "c", Index: 39, Term: 3}},
 		Routed: &control.RoutedStatus{Routes: 2, Services: []control.ServiceStatus{{Name: "copper", Routes: 1, Ready: 2, Cold: 1}, {Name: "nickel", Routes: 1, Ready: 1, Keyed: true}},
@@ -75,7 +75,7 @@
 		{"a service without back ends", func(s *control.Status) { s.Routed.Services[0].Ready = 0 }, "service-without-back-end"},
 		{"a service that no route leads to", func(s *control.Status) { s.Routed.Services[0].Ready, s.Routed.Services[0].Routes = 0, 0 }, ""},
 		{"keys that nobody holds", func(s *control.Status) { s.Routed.Services[1].Unheld = 64 }, "keys-without-holder"},
-		{"a number that names nobody", func(s *control.Status) { s.Standings[0].Active = "nobody" }, "standing-without-group"},
+		{"a number that names nobody", func(s *control.Status) { s.Assignments[0].Active = "nobody" }, "standing-without-group"},
 		{"a machine that is behind", func(s *control.Status) { s.Nodes[1].InForce = false }, "configuration-not-in-force"},
 		{"a lost machine that is behind", func(s *control.Status) { s.Nodes[1].InForce, s.Nodes[1].State = false, "lost" }, ""},
 		{"nothing was put yet", func(s *control.Status) { s.Nodes[1].InForce, s.Configuration = false, 0 }, ""},
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -245,7 +245,7 @@
 }
 
 // Standings makes the first standing rows of entries, so that a configuration and its standing take effect together.
-func Standings(view *image.View, table *image.Table, record *schema.Record) {
+func Assignments(view *image.View, table *image.Table, record *schema.Record) {
 	scratch := image.NewTable()
 	scratch.Restore(table.Whole())
 	changed, err := scratch.Apply(table.Version()+1, record, nil)
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -65,7 +65,7 @@
 		}
 		record, _, err := Plan(table, entries, document, 0, "")
 		if err == nil {
-			Standings(view, table, record)
+			Assignments(view, table, record)
 		}
 		return record, err
 	}
@@ -83,8 +83,8 @@
 	if _, err := table.Apply(3, second, nil); err == nil {
 		t.Fatal("both racing records were applied")
 	}
-	if standing := image.Decode[schema.FailoverAssignment](table.Get(image.StandingKey("ledger", "/balances", "north"))); standing.GetNumber() != 100 {
-		t.Fatalf("the standing does not come with the configuration: %v", standing)
+	if assignment := image.Decode[schema.FailoverAssignment](table.Get(image.AssignmentKey("ledger", "/balances", "north"))); assignment.GetNumber() != 100 {
+		t.Fatalf("the standing does not come with the configuration: %v", assignment)
 	}
 	if _, err := plan(); err == nil || !strings.Contains(err.Error(), "newest configuration is version 1") {
 		t.Fatalf("a put on an old base got %v", err)
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -54,9 +54,9 @@
 	// BehindMost (time) is how long a disk machine serves on although it was told of changes that it can't apply yet: with the way there it stays below 2.5 s.
 	BehindMost = 1500 * time.Millisecond
 	// StandingPlanEvery (time) is how often the leader's watcher derives the standing.
-	StandingPlanEvery = 200 * time.Millisecond
+	FailoverPlanEvery = 200 * time.Millisecond
 	// StandingSettle (time) keeps a fresh leader from judging nodes that could not have reported yet.
-	StandingSettle = 2 * time.Second
+	FailoverSettle = 2 * time.Second
 	// GroupIncrement (numbers) is the failover increment of routed fleets: 46 regions with 182 zones need 46 + 182 + 46 residues, some zones lost at once many more.
 	GroupIncrement = 10000
 	// Increment (numbers) is the failover increment: the source's example, room for 50 groups and 50 regions.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -64,7 +64,7 @@
 }
 
 // Standing is one row of the region map or of the entity rows, with the reason of its last change.
-type Standing struct {
+type Assignment struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
 	Kind    string `json:"kind"`
@@ -141,7 +141,7 @@
 	Results        map[string]uint64 `json:"outcomes"`
 	Nodes          []NodeStatus      `json:"nodes"`
 	Zones          []ZoneStatus      `json:"districts"`
-	Standings      []Standing        `json:"standings"`
+	Assignments    []Assignment      `json:"standings"`
 	Entries        []string          `json:"entries"`
 	Backends       []BackendStatus   `json:"backends"`
 	Unconfirmed    []string          `json:"unconfirmed,omitempty"`
@@ -184,8 +184,8 @@
 	router.Get("/v1/status", d.status)
 	router.Get("/metrics", d.metrics)
 	if d.options.Routed != nil {
-		router.Get("/v1/standings", d.standings)
-		router.Get("/v1/standings/{region}", d.standing)
+		router.Get("/v1/standings", d.assignments)
+		router.Get("/v1/standings/{region}", d.assignment)
 	}
 	router.NotFound(func(w http.ResponseWriter, r *http.Request) {
 		write(w, http.StatusNotFound, Reply{Kind: "unknown", Message: "no such call; see docs/operators.md for the door's calls"})
@@ -357,11 +357,11 @@
 	for _, service := range view.Services {
 		for _, entry := range service.Entries {
 			s.Entries = append(s.Entries, entry.Service+entry.Path)
-			for _, row := range service.Standings[entry.Path] {
-				s.Standings = append(s.Standings, Standing{row.Service, row.Path, "region", row.Region, standing.GroupName(view, row.Number), row.Number, row.Fenced, row.Reason})
+			for _, row := range service.Assignments[entry.Path] {
+				s.Assignments = append(s.Assignments, Assignment{row.Service, row.Path, "region", row.Region, standing.GroupName(view, row.Number), row.Number, row.Fenced, row.Reason})
 			}
 			if row := service.Entities[entry.Path]; row != nil && standing.IsBound(entry) {
-				s.Standings = append(s.Standings, Standing{row.Service, row.Path, "entity", row.Region, standing.GroupName(view, row.Number), row.Number, row.Fenced, row.Reason})
+				s.Assignments = append(s.Assignments, Assignment{row.Service, row.Path, "entity", row.Region, standing.GroupName(view, row.Number), row.Number, row.Fenced, row.Reason})
 			}
 		}
 		for _, b := range service.Backends {
@@ -376,7 +376,7 @@
 		}
 	}
 	slices.Sort(s.Entries)
-	slices.SortFunc(s.Standings, func(a, b Standing) int {
+	slices.SortFunc(s.Assignments, func(a, b Assignment) int {
 		return strings.Compare(a.Service+a.Path+a.Kind+a.Region, b.Service+b.Path+b.Kind+b.Region)
 	})
 	slices.SortFunc(s.Backends, func(a, b BackendStatus) int { return strings.Compare(a.Service+a.Instance, b.Service+b.Instance) })
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -22,7 +22,7 @@
 		image.Put(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}),
 		image.Put(image.ZoneKey("north-b"), &schema.Zone{Name: "north-b", Region: "north", Residue: 2}),
 		image.Put(image.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
-		image.Put(image.StandingKey("ledger", "/b", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/b", Region: "north", Number: 202, Reason: "all proxies of district north-a are lost or stopping"}),
+		image.Put(image.AssignmentKey("ledger", "/b", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/b", Region: "north", Number: 202, Reason: "all proxies of district north-a are lost or stopping"}),
 	}}, nil)
 	view := image.Compile(table)
 	return New(Options{Self: &schema.Node{Id: "n1"}, Now: func() time.Duration { return time.Hour }, Local: func() *core.Local { return &core.Local{View: view, FreshAt: time.Hour, TickAt: time.Hour} },
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -56,7 +56,7 @@
 	for _, zone := range s.Zones {
 		gauge("district_emptied", flag(zone.Emptied), "district", zone.Name)
 	}
-	for _, row := range s.Standings {
+	for _, row := range s.Assignments {
 		gauge("standing_number", row.Number, "region", row.Region, "service", row.Service, "path", row.Path, "kind", row.Kind, "active", row.Active)
 	}
 	if s.Routed != nil {
--- a/internal/control/routed.go
+++ b/internal/control/routed.go
@@ -179,13 +179,13 @@
 		}
 	}
 	row := func(r *schema.FailoverAssignment, kind string) {
-		s.Standings = append(s.Standings, Standing{Service: r.Service, Path: r.Path, Kind: kind, Region: r.Region, Active: name(r.Number), Number: r.Number, Reason: r.Reason})
+		s.Assignments = append(s.Assignments, Assignment{Service: r.Service, Path: r.Path, Kind: kind, Region: r.Region, Active: name(r.Number), Number: r.Number, Reason: r.Reason})
 	}
 	for _, r := range view.Defaults {
 		row(r, "region")
 	}
 	for _, service := range view.Services {
-		for _, r := range service.Standings[""] {
+		for _, r := range service.Assignments[""] {
 			row(r, "service")
 		}
 		of := ServiceStatus{Name: service.Name, Keyed: service.Policy.GetKeyed(), Routes: aimed[service.Name]}
@@ -222,7 +222,7 @@
 }
 
 // StandingAnswer is what one origin region resolves to for a service now, and its newest changes.
-type StandingAnswer struct {
+type AssignmentsAnswer struct {
 	Service string   `json:"service,omitempty"`
 	Origin  string   `json:"origin"`
 	Region  string   `json:"region"`
@@ -236,12 +236,12 @@
 	LeaderUnreachable string `json:"leader_silent,omitempty"`
 }
 
-func (d *Door) standings(w http.ResponseWriter, r *http.Request) {
+func (d *Door) assignments(w http.ResponseWriter, r *http.Request) {
 	s := d.Status()
-	write(w, http.StatusOK, map[string]any{"standings": s.Standings, "groups": s.Routed.Groups})
+	write(w, http.StatusOK, map[string]any{"standings": s.Assignments, "groups": s.Routed.Groups})
 }
 
-func (d *Door) standing(w http.ResponseWriter, r *http.Request) {
+func (d *Door) assignment(w http.ResponseWriter, r *http.Request) {
 	service, region := r.URL.Query().Get("service"), chi.URLParam(r, "region")
 	view := d.options.Local().View
 	if view.Regions[region] == nil || service != "" && view.Services[service] == nil {
@@ -253,11 +253,11 @@
 		write(w, http.StatusServiceUnavailable, Reply{Kind: "no-standing", Message: err.Error()})
 		return
 	}
-	answer := StandingAnswer{Service: service, Origin: region, Region: place.Region, Group: place.Group, Zones: place.Zones, Trail: place.Trail.String(), Changes: []Change{}}
+	answer := AssignmentsAnswer{Service: service, Origin: region, Region: place.Region, Group: place.Group, Zones: place.Zones, Trail: place.Trail.String(), Changes: []Change{}}
 	own := view.Services[service]
 	answer.Reason = view.Defaults[region].GetReason()
-	if own != nil && own.Standings[""][region] != nil {
-		answer.Reason = own.Standings[""][region].Reason
+	if own != nil && own.Assignments[""][region] != nil {
+		answer.Reason = own.Assignments[""][region].Reason
 	}
 	response, err := d.leaderWord(r.Context())
 	if err != nil {
--- a/internal/control/routed_test.go
+++ b/internal/control/routed_test.go
@@ -34,7 +34,7 @@
 		image.Put(image.GroupKey("mu"), &schema.Group{Name: "mu", Region: "mu", Zones: []string{"mu-a", "mu-b"}, Residue: 0}),
 		image.Put(image.GroupKey("mu:mu-b"), &schema.Group{Name: "mu:mu-b", Region: "mu", Zones: []string{"mu-b"}, Residue: 2}),
 		image.Put(image.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: 20002, Reason: "its open districts"}),
-		image.Put(image.StandingKey("nickel", "", "mu"), &schema.FailoverAssignment{Service: "nickel", Region: "mu", Number: 20003, Reason: "no open district with back ends; work goes to xi"}),
+		image.Put(image.AssignmentKey("nickel", "", "mu"), &schema.FailoverAssignment{Service: "nickel", Region: "mu", Number: 20003, Reason: "no open district with back ends; work goes to xi"}),
 		image.Put(image.PolicyKey("nickel"), &schema.ServicePolicy{Service: "nickel", Keyed: true}),
 		image.Put(image.SpanKey("nickel", 0), &schema.ShardRange{Service: "nickel", First: 0, Last: 32767, Instance: "i-1", Fence: 7}),
 		image.Put(image.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1", Zone: "mu-b", State: schema.BackendState_BACKEND_READY, Cold: true}),
--- a/internal/core/changes.go
+++ b/internal/core/changes.go
@@ -10,7 +10,7 @@
 	"topazshed/internal/schema"
 )
 
-func isStanding(key string) bool {
+func isAssignment(key string) bool {
 	if strings.HasPrefix(key, "standing/") {
 		return true
 	}
@@ -22,7 +22,7 @@
 func (c *Core) numbersOf(record *schema.Record) map[string]uint64 {
 	var numbers map[string]uint64
 	for _, row := range record.GetRows() {
-		if isStanding(row.Key) {
+		if isAssignment(row.Key) {
 			if numbers == nil {
 				numbers = map[string]uint64{}
 			}
--- a/internal/core/changes_test.go
+++ b/internal/core/changes_test.go
@@ -140,12 +140,12 @@
 	}
 }
 
-func TestOnlyStandingsAreNoted(t *testing.T) {
+func TestOnlyAssignmentsAreNoted(t *testing.T) {
 	for key, want := range map[string]bool{
-		image.DefaultKey("mu"): true, image.StandingKey("copper", "", "mu"): true, image.StandingKey("copper", "/a/b", "mu"): true,
+		image.DefaultKey("mu"): true, image.AssignmentKey("copper", "", "mu"): true, image.AssignmentKey("copper", "/a/b", "mu"): true,
 		image.EntryKey("copper", "/standing/x"): false, image.BackendKey("copper", "c-1"): false, image.ZoneKey("standing"): false, image.RouteKey("one.example", "/standing/"): false,
 	} {
-		if got := isStanding(key); got != want {
+		if got := isAssignment(key); got != want {
 			t.Errorf("%s: %v, want %v", key, got, want)
 		}
 	}
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -37,14 +37,14 @@
 		c.sendHeartbeat()
 	}
 	c.leader, c.leaderAt = c.self.Address, c.now
-	if c.now-c.planAt < constants.StandingPlanEvery {
+	if c.now-c.planAt < constants.FailoverPlanEvery {
 		return
 	}
 	c.planAt = c.now
 	c.planMembers()
 	c.planNodes()
 	c.planVersion()
-	if c.routed == nil && c.now-c.electedAt < constants.StandingSettle && len(c.view.Services) > 0 {
+	if c.routed == nil && c.now-c.electedAt < constants.FailoverSettle && len(c.view.Services) > 0 {
 		return
 	}
 	if c.routed != nil {
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -114,7 +114,7 @@
 			Version: image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey)).GetVersion()})
 		return
 	}
-	catalog.Standings(c.view, c.table, record)
+	catalog.Assignments(c.view, c.table, record)
 	c.submit(w, record, version)
 }
 
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -22,8 +22,8 @@
 		image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "south", Number: 103}),
 	}
 	for _, path := range []string{"/b", "/home", "/pay"} {
-		rows = append(rows, image.Put(image.StandingKey("ledger", path, "south"), &schema.FailoverAssignment{Service: "ledger", Path: path, Region: "south", Number: 102}),
-			image.Put(image.StandingKey("ledger", path, "north"), &schema.FailoverAssignment{Service: "ledger", Path: path, Region: "north", Number: 100}))
+		rows = append(rows, image.Put(image.AssignmentKey("ledger", path, "south"), &schema.FailoverAssignment{Service: "ledger", Path: path, Region: "south", Number: 102}),
+			image.Put(image.AssignmentKey("ledger", path, "north"), &schema.FailoverAssignment{Service: "ledger", Path: path, Region: "north", Number: 100}))
 	}
 	for id, state := range map[string]schema.NodeState{"n1": schema.NodeState_NODE_READY, "n2": schema.NodeState_NODE_STOPPING, "n3": schema.NodeState_NODE_LOST} {
 		rows = append(rows, image.Put(image.NodeKey(id), &schema.Node{Id: id, Zone: "north-a", Region: "north", Proxy: id, State: state}),
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -162,7 +162,7 @@
 				out = append(out, c)
 				continue
 			}
-			if standing, until := s.Loads.Standing(s.Now, s.Service, backend.Instance); standing == StandingOut && !c.isCold {
+			if standing, until := s.Loads.OutlierStatus(s.Now, s.Service, backend.Instance); standing == OutlierEjected && !c.isCold {
 				c.outTo = until
 				out = append(out, c)
 				continue
--- a/internal/gateway/outliers.go
+++ b/internal/gateway/outliers.go
@@ -24,22 +24,22 @@
 )
 
 // Standing is how a node takes a back end.
-type Standing int
+type OutlierStatus int
 
 // The standings of a back end at a node.
 const (
 	// StandingSound: it gets its share.
-	StandingSound Standing = iota
+	OutlierHealthy OutlierStatus = iota
 	// StandingOut: it is ejected, and gets a request only if nothing else is left.
-	StandingOut
+	OutlierEjected
 	// StandingTrial: its time out is over, and one request at a time shows whether it is well.
-	StandingTrial
+	OutlierOnTrial
 )
 
 type suspect struct {
 	good, bad float64
 	at        time.Duration
-	standing  Standing
+	standing  OutlierStatus
 	strikes   int
 	until     time.Duration
 	trials    int
@@ -130,15 +130,15 @@
 
 func (o *Outliers) pass(now time.Duration, s *suspect) {
 	switch s.standing {
-	case StandingOut, StandingTrial:
+	case OutlierEjected, OutlierOnTrial:
 		if now < s.until {
 			return
 		}
 		if s.trials++; s.trials < constants.OutlierTrials {
 			return
 		}
-		s.standing, s.soundAt, s.good, s.bad = StandingSound, now, 0, 0
-	case StandingSound:
+		s.standing, s.soundAt, s.good, s.bad = OutlierHealthy, now, 0, 0
+	case OutlierHealthy:
 		if s.strikes > 0 && now-s.soundAt >= constants.OutlierForgiven {
 			s.strikes = 0
 		}
@@ -147,9 +147,9 @@
 
 func (o *Outliers) fail(now time.Duration, s *suspect, t *tally, verdict Verdict) {
 	switch {
-	case s.standing == StandingOut && now < s.until:
+	case s.standing == OutlierEjected && now < s.until:
 		return
-	case s.standing != StandingSound:
+	case s.standing != OutlierHealthy:
 	default:
 		// The others' share is that of the service without this back end.
 		others := (t.bad - s.bad) / max(1, t.bad+t.good-s.bad-s.good)
@@ -158,29 +158,29 @@
 			return
 		}
 	}
-	if s.strikes > 0 && s.standing == StandingSound && now-s.soundAt >= constants.OutlierForgiven {
+	if s.strikes > 0 && s.standing == OutlierHealthy && now-s.soundAt >= constants.OutlierForgiven {
 		s.strikes = 0
 	}
 	s.hasFailed = true
-	s.standing, s.trials = StandingOut, 0
+	s.standing, s.trials = OutlierEjected, 0
 	s.until = now + min(constants.OutlierOutMost, constants.OutlierOut<<min(s.strikes, 8))
 	s.strikes++
 }
 
 // Standing is how a back end stands now, and until when it is out. One that has not answered for much longer than is usual counts as out until it does.
-func (o *Outliers) Standing(now time.Duration, service, id string) (Standing, time.Duration) {
+func (o *Outliers) Status(now time.Duration, service, id string) (OutlierStatus, time.Duration) {
 	s := o.suspects[id]
 	switch {
 	case s == nil:
-		return StandingSound, 0
+		return OutlierHealthy, 0
 	case o.isOverdue(now, service, s):
-		return StandingOut, max(s.until, now+constants.OutlierOut)
-	case s.standing == StandingSound:
-		return StandingSound, 0
+		return OutlierEjected, max(s.until, now+constants.OutlierOut)
+	case s.standing == OutlierHealthy:
+		return OutlierHealthy, 0
 	case now < s.until, len(s.started) > 0:
-		return StandingOut, s.until
+		return OutlierEjected, s.until
 	}
-	return StandingTrial, 0
+	return OutlierOnTrial, 0
 }
 
 // IsOverdue tells that an attempt at a service which has taken so long takes much longer than is usual there.
--- a/internal/gateway/outliers_test.go
+++ b/internal/gateway/outliers_test.go
@@ -13,7 +13,7 @@
 
 func TestOutliers(t *testing.T) {
 	const out = constants.OutlierOut
-	standings := map[Standing]string{StandingSound: "sound", StandingOut: "out", StandingTrial: "trial"}
+	standings := map[OutlierStatus]string{OutlierHealthy: "sound", OutlierEjected: "out", OutlierOnTrial: "trial"}
 	// A step is "good", "bad" or "full" (an attempt at i-1 judged so), "others-good" or "others-bad" or "others-full" (ten at the others), "start" and "stop", a time to wait, or a standing to be seen.
 	for _, c := range []struct{ name, steps string }{
 		{"nothing is known", "sound"},
@@ -61,7 +61,7 @@
 				case err == nil:
 					now += wait
 				default:
-					if standing, _ := o.Standing(now, "copper", "i-1"); standings[standing] != step {
+					if standing, _ := o.Status(now, "copper", "i-1"); standings[standing] != step {
 						t.Fatalf("step %d: %s, want %s", at, standings[standing], step)
 					}
 				}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -141,10 +141,10 @@
 }
 
 // Standing is how this node takes a back end.
-func (l *Loads) Standing(now time.Duration, service, id string) (Standing, time.Duration) {
+func (l *Loads) OutlierStatus(now time.Duration, service, id string) (OutlierStatus, time.Duration) {
 	l.judged.lock.Lock()
 	defer l.judged.lock.Unlock()
-	return l.judged.Outliers.Standing(now, service, id)
+	return l.judged.Outliers.Status(now, service, id)
 }
 
 // Fail notes that a back end was not reached or broke off; it rests for a time that grows.
--- a/internal/image/table.go
+++ b/internal/image/table.go
@@ -36,7 +36,7 @@
 func EntryKey(service, path string) string {
 	return ServicePrefix(service) + "entry/" + path
 }
-func StandingKey(service, path, region string) string {
+func AssignmentKey(service, path, region string) string {
 	return ServicePrefix(service) + "standing/" + region + "/" + path
 }
 func EntityKey(service, path string) string {
--- a/internal/image/view.go
+++ b/internal/image/view.go
@@ -13,14 +13,14 @@
 
 // Service is the compiled slice of one service; it is never changed once published.
 type Service struct {
-	Name      string
-	Entries   []*schema.Entry
-	Standings map[string]map[string]*schema.FailoverAssignment
-	Entities  map[string]*schema.Entity
-	Backends  []*schema.Backend
-	Slots     map[uint32]*schema.ShardSlot
-	Policy    *schema.ServicePolicy
-	Spans     []*schema.ShardRange
+	Name        string
+	Entries     []*schema.Entry
+	Assignments map[string]map[string]*schema.FailoverAssignment
+	Entities    map[string]*schema.Entity
+	Backends    []*schema.Backend
+	Slots       map[uint32]*schema.ShardSlot
+	Policy      *schema.ServicePolicy
+	Spans       []*schema.ShardRange
 	// isSorted says that Backends stand in the order of their instances, as the table gives them.
 	isSorted bool
 }
@@ -189,7 +189,7 @@
 }
 
 func compile(table *Table, name string) *Service {
-	service := &Service{Name: name, Standings: map[string]map[string]*schema.FailoverAssignment{}, Entities: map[string]*schema.Entity{}, Slots: map[uint32]*schema.ShardSlot{}}
+	service := &Service{Name: name, Assignments: map[string]map[string]*schema.FailoverAssignment{}, Entities: map[string]*schema.Entity{}, Slots: map[uint32]*schema.ShardSlot{}}
 	prefix := ServicePrefix(name)
 	isThere := false
 	table.Each(prefix, func(row *schema.Row) {
@@ -201,11 +201,11 @@
 				service.Entries = append(service.Entries, entry)
 			}
 		case "standing":
-			if standing := Decode[schema.FailoverAssignment](row); standing != nil {
-				if service.Standings[standing.Path] == nil {
-					service.Standings[standing.Path] = map[string]*schema.FailoverAssignment{}
+			if assignment := Decode[schema.FailoverAssignment](row); assignment != nil {
+				if service.Assignments[assignment.Path] == nil {
+					service.Assignments[assignment.Path] = map[string]*schema.FailoverAssignment{}
 				}
-				service.Standings[standing.Path][standing.Region] = standing
+				service.Assignments[assignment.Path][assignment.Region] = assignment
 			}
 		case "entity":
 			if entity := Decode[schema.Entity](row); entity != nil {
--- a/internal/node/native_test.go
+++ b/internal/node/native_test.go
@@ -223,12 +223,12 @@
 	})
 
 	// A district is emptied: its back ends get nothing, the standing tells why, and it comes back.
-	var before control.StandingAnswer
+	var before control.AssignmentsAnswer
 	machines[0].read(t, "/v1/standings/mu?service=copper", &before)
 	if status, _, text := machines[3].door("POST", "/v1/districts/mu-a/empty?reason=new+racks", ""); status != 200 {
 		t.Fatalf("%d %s", status, text)
 	}
-	var after control.StandingAnswer
+	var after control.AssignmentsAnswer
 	until(t, "the standing moves and tells why", func() bool {
 		machines[3].read(t, "/v1/standings/mu?service=copper", &after)
 		return after.Group != before.Group && len(after.Changes) > 0
@@ -270,9 +270,9 @@
 		status, _ := machines[0].ask("/n/x", "7")
 		return status == 200
 	})
-	var all struct{ Standings []control.Standing }
+	var all struct{ Assignments []control.Assignment }
 	machines[2].read(t, "/v1/standings", &all)
-	if len(all.Standings) < 2 {
+	if len(all.Assignments) < 2 {
 		t.Errorf("%+v", all)
 	}
 	for _, h := range []*nativeOwner{copper, copper2, nickel} {
--- a/internal/proxy/decider.go
+++ b/internal/proxy/decider.go
@@ -297,7 +297,7 @@
 func partOf(view *image.View, service *image.Service, self string, isIn func(region string) bool, isAble func(*schema.Node) bool) Part {
 	groups := map[uint64]bool{}
 	if service != nil {
-		for _, rows := range service.Standings {
+		for _, rows := range service.Assignments {
 			for region, row := range rows {
 				if isIn(region) {
 					groups[row.Number%constants.Increment] = true
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -43,9 +43,9 @@
 	}
 	w.put("", image.Put(image.EntryKey("ledger", "/balances"), &schema.Entry{Service: "ledger", Path: "/balances", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, BodyLimit: 64, ResponseLimit: 4096, ColdRate: 6}))
 	w.put("", image.Put(image.EntryKey("ledger", "/pay"), &schema.Entry{Service: "ledger", Path: "/pay", Methods: []string{"POST"}, BodyLimit: 64, ResponseLimit: 4096, ColdRate: 6}))
-	w.put("", image.Put(image.StandingKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 100}))
-	w.put("", image.Put(image.StandingKey("ledger", "/balances", "south"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "south", Number: 101}))
-	w.put("", image.Put(image.StandingKey("ledger", "/pay", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/pay", Region: "north", Number: 100}))
+	w.put("", image.Put(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 100}))
+	w.put("", image.Put(image.AssignmentKey("ledger", "/balances", "south"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "south", Number: 101}))
+	w.put("", image.Put(image.AssignmentKey("ledger", "/pay", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/pay", Region: "north", Number: 100}))
 	w.put("", image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 101}))
 	w.put("", image.Put(image.ReplicaSetKey("north"), &schema.ReplicaSet{Region: "north", Number: 1, Members: []*schema.Member{{Id: "k1", Address: "k1"}, {Id: "k2", Address: "k2"}, {Id: "k3", Address: "k3"}}}))
 	for _, b := range backends {
@@ -112,12 +112,12 @@
 		{"another group's query is forwarded", base(all...), func(s *Situation) { s.Query.Origin.Region = "south" }, safe(), TurnAttempt, "", "l-1"},
 		{"to the group that the number names", func() *world {
 			w := base(all...)
-			w.put("", image.Put(image.StandingKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
+			w.put("", image.Put(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 			return w
 		}(), nil, safe(), TurnForward, "", ""},
 		{"but a forwarded one is never forwarded again", func() *world {
 			w := base(all...)
-			w.put("", image.Put(image.StandingKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
+			w.put("", image.Put(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 			return w
 		}(), func(s *Situation) { s.Query.Forwarded = standing.Trail{100}; s.Parked = constants.ParkMost }, safe(), TurnRefuse, "moved", ""},
 		{"a higher forwarded number waits for the image", base(all...), func(s *Situation) { s.Query.Forwarded = standing.Trail{200} }, safe(), TurnPark, "", ""},
@@ -501,7 +501,7 @@
 	x := executor(t)
 	w := base()
 	w.put("", image.Put(image.NodeKey("nnorth-b"), &schema.Node{Id: "nnorth-b", Zone: "north-b", Region: "north", Proxy: strings.TrimPrefix(server.URL, "http://"), State: schema.NodeState_NODE_READY}))
-	w.put("", image.Put(image.StandingKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
+	w.put("", image.Put(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 	view, now := w.view(), x.options.Now
 	x.options.Local = func() *core.Local {
 		l := fresh(view)
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -737,7 +737,7 @@
 	}
 	f.applied[whole.Index] = digest
 	for _, service := range local.View.Services {
-		for path, rows := range service.Standings {
+		for path, rows := range service.Assignments {
 			for region, row := range rows {
 				f.rises("standing "+service.Name+path+"@"+region, whole.Index, row.Number)
 				if residue := row.Number % constants.Increment; residue%2 == 0 {
--- a/internal/standing/place.go
+++ b/internal/standing/place.go
@@ -32,7 +32,7 @@
 func rowOf(view *image.View, service, region string) *schema.FailoverAssignment {
 	row := view.Defaults[region]
 	if known := view.Services[service]; known != nil {
-		if own := known.Standings[""][region]; own != nil {
+		if own := known.Assignments[""][region]; own != nil {
 			row = own
 		}
 	}
@@ -202,7 +202,7 @@
 		}
 		for _, name := range sortedNames(view.Services) {
 			service := view.Services[name]
-			own, isOwnThere := service.Standings[""][region], false
+			own, isOwnThere := service.Assignments[""][region], false
 			isOwnThere = own != nil
 			to, reason, isServiceThere := target(service, region)
 			row := rowOf(view, name, region)
@@ -212,7 +212,7 @@
 			if defaultTo, _, isDefault := target(nil, region); !isOwnThere && isDefault && defaultTo == to {
 				continue
 			}
-			move(image.StandingKey(name, "", region), &schema.FailoverAssignment{Service: name, Region: region}, row.Number, to, reason, service)
+			move(image.AssignmentKey(name, "", region), &schema.FailoverAssignment{Service: name, Region: region}, row.Number, to, reason, service)
 		}
 	}
 	if len(groups.Rows) > 0 {
--- a/internal/standing/place_test.go
+++ b/internal/standing/place_test.go
@@ -243,7 +243,7 @@
 		{"a group with a residue above the increment", image.Put(image.GroupKey("new"), &schema.Group{Name: "new", Residue: constants.GroupIncrement}), "below the increment"},
 		{"a lower number", image.Put(image.DefaultKey("kol"), &schema.FailoverAssignment{Region: "kol", Number: number - 1}), "only rise"},
 		{"the same number", image.Put(image.DefaultKey("kol"), &schema.FailoverAssignment{Region: "kol", Number: number}), "only rise"},
-		{"a service's lower number", image.Put(image.StandingKey("copper", "", "kol"), &schema.FailoverAssignment{Service: "copper", Region: "kol", Number: 0}), "only rise"},
+		{"a service's lower number", image.Put(image.AssignmentKey("copper", "", "kol"), &schema.FailoverAssignment{Service: "copper", Region: "kol", Number: 0}), "only rise"},
 		{"a region renumbered", image.Put(image.RegionKey("kol"), &schema.Region{Name: "kol", Residue: 77}), "renumbered"},
 		{"more districts in a known group", image.Put(image.GroupKey("kol"), &schema.Group{Name: "kol", Region: "kol", Residue: group.Residue, Zones: []string{"kol-a", "kol-b", "kol-c"}}), ""},
 	} {
--- a/internal/standing/standing.go
+++ b/internal/standing/standing.go
@@ -139,11 +139,11 @@
 		if len(entry.HomeRegions) > 0 && !slices.Contains(entry.HomeRegions, region) {
 			return Owner{}, &ResolveError{fmt.Sprintf("region %q is no home region of entry %s%s", region, entry.Service, entry.Path)}
 		}
-		row := service.Standings[entry.Path][region]
+		row := service.Assignments[entry.Path][region]
 		if row == nil {
 			return Owner{}, &ResolveError{fmt.Sprintf("entry %s%s has no standing in region %q", entry.Service, entry.Path, region)}
 		}
-		hold(row.Fenced, row.Far, image.StandingKey(entry.Service, entry.Path, region))
+		hold(row.Fenced, row.Far, image.AssignmentKey(entry.Service, entry.Path, region))
 		owner.Trail = append(owner.Trail, row.Number)
 		if zone := zoneOf(view, row.Number); zone != nil {
 			if zone.Region != region {
@@ -355,8 +355,8 @@
 		return isReleased && (!isFar || since >= uint64(constants.ReservationWindow.Milliseconds()))
 	}
 	for _, region := range homes {
-		key := image.StandingKey(entry.Service, entry.Path, region)
-		row := service.Standings[entry.Path][region]
+		key := image.AssignmentKey(entry.Service, entry.Path, region)
+		row := service.Assignments[entry.Path][region]
 		target, reason, isFar := "", "", false
 		var residue uint32
 		if groups := usable[region]; len(groups) > 0 {
--- a/internal/standing/standing_test.go
+++ b/internal/standing/standing_test.go
@@ -40,7 +40,7 @@
 		_, err := table.Apply(index, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{row}}, Check)
 		return err
 	}
-	key := image.StandingKey("ledger", "/balances", "north")
+	key := image.AssignmentKey("ledger", "/balances", "north")
 	if err := apply(1, image.Put(key, &schema.FailoverAssignment{Number: 302})); err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 }
 
 func stand(region string, number uint64, isFenced bool) *schema.Row {
-	return image.Put(image.StandingKey("ledger", "/b", region), &schema.FailoverAssignment{Service: "ledger", Path: "/b", Region: region, Number: number, Fenced: isFenced})
+	return image.Put(image.AssignmentKey("ledger", "/b", region), &schema.FailoverAssignment{Service: "ledger", Path: "/b", Region: region, Number: number, Fenced: isFenced})
 }
 
 func TestResolve(t *testing.T) {
