--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -129,8 +129,8 @@
 
 // Asking is one keeper to be asked for its claims, and the query for it.
 type Asking struct {
-	Member *schema.Member
-	Query  *schema.ReservationCopyRequest
+	Member  *schema.Member
+	Message *schema.ReservationCopyRequest
 }
 
 // Ask gives the keepers that must still be asked for their claims.
@@ -154,10 +154,10 @@
 }
 
 // Copy answers a keeper of the set that this one has adopted too, a page at a time; from then on older sets are declined here.
-func (k *Replica) Copy(now time.Duration, query *schema.ReservationCopyRequest) *schema.ReservationCopyResponse {
+func (k *Replica) Copy(now time.Duration, request *schema.ReservationCopyRequest) *schema.ReservationCopyResponse {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
-	if k.set == nil || k.set.Number != query.ReplicaSet || k.set.Region != query.Region || query.Page >= shards {
+	if k.set == nil || k.set.Number != request.ReplicaSet || k.set.Region != request.Region || request.Page >= shards {
 		return &schema.ReservationCopyResponse{ReplicaSet: k.set.GetNumber()}
 	}
 	if !k.copied[k.id] && !k.isReady {
@@ -169,7 +169,7 @@
 		s := &k.shards[i]
 		s.lock.Lock()
 		since = max(since, s.forgot)
-		if i >= int(query.Page) && response.Next == 0 {
+		if i >= int(request.Page) && response.Next == 0 {
 			for attempt, h := range s.reservations {
 				if h.until > now {
 					response.Reservations = append(response.Reservations, &schema.Reservation{Attempt: attempt, Digest: h.digest, Owner: h.owner, Number: h.number, Round: h.round, LeftMs: uint32((h.until - now).Milliseconds())})
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -52,7 +52,7 @@
 	for range 100 {
 		for _, asking := range fresh.Ask(now) {
 			if from := map[string]*Replica{"a": source, "b": other}[asking.Member.Id]; from != nil {
-				response := from.Copy(now, asking.Query)
+				response := from.Copy(now, asking.Message)
 				pages++
 				largest = max(largest, proto.Size(response))
 				fresh.Copied(now, asking.Member.Id, response)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -27,7 +27,7 @@
 	Self    *schema.Node
 	Now     func() time.Duration
 	Local   func() *core.Local
-	Operate func(ctx context.Context, query *schema.OperatorRequest) (*schema.OperatorResponse, error)
+	Operate func(ctx context.Context, request *schema.OperatorRequest) (*schema.OperatorResponse, error)
 	Stats   func() map[string]uint64
 	Replica func() (number uint64, isMember, isReady bool, reservations int)
 	Disk    func() Disk
@@ -209,10 +209,10 @@
 	schema.RefusalKind_REFUSAL_OVERSIZE: http.StatusRequestEntityTooLarge,
 }
 
-func (d *Door) operate(w http.ResponseWriter, r *http.Request, query *schema.OperatorRequest) *schema.OperatorResponse {
+func (d *Door) operate(w http.ResponseWriter, r *http.Request, request *schema.OperatorRequest) *schema.OperatorResponse {
 	ctx, cancel := context.WithTimeout(r.Context(), constants.ProposalWait+time.Second)
 	defer cancel()
-	response, err := d.options.Operate(ctx, query)
+	response, err := d.options.Operate(ctx, request)
 	if err != nil {
 		write(w, http.StatusGatewayTimeout, Reply{Kind: "doubtful", Message: fmt.Sprintf("%v; the query may still be taken, read back before repeating", err)})
 		return nil
@@ -251,16 +251,16 @@
 		write(w, http.StatusRequestEntityTooLarge, Reply{Kind: "oversize", Message: fmt.Sprintf("the document is above %d bytes; send less", limit)})
 		return
 	}
-	query := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: document, Base: base, Key: r.Header.Get("Topazshed-Operator-Key")}
+	request := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: document, Base: base, Key: r.Header.Get("Topazshed-Operator-Key")}
 	if d.options.Routed != nil {
 		config, faults := routes.Read(document, base)
 		if len(faults) > 0 {
 			newRefusal(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_INVALID, Message: "the configuration is declined whole; nothing changed", Faults: faults})
 			return
 		}
-		query = &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: config}
+		request = &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: config}
 	}
-	if response := d.operate(w, r, query); response != nil {
+	if response := d.operate(w, r, request); response != nil {
 		write(w, http.StatusOK, Reply{Version: response.Version, Index: response.Index, Unconfirmed: response.Unconfirmed})
 	}
 }
@@ -293,11 +293,11 @@
 
 func (d *Door) zone(kind schema.OperatorKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		query := &schema.OperatorRequest{Kind: kind, Zone: chi.URLParam(r, "district"), Reason: r.URL.Query().Get("reason")}
-		if query.Reason == "" {
-			query.Reason = "operator"
+		request := &schema.OperatorRequest{Kind: kind, Zone: chi.URLParam(r, "district"), Reason: r.URL.Query().Get("reason")}
+		if request.Reason == "" {
+			request.Reason = "operator"
 		}
-		if response := d.operate(w, r, query); response != nil {
+		if response := d.operate(w, r, request); response != nil {
 			write(w, http.StatusOK, Reply{Index: response.Index, Unconfirmed: response.Unconfirmed})
 		}
 	}
--- a/internal/core/catch_up_test.go
+++ b/internal/core/catch_up_test.go
@@ -14,10 +14,10 @@
 
 // largeRoutesOf is a configuration whose document can't be packed.
 func largeRoutesOf(random *rand.Rand, version uint64, bytes int) *schema.OperatorRequest {
-	query := routesOf(version, version-1, fmt.Sprint("of-", version))
-	query.Routes.Document = make([]byte, bytes)
-	random.Read(query.Routes.Document)
-	return query
+	request := routesOf(version, version-1, fmt.Sprint("of-", version))
+	request.Routes.Document = make([]byte, bytes)
+	random.Read(request.Routes.Document)
+	return request
 }
 
 // A member that was away for hundreds of changes catches up from a snapshot, whatever ends the transfer again and again, and until it has caught
@@ -112,9 +112,9 @@
 	const bytes = 1 << 20
 	w := newSizedWorld(t, 1, 3, 0, journal.Options{Files: 4, FileBytes: 2 << 20, SnapshotBytes: 4 << 20})
 	for version := uint64(1); version <= 2*constants.RaftLogBytes/bytes; version++ {
-		query := largeRoutesOf(w.random, version, 0)
-		query.Routes.Document = []byte(strings.Repeat(fmt.Sprint("packs well ", version), bytes/12))
-		w.put(w.leader(), query)
+		request := largeRoutesOf(w.random, version, 0)
+		request.Routes.Document = []byte(strings.Repeat(fmt.Sprint("packs well ", version), bytes/12))
+		w.put(w.leader(), request)
 		for _, m := range w.machines {
 			if inMemory := m.core.Quorum().LogBytes(); inMemory > constants.RaftLogBytes+2*bytes {
 				t.Fatalf("%s holds %d bytes of log in memory after %d changes", m.name, inMemory, version)
--- a/internal/core/changes_test.go
+++ b/internal/core/changes_test.go
@@ -55,9 +55,9 @@
 	}
 }
 
-func (s *solo) ask(query *schema.OperatorRequest, zones ...string) *schema.OperatorResponse {
+func (s *solo) ask(request *schema.OperatorRequest, zones ...string) *schema.OperatorResponse {
 	s.response = nil
-	s.core.Operate(s.now, 7, query)
+	s.core.Operate(s.now, 7, request)
 	s.run(400*time.Millisecond, zones...)
 	return s.response
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -96,14 +96,14 @@
 }
 
 // waiter is an order that is not answered yet.
-type waiter struct {
+type pendingRequest struct {
 	// ticket names a local caller; call and to name the node that passed the order on.
-	ticket uint64
-	call   uint64
-	to     string
-	query  *schema.OperatorRequest
-	bornAt time.Duration
-	until  time.Duration
+	ticket  uint64
+	call    uint64
+	to      string
+	request *schema.OperatorRequest
+	bornAt  time.Duration
+	until   time.Duration
 	// index and term are the place in the log of the record that was proposed for it, version the configuration's.
 	index   uint64
 	term    uint64
@@ -186,11 +186,11 @@
 	wasLeader      bool
 	electedAt      time.Duration
 	releasedAt     map[uint64]time.Duration
-	waiters        []*waiter
-	confirming     []*waiter
-	undecided      []*waiter
+	operations     []*pendingRequest
+	confirming     []*pendingRequest
+	undecided      []*pendingRequest
 	staleResponses uint64
-	reads          map[uint64]*waiter
+	reads          map[uint64]*pendingRequest
 	nextRead       uint64
 	whoAt          time.Duration
 	askedSeeds     int
@@ -230,7 +230,7 @@
 	c := &Core{options: options, log: options.Log, self: proto.Clone(options.Self).(*schema.Node), system: options.System,
 		table: image.NewTable(), view: image.NewView(), rost: roster.New(), heartbeats: map[uint64]asked{}, held: map[string]bool{},
 		wanted: map[string]time.Duration{}, subs: map[uint64]asked{}, subscriber: map[string]*subscriber{}, nodes: map[string]*nodeRecord{},
-		releasedAt: map[uint64]time.Duration{}, reads: map[uint64]*waiter{}, seeds: map[string]time.Duration{}, empties: map[string]bool{},
+		releasedAt: map[uint64]time.Duration{}, reads: map[uint64]*pendingRequest{}, seeds: map[string]time.Duration{}, empties: map[string]bool{},
 		peers: map[string]time.Duration{}, pending: map[string]uint64{}, verdicts: map[uint64]string{}, fences: map[string]time.Duration{}, opened: map[string]time.Duration{}, openedAs: map[string]uint64{}, addresses: map[string]string{}, now: now, tickedAt: now, speaks: options.Speaks.OrOwn(), refusedNodes: map[string]uint64{}}
 	if options.Routed != nil {
 		c.routed = newRoutedState(options)
@@ -451,7 +451,7 @@
 			c.subscribe()
 		}
 	case *schema.Frame_OperatorRequest:
-		c.operate(&waiter{call: f.Call, to: f.Address, query: body.OperatorRequest})
+		c.operate(&pendingRequest{call: f.Call, to: f.Address, request: body.OperatorRequest})
 	case *schema.Frame_OperatorResponse:
 		c.takeResponse(f, body.OperatorResponse)
 	}
--- a/internal/core/cut_off_test.go
+++ b/internal/core/cut_off_test.go
@@ -15,13 +15,13 @@
 }
 
 // put has a configuration taken by the machine that leads.
-func (w *world) put(m *machine, query *schema.OperatorRequest) {
+func (w *world) put(m *machine, request *schema.OperatorRequest) {
 	w.t.Helper()
 	var got *schema.OperatorResponse
-	w.order(m, query, func(o *schema.OperatorResponse) { got = o })
+	w.order(m, request, func(o *schema.OperatorResponse) { got = o })
 	w.run(time.Second)
 	if got == nil || got.Refusal != schema.RefusalKind_REFUSAL_NONE {
-		w.t.Fatalf("%s: %v", query.Routes.GetDocument(), got)
+		w.t.Fatalf("%s: %v", request.Routes.GetDocument(), got)
 	}
 }
 
--- a/internal/core/history_test.go
+++ b/internal/core/history_test.go
@@ -81,9 +81,9 @@
 	o.open++
 	index := len(o.operations)
 	o.operations = append(o.operations, porcupine.Operation{ClientId: index, Input: op, Call: int64(w.now), Output: answer{isUnknown: true}, Return: int64(1 << 62)})
-	query := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW}
+	request := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW}
 	if !op.isRead {
-		query = routesOf(op.generation, op.base, op.text)
+		request = routesOf(op.generation, op.base, op.text)
 	}
 	isDone := false
 	end := func(got answer) {
@@ -120,7 +120,7 @@
 		if len(up) == 0 {
 			return
 		}
-		w.order(up[w.random.Intn(len(up))], query, func(response *schema.OperatorResponse) {
+		w.order(up[w.random.Intn(len(up))], request, func(response *schema.OperatorResponse) {
 			switch {
 			case isDone || w.random.Float64() < o.ackLoss:
 			case response.Refusal == schema.RefusalKind_REFUSAL_NO_LEADER || response.Refusal == schema.RefusalKind_REFUSAL_AMBIGUOUS:
--- a/internal/core/load_bench_test.go
+++ b/internal/core/load_bench_test.go
@@ -15,10 +15,10 @@
 	b.Helper()
 	f := newFleetOf(b)
 	leader := f.cores[f.leader()]
-	query := configOf(1, 0, "copper")
-	query.Routes.Services = append(query.Routes.Services, &schema.ServicePolicy{Service: "nickel", Keyed: true})
-	query.Routes.Routes = append(query.Routes.Routes, &schema.Route{Name: "n", Host: "h", Prefix: "/n/", TimeoutMs: 1000, Targets: []*schema.Target{{Service: "nickel", Weight: 1}}})
-	f.order(f.leader(), query)
+	request := configOf(1, 0, "copper")
+	request.Routes.Services = append(request.Routes.Services, &schema.ServicePolicy{Service: "nickel", Keyed: true})
+	request.Routes.Routes = append(request.Routes.Routes, &schema.Route{Name: "n", Host: "h", Prefix: "/n/", TimeoutMs: 1000, Targets: []*schema.Target{{Service: "nickel", Weight: 1}}})
+	f.order(f.leader(), request)
 	f.run(time.Second)
 	var items []roster.Listed
 	for i := range backends {
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -18,12 +18,12 @@
 // Operators' orders: the leader decides them, the other nodes pass them on to it.
 
 // Operate takes a local operator's query.
-func (c *Core) Operate(now time.Duration, ticket uint64, query *schema.OperatorRequest) {
+func (c *Core) Operate(now time.Duration, ticket uint64, request *schema.OperatorRequest) {
 	c.now = now
-	c.operate(&waiter{ticket: ticket, query: query})
+	c.operate(&pendingRequest{ticket: ticket, request: request})
 }
 
-func (c *Core) operate(w *waiter) {
+func (c *Core) operate(w *pendingRequest) {
 	if w.until == 0 {
 		w.bornAt, w.until = c.now, c.now+constants.ProposalWait
 	}
@@ -31,7 +31,7 @@
 		c.operateElsewhere(w)
 		return
 	}
-	switch w.query.Kind {
+	switch w.request.Kind {
 	case schema.OperatorKind_OPERATOR_PUT_ROUTES:
 		c.operatePutRoutes(w)
 	case schema.OperatorKind_OPERATOR_PUT:
@@ -45,7 +45,7 @@
 	}
 }
 
-func (c *Core) reply(w *waiter, response *schema.OperatorResponse) {
+func (c *Core) reply(w *pendingRequest, response *schema.OperatorResponse) {
 	if w.to != "" {
 		c.send(w.to, &schema.Frame{Call: w.call, Body: &schema.Frame_OperatorResponse{OperatorResponse: response}})
 		return
@@ -54,7 +54,7 @@
 }
 
 // operateElsewhere has another node decide an order, or refuses it to the node that passed it on.
-func (c *Core) operateElsewhere(w *waiter) {
+func (c *Core) operateElsewhere(w *pendingRequest) {
 	if w.to != "" {
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "the node asked does not lead; ask again shortly"})
 		return
@@ -64,12 +64,12 @@
 		return
 	}
 	w.isSent, w.isConfirmed = true, false
-	c.waiters = append(c.waiters, w)
+	c.operations = append(c.operations, w)
 	c.passOn(w)
 }
 
 // read waits for a majority to confirm that this machine still leads; answerRead then goes on with the order.
-func (c *Core) read(w *waiter) {
+func (c *Core) read(w *pendingRequest) {
 	c.nextRead++
 	c.reads[c.nextRead] = w
 	if err := c.quorum.Read(c.now, c.nextRead); err != nil {
@@ -81,7 +81,7 @@
 // answer gives an answer that rests on this machine's state and not on a commit of its own: a refusal, or the word that an order changes nothing
 // or was taken before. A machine that leads no more, and does not know it yet, would give it by old state: so a majority must have confirmed,
 // after the order came, that this one leads. The order is then decided anew on the state of that moment.
-func (c *Core) answer(w *waiter, response *schema.OperatorResponse) {
+func (c *Core) answer(w *pendingRequest, response *schema.OperatorResponse) {
 	if w.isConfirmed {
 		c.reply(w, response)
 		return
@@ -89,7 +89,7 @@
 	c.read(w)
 }
 
-func (c *Core) operatePut(w *waiter) {
+func (c *Core) operatePut(w *pendingRequest) {
 	if len(c.view.Regions) == 0 || len(c.view.Services) == 0 {
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "no back end is known from the platform's list yet; ask again shortly"})
 		return
@@ -99,16 +99,16 @@
 			Message: "another configuration is being accepted; read it, merge, and put again"})
 		return
 	}
-	if head := image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey)); w.query.Key != "" && head.GetOperatorKey() == w.query.Key {
+	if head := image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey)); w.request.Key != "" && head.GetOperatorKey() == w.request.Key {
 		c.answer(w, &schema.OperatorResponse{Version: head.Version, Index: c.table.Get(image.HeadKey).Index})
 		return
 	}
-	entries, faults := catalog.Read(w.query.Document, c.view)
+	entries, faults := catalog.Read(w.request.Document, c.view)
 	if len(faults) > 0 {
 		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_INVALID, Message: "the configuration is declined whole; nothing changed", Faults: faults})
 		return
 	}
-	record, version, err := catalog.Plan(c.table, entries, w.query.Document, w.query.Base, w.query.Key)
+	record, version, err := catalog.Plan(c.table, entries, w.request.Document, w.request.Base, w.request.Key)
 	if err != nil {
 		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Message: err.Error(),
 			Version: image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey)).GetVersion()})
@@ -118,7 +118,7 @@
 	c.submit(w, record, version)
 }
 
-func (c *Core) submit(w *waiter, record *schema.Record, version uint64) {
+func (c *Core) submit(w *pendingRequest, record *schema.Record, version uint64) {
 	index, term, err := c.quorum.Propose(c.now, record)
 	if err != nil {
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: err.Error()})
@@ -128,16 +128,16 @@
 		c.pending[row.Key] = index
 	}
 	w.index, w.term, w.version = index, term, version
-	c.waiters = append(c.waiters, w)
+	c.operations = append(c.operations, w)
 }
 
-func (c *Core) operateZone(w *waiter) {
-	isEmpty := w.query.Kind == schema.OperatorKind_OPERATOR_EMPTY
-	key := image.ZoneKey(w.query.Zone)
+func (c *Core) operateZone(w *pendingRequest) {
+	isEmpty := w.request.Kind == schema.OperatorKind_OPERATOR_EMPTY
+	key := image.ZoneKey(w.request.Zone)
 	row := c.table.Get(key)
 	zone := image.Decode[schema.Zone](row)
 	if zone == nil {
-		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Message: "district " + w.query.Zone + " is not known; see status for the names"})
+		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Message: "district " + w.request.Zone + " is not known; see status for the names"})
 		return
 	}
 	if zone.Emptied == isEmpty && c.pending[key] <= c.table.Version() {
@@ -145,7 +145,7 @@
 		return
 	}
 	fresh := proto.Clone(zone).(*schema.Zone)
-	fresh.Emptied, fresh.Reason = isEmpty, w.query.Reason
+	fresh.Emptied, fresh.Reason = isEmpty, w.request.Reason
 	fresh.Settling = c.routed != nil && !isEmpty
 	c.submit(w, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "district " + zone.Name, Rows: []*schema.Row{image.Put(key, fresh)}}, 0)
 }
@@ -153,13 +153,13 @@
 func (c *Core) settle(item *schema.LogItem) {
 	_, isVoid := c.verdicts[item.Index]
 	delete(c.verdicts, item.Index)
-	var again []*waiter
-	for i := 0; i < len(c.waiters); i++ {
-		w := c.waiters[i]
+	var again []*pendingRequest
+	for i := 0; i < len(c.operations); i++ {
+		w := c.operations[i]
 		if w.isSent || w.index != item.Index {
 			continue
 		}
-		c.waiters = slices.Delete(c.waiters, i, i+1)
+		c.operations = slices.Delete(c.operations, i, i+1)
 		i--
 		switch {
 		case w.term != item.Term:
@@ -212,7 +212,7 @@
 }
 
 func (c *Core) confirm() {
-	c.confirming = slices.DeleteFunc(c.confirming, func(w *waiter) bool {
+	c.confirming = slices.DeleteFunc(c.confirming, func(w *pendingRequest) bool {
 		response := &schema.OperatorResponse{Version: w.version, Index: w.index, Unconfirmed: c.unconfirmed(w.index)}
 		isOver := len(response.Unconfirmed) == 0 || c.now >= w.until || !c.IsLeading()
 		if isOver {
@@ -228,20 +228,20 @@
 		return
 	}
 	delete(c.reads, ticket)
-	if isDecided(w.query.Kind) {
+	if isDecided(w.request.Kind) {
 		w.isConfirmed = true
 		c.operate(w)
 		return
 	}
 	document := image.Decode[schema.CatalogDocument](c.table.Get(image.DocumentKey))
 	response := &schema.OperatorResponse{Version: document.GetVersion(), Document: document.GetDocument(), Index: c.table.Version()}
-	if w.query.Kind == schema.OperatorKind_OPERATOR_STATUS {
+	if w.request.Kind == schema.OperatorKind_OPERATOR_STATUS {
 		response = &schema.OperatorResponse{Version: document.GetVersion(), Index: c.operated(), Unconfirmed: c.unconfirmed(c.operated()),
 			Reports: c.reports(), Changes: c.changes}
 		response.ToleratedLosses, response.UnresponsiveVoters = c.lossesBorne()
 	}
 	head := image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey))
-	if w.query.Kind == schema.OperatorKind_OPERATOR_ASK && head.GetOperatorKey() != w.query.Key {
+	if w.request.Kind == schema.OperatorKind_OPERATOR_ASK && head.GetOperatorKey() != w.request.Key {
 		response = &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Version: head.GetVersion(),
 			Message: "the newest configuration was not put with that key; read it back and compare"}
 	}
@@ -275,9 +275,9 @@
 	c.confirm()
 	c.resumeDeferred()
 	c.askAgain()
-	for i := 0; i < len(c.waiters); i++ {
-		if w := c.waiters[i]; c.now > w.until {
-			c.waiters = slices.Delete(c.waiters, i, i+1)
+	for i := 0; i < len(c.operations); i++ {
+		if w := c.operations[i]; c.now > w.until {
+			c.operations = slices.Delete(c.operations, i, i+1)
 			i--
 			c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_AMBIGUOUS, Message: "no majority answered in time; the query may still be taken, ask with its key or read back"})
 		}
@@ -300,7 +300,7 @@
 	}
 }
 
-func (c *Core) operatePutRoutes(w *waiter) {
+func (c *Core) operatePutRoutes(w *pendingRequest) {
 	if c.routed == nil {
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Message: "this fleet carries entries, not routes; put a configuration of entries"})
 		return
@@ -310,7 +310,7 @@
 		return
 	}
 	head := image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey))
-	config := w.query.Routes
+	config := w.request.Routes
 	digest := sha256.Sum256(config.GetDocument())
 	switch routes.Recall(c.table, config, digest[:]) {
 	case routes.Accepted:
@@ -377,35 +377,37 @@
 }
 
 // passOn sends an operator's query to the leader, if one is known.
-func (c *Core) passOn(w *waiter) {
+func (c *Core) passOn(w *pendingRequest) {
 	w.sentAt = c.now
 	w.hasWay = c.leader != "" && c.leader != c.self.Address && c.now-c.leaderAt <= constants.NodeLostAfter
 	if w.hasWay {
 		if !slices.Contains(w.asked, c.leader) {
 			w.asked = append(w.asked, c.leader)
 		}
-		c.send(c.leader, &schema.Frame{Call: w.ticket, Body: &schema.Frame_OperatorRequest{OperatorRequest: w.query}})
+		c.send(c.leader, &schema.Frame{Call: w.ticket, Body: &schema.Frame_OperatorRequest{OperatorRequest: w.request}})
 	}
 }
 
 // takeOutcome takes another node's answer to an order that was passed on. Only an answer to an order of this life, from a node that it was
 // passed on to, is given to whoever waits for it.
 func (c *Core) takeResponse(f *schema.Frame, response *schema.OperatorResponse) {
-	at := slices.IndexFunc(c.waiters, func(w *waiter) bool { return w.isSent && w.ticket == f.Call && slices.Contains(w.asked, f.Address) })
+	at := slices.IndexFunc(c.operations, func(w *pendingRequest) bool {
+		return w.isSent && w.ticket == f.Call && slices.Contains(w.asked, f.Address)
+	})
 	if at < 0 {
 		c.staleResponses++
 		return
 	}
-	w := c.waiters[at]
+	w := c.operations[at]
 	if c.mayAskAgain(w, response) {
 		return
 	}
-	c.waiters = slices.Delete(c.waiters, at, at+1)
+	c.operations = slices.Delete(c.operations, at, at+1)
 	c.effects.Responses = append(c.effects.Responses, LocalResponse{w.ticket, response})
 }
 
 // mayAskAgain tells that an answer only says that another node must be asked, and there is time to: operators wait longer after each failure.
-func (c *Core) mayAskAgain(w *waiter, response *schema.OperatorResponse) bool {
+func (c *Core) mayAskAgain(w *pendingRequest, response *schema.OperatorResponse) bool {
 	if c.routed == nil || response.Refusal != schema.RefusalKind_REFUSAL_NO_LEADER || c.now >= w.bornAt+constants.OperatorPatience {
 		return false
 	}
@@ -419,20 +421,20 @@
 	if c.routed == nil {
 		return
 	}
-	for _, w := range slices.Clone(c.waiters) {
+	for _, w := range slices.Clone(c.operations) {
 		if !w.isSent || c.now-w.sentAt < constants.PassOnWait {
 			continue
 		}
 		isOver := c.now >= w.bornAt+constants.OperatorPatience
 		switch {
 		case c.IsLeading():
-			c.waiters = slices.DeleteFunc(c.waiters, func(other *waiter) bool { return other == w })
+			c.operations = slices.DeleteFunc(c.operations, func(other *pendingRequest) bool { return other == w })
 			w.isSent = false
 			c.operate(w)
 		case !isOver:
 			c.passOn(w)
 		case !w.hasWay:
-			c.waiters = slices.DeleteFunc(c.waiters, func(other *waiter) bool { return other == w })
+			c.operations = slices.DeleteFunc(c.operations, func(other *pendingRequest) bool { return other == w })
 			c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "no leader is known; ask again shortly, and run doctor if it lasts"})
 		}
 	}
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -89,9 +89,9 @@
 }
 
 // order gives a query to a machine, and its ticket.
-func (f *fleet) order(at string, query *schema.OperatorRequest) uint64 {
+func (f *fleet) order(at string, request *schema.OperatorRequest) uint64 {
 	f.ticket++
-	f.cores[at].Operate(f.now, f.ticket, query)
+	f.cores[at].Operate(f.now, f.ticket, request)
 	return f.ticket
 }
 
--- a/internal/core/pass_on_test.go
+++ b/internal/core/pass_on_test.go
@@ -9,7 +9,7 @@
 	"topazshed/internal/schema"
 )
 
-func TestAnOperatorsQueryIsPassedOnUntilALeaderAnswers(t *testing.T) {
+func TestAnOperatorsRequestIsForwardedUntilALeaderAnswers(t *testing.T) {
 	type step struct {
 		after   time.Duration
 		leader  string
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -55,7 +55,7 @@
 	heats        map[string][]nodeHeat
 	heatAt       time.Duration
 	dead         map[string]bool
-	deferred     []*waiter
+	deferred     []*pendingRequest
 	// relayed are the beats that this node took for the leader since it last told it.
 	relayed        map[string]*schema.Heartbeat
 	heartbeatTo    string
--- a/internal/core/startup_world_test.go
+++ b/internal/core/startup_world_test.go
@@ -302,8 +302,8 @@
 		f.t.Fatalf("no leader at %v", f.now)
 	}
 	f.putAt[version] = f.now
-	query := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: startupConfig(version)}
-	f.step(leader, func() { leader.core.Operate(f.clock(leader), version, query) })
+	request := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: startupConfig(version)}
+	f.step(leader, func() { leader.core.Operate(f.clock(leader), version, request) })
 }
 
 // settle puts the first configuration as soon as there is a leader, and gives the time from the start until every node held every row.
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -347,7 +347,7 @@
 }
 
 // order gives an order to a machine, which may answer later or never.
-func (w *world) order(m *machine, query *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
+func (w *world) order(m *machine, request *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
 	if !m.isUp {
 		return
 	}
@@ -355,7 +355,7 @@
 	ticket := m.ticket
 	m.answers[ticket] = take
 	w.on(m, time.Millisecond, func() {
-		m.core.Operate(w.now, ticket, proto.Clone(query).(*schema.OperatorRequest))
+		m.core.Operate(w.now, ticket, proto.Clone(request).(*schema.OperatorRequest))
 		m.performSoon()
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -465,12 +465,12 @@
 	}
 }
 
-func (n *Node) operate(ctx context.Context, query *schema.OperatorRequest) (*schema.OperatorResponse, error) {
+func (n *Node) operate(ctx context.Context, request *schema.OperatorRequest) (*schema.OperatorResponse, error) {
 	answer := make(chan *schema.OperatorResponse, 1)
 	ticket := n.serial.Add(1)
 	n.operates.Store(ticket, answer)
 	defer n.operates.Delete(ticket)
-	n.do(func() { n.core.Operate(n.Now(), ticket, proto.Clone(query).(*schema.OperatorRequest)) })
+	n.do(func() { n.core.Operate(n.Now(), ticket, proto.Clone(request).(*schema.OperatorRequest)) })
 	select {
 	case response := <-answer:
 		return response, nil
@@ -492,7 +492,7 @@
 			n.tasks.Go(func() {
 				ctx, cancel := context.WithTimeout(n.context, constants.ReservationWait)
 				defer cancel()
-				f, err := n.Call(ctx, asking.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: asking.Query}})
+				f, err := n.Call(ctx, asking.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: asking.Message}})
 				if err == nil && f.GetReservationCopyResponse() != nil {
 					n.replica.Copied(n.Now(), asking.Member.Id, f.GetReservationCopyResponse())
 				}
--- a/internal/node/routed.go
+++ b/internal/node/routed.go
@@ -59,7 +59,7 @@
 	// Requests takes callers' requests.
 	Requests http.Handler
 	// Operate carries an operator's query to the leader.
-	Operate func(ctx context.Context, query *schema.OperatorRequest) (*schema.OperatorResponse, error)
+	Operate func(ctx context.Context, request *schema.OperatorRequest) (*schema.OperatorResponse, error)
 	// Resolve gives the addresses of nodes for a caller and how long they may be used; none if this node does not know.
 	Resolve func(region, zone string) ([]string, time.Duration)
 	// IsReady tells whether this node may get requests.
--- a/internal/node/routed_test.go
+++ b/internal/node/routed_test.go
@@ -143,10 +143,10 @@
 	isOver   bool
 }
 
-func (m *machine) operate(query *schema.OperatorRequest) *schema.OperatorResponse {
+func (m *machine) operate(request *schema.OperatorRequest) *schema.OperatorResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	response, err := m.outside.Operate(ctx, query)
+	response, err := m.outside.Operate(ctx, request)
 	if err != nil {
 		return &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_AMBIGUOUS, Message: err.Error()}
 	}
--- a/internal/proxy/course.go
+++ b/internal/proxy/course.go
@@ -98,13 +98,13 @@
 
 // CourseOptions make a Course.
 type RequestOptions struct {
-	Self  *schema.Node
-	Loads *Loads
-	Kept  *Kept
-	Draw  func(int64) int64
-	Query *Query
-	Owner string
-	Begun time.Duration
+	Self    *schema.Node
+	Loads   *Loads
+	Kept    *Kept
+	Draw    func(int64) int64
+	Request *Request
+	Owner   string
+	Begun   time.Duration
 }
 
 // Course is one query's way through a proxy: events in, orders out, without I/O. The shell and the simulator both drive it.
@@ -140,7 +140,7 @@
 
 // NewCourse begins a query's course.
 func NewRequestMachine(options RequestOptions) *RequestMachine {
-	wait := options.Query.Wait
+	wait := options.Request.Wait
 	wait -= min(constants.AnswerMargin, wait/constants.AnswerShare)
 	return &RequestMachine{RequestOptions: options, until: options.Begun + wait, tried: map[string]bool{}}
 }
@@ -191,9 +191,9 @@
 }
 
 func (c *RequestMachine) situation() Situation {
-	s := Situation{Now: c.now, Local: c.local, Self: c.Self, Query: c.Query, Load: c.Loads, Tried: c.tried, IsReserved: c.isReserved, Parked: c.parked(), Left: c.until - c.now, Draw: c.Draw}
-	if c.Query.Age > 0 {
-		s.FirstSent = c.Begun - c.Query.Age
+	s := Situation{Now: c.now, Local: c.local, Self: c.Self, Request: c.Request, Load: c.Loads, Tried: c.tried, IsReserved: c.isReserved, Parked: c.parked(), Left: c.until - c.now, Draw: c.Draw}
+	if c.Request.Age > 0 {
+		s.FirstSent = c.Begun - c.Request.Age
 	}
 	return s
 }
@@ -249,7 +249,7 @@
 	}
 	order := Order{Kind: OrderRelease, For: constants.ReservationWait / 3}
 	for _, m := range c.held {
-		order.Reservations = append(order.Reservations, ReservationCall{m, &schema.ReservationRequest{Attempt: c.Query.Attempt, Owner: c.Owner, ReplicaSet: c.replicas.Number, Region: c.replicas.Region, Round: c.round, Ended: true}})
+		order.Reservations = append(order.Reservations, ReservationCall{m, &schema.ReservationRequest{Attempt: c.Request.Attempt, Owner: c.Owner, ReplicaSet: c.replicas.Number, Region: c.replicas.Region, Round: c.round, Ended: true}})
 	}
 	c.phase = phaseRelease
 	c.held, c.isReserved = nil, false
@@ -268,14 +268,14 @@
 	id, _, _ := strings.Cut(c.owner, "/")
 	c.owner = ""
 	if id == c.Self.Id {
-		return c.sealedBefore(c.Kept.Get(c.Query.Attempt, c.Query.Digest))
+		return c.sealedBefore(c.Kept.Get(c.Request.Attempt, c.Request.Digest))
 	}
 	node := c.local.View.Nodes[id]
 	if id == "" || node == nil {
 		return c.reply(c.fault)
 	}
 	c.phase = phaseReplay
-	return Order{Kind: OrderReplay, For: constants.ReservationWait, Address: node.Address, Replay: &schema.ReplayRequest{Attempt: c.Query.Attempt, Digest: c.Query.Digest}}
+	return Order{Kind: OrderReplay, For: constants.ReservationWait, Address: node.Address, Replay: &schema.ReplayRequest{Attempt: c.Request.Attempt, Digest: c.Request.Digest}}
 }
 
 func (c *RequestMachine) replayed(e Event) Order {
@@ -286,7 +286,7 @@
 }
 
 func (c *RequestMachine) sealedBefore(o *Result) Order {
-	if o == nil || o.Header.Get(HeaderAttempt) != c.Query.Attempt || o.Header.Get(HeaderDigest) != Seal(o.Body) {
+	if o == nil || o.Header.Get(HeaderAttempt) != c.Request.Attempt || o.Header.Get(HeaderDigest) != Seal(o.Body) {
 		return c.reply(c.fault)
 	}
 	return Order{Kind: OrderReply, Result: o}
@@ -294,24 +294,24 @@
 
 func (c *RequestMachine) reserve() Order {
 	d := c.decision
-	members := claim.Match(d.Replicas, c.Query.Attempt)
+	members := claim.Match(d.Replicas, c.Request.Attempt)
 	c.phase = phaseReserve
 	c.replicas, c.held, c.reservedAt = d.Replicas, members, c.now
 	c.round++
 	c.asked, c.taken, c.elsewhere = len(members), 0, 0
 	order := Order{Kind: OrderReserve, For: constants.ReservationWait}
 	for _, m := range members {
-		order.Reservations = append(order.Reservations, ReservationCall{m, &schema.ReservationRequest{Attempt: c.Query.Attempt, Digest: c.Query.Digest, Owner: c.Owner, Number: d.Owner.Number,
-			ReplicaSet: d.Replicas.Number, Region: d.Replicas.Region, Round: c.round, WaitMs: uint32(c.Query.Wait.Milliseconds()), AgeMs: uint64(c.age().Milliseconds())}})
+		order.Reservations = append(order.Reservations, ReservationCall{m, &schema.ReservationRequest{Attempt: c.Request.Attempt, Digest: c.Request.Digest, Owner: c.Owner, Number: d.Owner.Number,
+			ReplicaSet: d.Replicas.Number, Region: d.Replicas.Region, Round: c.round, WaitMs: uint32(c.Request.Wait.Milliseconds()), AgeMs: uint64(c.age().Milliseconds())}})
 	}
 	return order
 }
 
 func (c *RequestMachine) age() time.Duration {
-	if c.Query.Age == 0 {
+	if c.Request.Age == 0 {
 		return 0
 	}
-	return c.Query.Age + c.now - c.Begun
+	return c.Request.Age + c.now - c.Begun
 }
 
 func (c *RequestMachine) takeReservation(e Event) Order {
@@ -347,14 +347,14 @@
 		return c.giveUp(newRefusalLater("no-repeat", "the repeat budget of %s is spent; send again later", b.Service))
 	}
 	c.Loads.Begin(b.Instance)
-	c.Loads.BeginKey(b.Service, c.Query.Key)
+	c.Loads.BeginKey(b.Service, c.Request.Key)
 	c.phase = phaseConnect
 	return Order{Kind: OrderConnect, For: constants.ConnectWait, Address: b.Address, Who: Identity{b.Service, b.Instance}}
 }
 
 func (c *RequestMachine) endAttempt() {
 	c.Loads.End(c.decision.Backend.Instance)
-	c.Loads.EndKey(c.decision.Backend.Service, c.Query.Key)
+	c.Loads.EndKey(c.decision.Backend.Service, c.Request.Key)
 }
 
 func (c *RequestMachine) connected(e Event) Order {
@@ -383,7 +383,7 @@
 	switch {
 	case c.attempts > 0:
 		c.Repeats++
-	case len(c.Query.Forwarded) == 0:
+	case len(c.Request.Forwarded) == 0:
 		c.Loads.First(c.now, d.Backend.Service)
 	}
 	c.attempts++
@@ -395,14 +395,14 @@
 		header.Set(HeaderSlot, fmt.Sprintf("%d;%d", d.Slot, d.SlotNo))
 	}
 	c.phase = phaseAttempt
-	return Order{Kind: OrderSend, For: left, Path: c.Query.Path, Header: header, Limit: d.Entry.ResponseLimit}
+	return Order{Kind: OrderSend, For: left, Path: c.Request.Path, Header: header, Limit: d.Entry.ResponseLimit}
 }
 
 func (c *RequestMachine) answered(e Event) Order {
 	d := c.decision
 	err := e.Err
 	if err == nil {
-		err = verify(e.Result, c.Query, d.Backend)
+		err = verify(e.Result, c.Request, d.Backend)
 	}
 	c.endAttempt()
 	c.isTouched = c.isTouched || e.IsTouched
@@ -411,7 +411,7 @@
 		c.Loads.Report(d.Backend.Instance, nil)
 		result := &Result{e.Result.Status, strip(e.Result.Header), e.Result.Body}
 		if !d.IsSafe {
-			c.Kept.Put(c.now, c.Query, result)
+			c.Kept.Put(c.now, c.Request, result)
 		}
 		return Order{Kind: OrderReply, Result: result, Keeps: true}
 	}
@@ -425,7 +425,7 @@
 
 func (c *RequestMachine) forward() Order {
 	if c.forwards == 0 {
-		c.Loads.First(c.now, c.Query.Service)
+		c.Loads.First(c.now, c.Request.Service)
 	}
 	nodes := c.decision.Nodes
 	best := nodes[c.Draw(int64(len(nodes)))]
@@ -458,7 +458,7 @@
 		header.Set(HeaderAge, strconv.FormatInt(age.Milliseconds(), 10))
 	}
 	c.phase = phaseForward
-	return Order{Kind: OrderSend, For: left, Path: "/" + c.Query.Service + c.Query.Path, Header: header, Limit: c.decision.Entry.ResponseLimit + 4096, IsBound: true}
+	return Order{Kind: OrderSend, For: left, Path: "/" + c.Request.Service + c.Request.Path, Header: header, Limit: c.decision.Entry.ResponseLimit + 4096, IsBound: true}
 }
 
 func (c *RequestMachine) forwardAnswered(e Event) Order {
@@ -472,11 +472,11 @@
 		return doubt(e.Err)
 	}
 	o := e.Result
-	if o.Header.Get(HeaderAttempt) != c.Query.Attempt || o.Header.Get(HeaderProxy) != c.node.Id {
+	if o.Header.Get(HeaderAttempt) != c.Request.Attempt || o.Header.Get(HeaderProxy) != c.node.Id {
 		return doubt(errors.New("the answer is for another query"))
 	}
 	kind := o.Header.Get(HeaderOutcome)
-	if kind == ResultSealed && o.Header.Get(HeaderDigest) != Seal(o.Body) && c.Query.Method != http.MethodHead {
+	if kind == ResultSealed && o.Header.Get(HeaderDigest) != Seal(o.Body) && c.Request.Method != http.MethodHead {
 		return doubt(errors.New("the answer's digest does not fit its body"))
 	}
 	c.Loads.Report(c.node.Id, nil)
@@ -501,7 +501,7 @@
 
 func (c *RequestMachine) forwardEnded(fault *RefusalError, mayRepeat bool) Order {
 	c.forwards++
-	if !mayRepeat || c.forwards >= 3 || fault.Result == ResultAmbiguous && !c.Loads.Repeat(c.now, c.Query.Service, c.part()) {
+	if !mayRepeat || c.forwards >= 3 || fault.Result == ResultAmbiguous && !c.Loads.Repeat(c.now, c.Request.Service, c.part()) {
 		return c.reply(fault)
 	}
 	c.lastFault, c.fault = fault.Message, fault
@@ -535,7 +535,7 @@
 var dropped = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host", "Expect", HeaderForwarded, HeaderOutcome, HeaderProxy}
 
 func (c *RequestMachine) header(left time.Duration) http.Header {
-	header := c.Query.Header.Clone()
+	header := c.Request.Header.Clone()
 	if header == nil {
 		header = http.Header{}
 	}
@@ -547,16 +547,16 @@
 			header.Del(name)
 		}
 	}
-	header.Set(HeaderAttempt, c.Query.Attempt)
+	header.Set(HeaderAttempt, c.Request.Attempt)
 	header.Set(HeaderWait, strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	header.Set(HeaderOrigin, c.Query.OriginRaw)
-	if c.Query.Key != "" {
-		header.Set(HeaderKey, c.Query.Key)
+	header.Set(HeaderOrigin, c.Request.OriginRaw)
+	if c.Request.Key != "" {
+		header.Set(HeaderKey, c.Request.Key)
 	}
 	return header
 }
 
-func verify(o *Result, q *Query, b *schema.Backend) error {
+func verify(o *Result, q *Request, b *schema.Backend) error {
 	h := o.Header
 	switch {
 	case h.Get(HeaderAttempt) != q.Attempt:
--- a/internal/proxy/course_test.go
+++ b/internal/proxy/course_test.go
@@ -40,7 +40,7 @@
 		return Event{Kind: EventReserved, Reserved: &schema.ReservationResponse{State: schema.ReservationState_RESERVATION_HELD, Owner: owner}}
 	}
 	elsewhereKept := NewKept()
-	elsewhereKept.Put(noon, &Query{Attempt: "attempt-1", Digest: []byte("d")}, sealed("attempt-1", "l-1", "before"))
+	elsewhereKept.Put(noon, &Request{Attempt: "attempt-1", Digest: []byte("d")}, sealed("attempt-1", "l-1", "before"))
 	again := Event{Kind: EventReplayed, Replayed: elsewhereKept.Replay(&schema.ReplayRequest{Attempt: "attempt-1", Digest: []byte("d")})}
 	torn := Event{Kind: EventReplayed, Replayed: &schema.ReplayResponse{Kept: true, Status: 200, Header: again.Replayed.Header, Body: []byte("bef")}}
 	isolated := func(l *core.Local) { l.View.Version = 0 }
@@ -74,7 +74,7 @@
 		{"a wait that is over is told at once, not parked again", false, 100 * time.Millisecond, isolated, 100 * time.Millisecond, []Event{begun, {Kind: EventWoken}}, "wait reply", "declined", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			q := &Query{Service: "ledger", Path: "/balances/7", Method: "GET", Attempt: "attempt-1", Wait: c.wait, Origin: standing.Origin{Region: "north"}}
+			q := &Request{Service: "ledger", Path: "/balances/7", Method: "GET", Attempt: "attempt-1", Wait: c.wait, Origin: standing.Origin{Region: "north"}}
 			if c.isUnsafe {
 				q.Path, q.Method, q.Origin = "/pay", "POST", standing.Origin{Service: "ledger", Path: "/pay"}
 			}
@@ -85,11 +85,11 @@
 			}
 			loads, kept := NewLoads(func() time.Duration { return noon }), NewKept()
 			q.Seal()
-			kept.Put(noon, &Query{Attempt: q.Attempt, Digest: append([]byte{c.other}, q.Digest[1:]...)}, sealed("attempt-1", "l-1", "before"))
+			kept.Put(noon, &Request{Attempt: q.Attempt, Digest: append([]byte{c.other}, q.Digest[1:]...)}, sealed("attempt-1", "l-1", "before"))
 			if c.other == 0 {
 				kept.Put(noon, q, sealed("attempt-1", "l-1", "before"))
 			}
-			machine := NewRequestMachine(RequestOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Query: q, Owner: "h/1", Begun: noon})
+			machine := NewRequestMachine(RequestOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Request: q, Owner: "h/1", Begun: noon})
 			var kinds []string
 			var last Order
 			now := noon
@@ -135,8 +135,8 @@
 			now := noon
 			loads, kept := NewLoads(func() time.Duration { return now }), NewKept()
 			local := fresh(w.view())
-			q := &Query{Service: "ledger", Path: "/keyed", Method: "GET", Key: "k", Attempt: "attempt-1", Wait: time.Second, Origin: standing.Origin{Service: "ledger", Path: "/keyed"}}
-			machine := NewRequestMachine(RequestOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Query: q, Begun: noon})
+			q := &Request{Service: "ledger", Path: "/keyed", Method: "GET", Key: "k", Attempt: "attempt-1", Wait: time.Second, Origin: standing.Origin{Service: "ledger", Path: "/keyed"}}
+			machine := NewRequestMachine(RequestOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Request: q, Begun: noon})
 			for _, e := range []Event{{Kind: EventBegun}, {Kind: EventConnected}} {
 				machine.Next(now, local, e)
 			}
--- a/internal/proxy/decider.go
+++ b/internal/proxy/decider.go
@@ -55,7 +55,7 @@
 	Now        time.Duration
 	Local      *core.Local
 	Self       *schema.Node
-	Query      *Query
+	Request    *Request
 	Load       Load
 	Tried      map[string]bool
 	IsReserved bool
@@ -115,7 +115,7 @@
 
 // Check tells whether this proxy may begin a leg of the query now, or else what is to be done.
 func Check(s Situation) (Decision, bool) {
-	q := s.Query
+	q := s.Request
 	entry, early := Entry(s.Now, s.Local, q.Service, q.Path, s.Parked)
 	if early != nil {
 		return *early, false
@@ -222,7 +222,7 @@
 }
 
 func match(s Situation, d Decision) Decision {
-	q, entry, owner, view := s.Query, d.Entry, d.Owner, s.Local.View
+	q, entry, owner, view := s.Request, d.Entry, d.Owner, s.Local.View
 	park := func(kind, form string, args ...any) Decision { return s.park(d, kind, form, args...) }
 	service := view.Services[entry.Service]
 	if q.Key != "" {
--- a/internal/proxy/executor.go
+++ b/internal/proxy/executor.go
@@ -93,7 +93,7 @@
 }
 
 func (x *Executor) run(r *http.Request, begun time.Duration) (*Result, *RefusalError) {
-	q, fault := ReadQuery(r)
+	q, fault := ReadRequest(r)
 	if fault != nil {
 		return nil, fault
 	}
@@ -104,7 +104,7 @@
 	return x.Run(r.Context(), q, begun)
 }
 
-func (x *Executor) readBody(q *Query, r *http.Request, begun time.Duration) *RefusalError {
+func (x *Executor) readBody(q *Request, r *http.Request, begun time.Duration) *RefusalError {
 	limit := uint64(constants.BodyLimit)
 	if service := x.options.Local().View.Services[q.Service]; service != nil {
 		if entry := service.Entry(q.Path); entry != nil {
@@ -127,8 +127,8 @@
 }
 
 // Run carries a query until it has its one outcome.
-func (x *Executor) Run(ctx context.Context, q *Query, begun time.Duration) (*Result, *RefusalError) {
-	machine := NewRequestMachine(RequestOptions{Self: x.options.Self, Loads: x.options.Loads, Kept: x.options.Kept, Draw: x.options.Draw, Query: q, Begun: begun,
+func (x *Executor) Run(ctx context.Context, q *Request, begun time.Duration) (*Result, *RefusalError) {
+	machine := NewRequestMachine(RequestOptions{Self: x.options.Self, Loads: x.options.Loads, Kept: x.options.Kept, Draw: x.options.Draw, Request: q, Begun: begun,
 		Owner: fmt.Sprintf("%s/%d", x.options.Self.Id, x.serial.Add(1))})
 	defer func() { x.stats[3].Add(uint64(machine.Repeats)) }()
 	ctx, cancel := context.WithTimeout(ctx, q.Wait)
@@ -222,7 +222,7 @@
 	return answers
 }
 
-func exchange(ctx context.Context, conn *Proved, q *Query, order Order) (result *Result, isTouched, isClean bool, err error) {
+func exchange(ctx context.Context, conn *Proved, q *Request, order Order) (result *Result, isTouched, isClean bool, err error) {
 	address, err := url.Parse("http://" + conn.RemoteAddr().String() + order.Path)
 	if err != nil {
 		return nil, false, false, err
--- a/internal/proxy/kept.go
+++ b/internal/proxy/kept.go
@@ -40,7 +40,7 @@
 }
 
 // Put keeps an outcome within the bound of bytes.
-func (k *Kept) Put(now time.Duration, q *Query, o *Result) {
+func (k *Kept) Put(now time.Duration, q *Request, o *Result) {
 	size := len(o.Body) + len(q.Attempt) + 512
 	if size > constants.KeptResponse {
 		return
@@ -74,8 +74,8 @@
 }
 
 // Replay answers another proxy.
-func (k *Kept) Replay(query *schema.ReplayRequest) *schema.ReplayResponse {
-	o := k.Get(query.Attempt, query.Digest)
+func (k *Kept) Replay(request *schema.ReplayRequest) *schema.ReplayResponse {
+	o := k.Get(request.Attempt, request.Digest)
 	if o == nil {
 		return &schema.ReplayResponse{}
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -72,21 +72,21 @@
 
 func TestDecide(t *testing.T) {
 	north := &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}
-	safe := func() *Query {
-		return &Query{Service: "ledger", Path: "/balances/7", Method: "GET", Attempt: "attempt-1", Origin: standing.Origin{Region: "north"}}
+	safe := func() *Request {
+		return &Request{Service: "ledger", Path: "/balances/7", Method: "GET", Attempt: "attempt-1", Origin: standing.Origin{Region: "north"}}
 	}
-	unsafe := func() *Query {
-		return &Query{Service: "ledger", Path: "/pay", Method: "POST", Attempt: "attempt-1", Origin: standing.Origin{Service: "ledger", Path: "/pay"}}
+	unsafe := func() *Request {
+		return &Request{Service: "ledger", Path: "/pay", Method: "POST", Attempt: "attempt-1", Origin: standing.Origin{Service: "ledger", Path: "/pay"}}
 	}
 	all := []*schema.Backend{backend("l-1", "north-a"), backend("l-2", "north-b"), backend("l-3", "south-a")}
 	for _, c := range []struct {
-		name   string
-		world  *world
-		change func(*Situation)
-		query  *Query
-		turn   Turn
-		kind   string
-		chosen string
+		name    string
+		world   *world
+		change  func(*Situation)
+		request *Request
+		turn    Turn
+		kind    string
+		chosen  string
 	}{
 		{"a safe query goes to the nearest back end", base(all...), nil, safe(), TurnAttempt, "", "l-1"},
 		{"or to another district of the region", base(all[1:]...), nil, safe(), TurnAttempt, "", "l-2"},
@@ -104,12 +104,12 @@
 		{"but not at once", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.BehindMost }, safe(), TurnAttempt, "", "l-1"},
 		{"a thawed proxy refreshes first", base(all...), func(s *Situation) { s.Local.ThawedAt = noon }, safe(), TurnPark, "", ""},
 		{"one that has not ticked is taken as frozen", base(all...), func(s *Situation) { s.Local.TickAt = noon - 2*time.Second }, safe(), TurnPark, "", ""},
-		{"an unknown service", base(all...), func(s *Situation) { s.Query.Service = "nobody" }, safe(), TurnRefuse, "unknown-entry", ""},
-		{"an unknown path", base(all...), func(s *Situation) { s.Query.Path = "/balance" }, safe(), TurnRefuse, "unknown-entry", ""},
-		{"a path is matched by whole parts", base(all...), func(s *Situation) { s.Query.Path = "/balancesheet" }, safe(), TurnRefuse, "unknown-entry", ""},
-		{"a method that the entry lacks", base(all...), func(s *Situation) { s.Query.Method = "POST" }, safe(), TurnRefuse, "bad-method", ""},
+		{"an unknown service", base(all...), func(s *Situation) { s.Request.Service = "nobody" }, safe(), TurnRefuse, "unknown-entry", ""},
+		{"an unknown path", base(all...), func(s *Situation) { s.Request.Path = "/balance" }, safe(), TurnRefuse, "unknown-entry", ""},
+		{"a path is matched by whole parts", base(all...), func(s *Situation) { s.Request.Path = "/balancesheet" }, safe(), TurnRefuse, "unknown-entry", ""},
+		{"a method that the entry lacks", base(all...), func(s *Situation) { s.Request.Method = "POST" }, safe(), TurnRefuse, "bad-method", ""},
 		{"a slice that is not held is asked for", base(all...), func(s *Situation) { s.Local.IsFull = false }, safe(), TurnPark, "", ""},
-		{"another group's query is forwarded", base(all...), func(s *Situation) { s.Query.Origin.Region = "south" }, safe(), TurnAttempt, "", "l-1"},
+		{"another group's query is forwarded", base(all...), func(s *Situation) { s.Request.Origin.Region = "south" }, safe(), TurnAttempt, "", "l-1"},
 		{"to the group that the number names", func() *world {
 			w := base(all...)
 			w.put("", image.Put(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
@@ -119,8 +119,8 @@
 			w := base(all...)
 			w.put("", image.Put(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 			return w
-		}(), func(s *Situation) { s.Query.Forwarded = standing.Trail{100}; s.Parked = constants.ParkMost }, safe(), TurnRefuse, "moved", ""},
-		{"a higher forwarded number waits for the image", base(all...), func(s *Situation) { s.Query.Forwarded = standing.Trail{200} }, safe(), TurnPark, "", ""},
+		}(), func(s *Situation) { s.Request.Forwarded = standing.Trail{100}; s.Parked = constants.ParkMost }, safe(), TurnRefuse, "moved", ""},
+		{"a higher forwarded number waits for the image", base(all...), func(s *Situation) { s.Request.Forwarded = standing.Trail{200} }, safe(), TurnPark, "", ""},
 		{"an unsafe query is claimed first", base(all...), nil, unsafe(), TurnReserve, "", ""},
 		{"and then has its leg", base(all...), func(s *Situation) { s.IsReserved = true }, unsafe(), TurnAttempt, "", "l-1"},
 		{"it needs a live grant", base(all...), func(s *Situation) { s.Local.LeaseUntil = noon; s.IsReserved = true }, unsafe(), TurnPark, "", ""},
@@ -152,7 +152,7 @@
 			s.FirstSent = noon - time.Second
 			s.Local.Opened = map[string]time.Duration{image.EntityKey("ledger", "/pay"): noon - time.Minute}
 		}, unsafe(), TurnReserve, "", ""},
-		{"a region's origin does not fit a bound entry", base(all...), func(s *Situation) { s.Query.Origin = standing.Origin{Region: "north"} }, unsafe(), TurnRefuse, "bad-origin", ""},
+		{"a region's origin does not fit a bound entry", base(all...), func(s *Situation) { s.Request.Origin = standing.Origin{Region: "north"} }, unsafe(), TurnRefuse, "bad-origin", ""},
 		{"an emptied district serves nothing", func() *world {
 			w := base(all...)
 			w.put("", image.Put(image.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Emptied: true}))
@@ -165,7 +165,7 @@
 		}()), nil, safe(), TurnPark, "", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := Situation{Now: noon, Local: fresh(c.world.view()), Self: north, Query: c.query, Load: NewLoads(func() time.Duration { return noon }), Tried: map[string]bool{}, Left: time.Second, Draw: func(int64) int64 { return 0 }}
+			s := Situation{Now: noon, Local: fresh(c.world.view()), Self: north, Request: c.request, Load: NewLoads(func() time.Duration { return noon }), Tried: map[string]bool{}, Left: time.Second, Draw: func(int64) int64 { return 0 }}
 			if c.change != nil {
 				c.change(&s)
 			}
@@ -574,7 +574,7 @@
 	o := sealed("x", "l-1", strings.Repeat("y", 30<<10))
 	total := 2 * constants.KeptBytes / len(o.Body)
 	for i := range total {
-		k.Put(noon, &Query{Attempt: fmt.Sprintf("attempt-%05d", i), Digest: []byte("d")}, o)
+		k.Put(noon, &Request{Attempt: fmt.Sprintf("attempt-%05d", i), Digest: []byte("d")}, o)
 	}
 	kept, weight := 0, 0
 	for i := range total {
@@ -586,7 +586,7 @@
 	if kept == 0 || weight > constants.KeptBytes || k.Get("attempt-00000", []byte("d")) != nil {
 		t.Errorf("%d outcomes of %d bytes are kept, the first still there: %v", kept, weight, k.Get("attempt-00000", []byte("d")) != nil)
 	}
-	k.Put(noon, &Query{Attempt: "large", Digest: []byte("d")}, sealed("x", "l-1", strings.Repeat("y", constants.KeptResponse)))
+	k.Put(noon, &Request{Attempt: "large", Digest: []byte("d")}, sealed("x", "l-1", strings.Repeat("y", constants.KeptResponse)))
 	if k.Get("large", []byte("d")) != nil {
 		t.Error("an outcome above the limit is kept")
 	}
--- a/internal/proxy/query.go
+++ b/internal/proxy/query.go
@@ -41,7 +41,7 @@
 )
 
 // Query is a caller's request as it was read.
-type Query struct {
+type Request struct {
 	Service   string
 	Path      string
 	RawQuery  string
@@ -112,8 +112,8 @@
 var compileAttemptForm = sync.OnceValue(func() *regexp.Regexp { return regexp.MustCompile(`^[A-Za-z0-9_.:-]{8,64}$`) })
 
 // ReadQuery reads what does not need the entry; the body follows once the entry is known.
-func ReadQuery(r *http.Request) (*Query, *RefusalError) {
-	q := &Query{Method: r.Method, RawQuery: r.URL.RawQuery, Header: r.Header}
+func ReadRequest(r *http.Request) (*Request, *RefusalError) {
+	q := &Request{Method: r.Method, RawQuery: r.URL.RawQuery, Header: r.Header}
 	service, path, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
 	q.Service, q.Path = service, "/"+path
 	if service == "" {
@@ -156,7 +156,7 @@
 }
 
 // Seal fixes the digest of the query, which a claim is bound to.
-func (q *Query) Seal() {
+func (q *Request) Seal() {
 	sum := sha256.New()
 	for _, part := range []string{q.Method, q.Service, q.Path, q.RawQuery, q.Key} {
 		fmt.Fprintf(sum, "%d:%s", len(part), part)
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -37,7 +37,7 @@
 		name    string
 		hard    *schema.HardState
 		isLive  bool
-		query   *schema.Raft
+		request *schema.Raft
 		isGiven bool
 		isMute  bool
 	}{
@@ -58,9 +58,9 @@
 				q.Receive(time.Hour, &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND, From: "c", To: "a", Term: 2, Index: 3, LogTerm: 2})
 				last(q)
 			}
-			c.query.From, c.query.To = "b", "a"
+			c.request.From, c.request.To = "b", "a"
 			term := q.Term()
-			q.Receive(time.Hour+time.Millisecond, c.query)
+			q.Receive(time.Hour+time.Millisecond, c.request)
 			answer := last(q)
 			if c.isMute {
 				if answer != nil || q.Term() != term {
@@ -71,7 +71,7 @@
 			if answer == nil || answer.Rejected == c.isGiven {
 				t.Fatalf("answer %v, want given %v", answer, c.isGiven)
 			}
-			if c.query.Kind == schema.RaftKind_RAFT_PREVOTE && q.Term() != term {
+			if c.request.Kind == schema.RaftKind_RAFT_PREVOTE && q.Term() != term {
 				t.Fatal("a pre-vote raised the term")
 			}
 		})
--- a/internal/sim/failover.go
+++ b/internal/sim/failover.go
@@ -38,7 +38,7 @@
 		f.killAll(isIn(owner.Zone))
 		isServed := false
 		for i := 0; !isServed && f.Now < at+30*time.Second; i++ {
-			f.Query(fmt.Sprintf("failover-%s-%d", kind.service, i), kind.method, kind.service, kind.probe, "r0", 2*time.Second, func(o string) { isServed = isServed || o == "sealed" })
+			f.Request(fmt.Sprintf("failover-%s-%d", kind.service, i), kind.method, kind.service, kind.probe, "r0", 2*time.Second, func(o string) { isServed = isServed || o == "sealed" })
 			f.RunFor(50 * time.Millisecond)
 			if leader := f.Leader(); leader != nil && result.Number == 0 {
 				if now, err := standing.Resolve(f.View(leader), entry, origin); err == nil && now.Trail.IsNewer(owner.Trail) {
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -344,7 +344,7 @@
 		n.core.Tick(f.clock(n))
 		f.perform(n)
 		for _, asking := range n.replica.Ask(f.clock(n)) {
-			f.call(n, asking.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: asking.Query}}, func(o *schema.Frame) {
+			f.call(n, asking.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: asking.Message}}, func(o *schema.Frame) {
 				if result := o.GetReservationCopyResponse(); result != nil {
 					n.replica.Copied(f.clock(n), asking.Member.Id, result)
 				}
@@ -562,44 +562,44 @@
 }
 
 // Operate sends an operator's query to a machine and keeps what was told.
-func (f *Fleet) Operate(n *Node, query *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
+func (f *Fleet) Operate(n *Node, request *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
 	at := f.Now
-	if f.Options.Breach == "race" && query.Kind == schema.OperatorKind_OPERATOR_PUT {
-		query = proto.Clone(query).(*schema.OperatorRequest)
-		f.after(time.Duration(f.random.Intn(1500))*time.Millisecond, func() { f.operate(n, at, query, take) })
+	if f.Options.Breach == "race" && request.Kind == schema.OperatorKind_OPERATOR_PUT {
+		request = proto.Clone(request).(*schema.OperatorRequest)
+		f.after(time.Duration(f.random.Intn(1500))*time.Millisecond, func() { f.operate(n, at, request, take) })
 		return
 	}
-	f.operate(n, at, query, take)
+	f.operate(n, at, request, take)
 }
 
-func (f *Fleet) operate(n *Node, at time.Duration, query *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
-	base := query.Base
+func (f *Fleet) operate(n *Node, at time.Duration, request *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
+	base := request.Base
 	if f.Options.Breach == "race" {
-		query.Base = n.core.Local().View.Head.Version
+		request.Base = n.core.Local().View.Head.Version
 		at = f.Now
 	}
 	f.on(n, n.Boot, func() {
 		n.serial++
 		n.calls[n.serial] = func(frame *schema.Frame) {
 			o := frame.GetOperatorResponse()
-			if f.Options.Breach == "read-back" && o.Version > 1 && query.Kind == schema.OperatorKind_OPERATOR_SHOW {
+			if f.Options.Breach == "read-back" && o.Version > 1 && request.Kind == schema.OperatorKind_OPERATOR_SHOW {
 				o.Version--
 			}
-			f.notified(n, at, base, query, o)
+			f.notified(n, at, base, request, o)
 			take(o)
 		}
-		n.core.Operate(f.clock(n), n.serial, query)
+		n.core.Operate(f.clock(n), n.serial, request)
 		f.perform(n)
 	})
 }
 
-func (f *Fleet) notified(n *Node, at time.Duration, base uint64, query *schema.OperatorRequest, o *schema.OperatorResponse) {
-	e := judge.OperatorEvent{At: at, End: f.Now, Zone: query.Zone, Version: o.Version, Base: base, Status: 200, Node: n.Name}
-	switch query.Kind {
+func (f *Fleet) notified(n *Node, at time.Duration, base uint64, request *schema.OperatorRequest, o *schema.OperatorResponse) {
+	e := judge.OperatorEvent{At: at, End: f.Now, Zone: request.Zone, Version: o.Version, Base: base, Status: 200, Node: n.Name}
+	switch request.Kind {
 	case schema.OperatorKind_OPERATOR_PUT:
 		e.What = "put"
 		var document catalog.Document
-		if document.UnmarshalJSON(query.Document) != nil || strings.Contains(string(query.Document), "nobody") {
+		if document.UnmarshalJSON(request.Document) != nil || strings.Contains(string(request.Document), "nobody") {
 			e.What = "bad-put"
 		}
 		for _, entry := range document.Entries {
--- a/internal/sim/traffic.go
+++ b/internal/sim/traffic.go
@@ -42,7 +42,7 @@
 	node    *Node
 	boot    int
 	id      uint64
-	query   *proxy.Query
+	request *proxy.Request
 	machine *proxy.RequestMachine
 	respond func(o *proxy.Result, broken string)
 	step    int
@@ -98,15 +98,15 @@
 		return
 	}
 	f.on(n, n.Boot, func() {
-		q, fault := proxy.ReadQuery(r)
+		q, fault := proxy.ReadRequest(r)
 		if fault != nil {
 			respond(proxy.Tell(n.ident, r.Header.Get(proxy.HeaderAttempt), nil, fault), "")
 			return
 		}
 		q.Seal()
 		n.serial++
-		c := &carried{fleet: f, node: n, boot: n.Boot, id: n.serial, query: q, respond: respond}
-		c.machine = proxy.NewRequestMachine(proxy.RequestOptions{Self: &schema.Node{Id: n.ident, Zone: n.Zone, Region: n.Region}, Loads: n.loads, Kept: n.kept, Draw: n.random.Int63n, Query: q,
+		c := &carried{fleet: f, node: n, boot: n.Boot, id: n.serial, request: q, respond: respond}
+		c.machine = proxy.NewRequestMachine(proxy.RequestOptions{Self: &schema.Node{Id: n.ident, Zone: n.Zone, Region: n.Region}, Loads: n.loads, Kept: n.kept, Draw: n.random.Int63n, Request: q,
 			Owner: fmt.Sprintf("%s/%d", n.ident, n.serial), Begun: f.clock(n)})
 		n.flying[c.id] = c
 		c.next(0, proxy.Event{Kind: proxy.EventBegun})
@@ -132,7 +132,7 @@
 		}
 		if f.Options.Breach == "budget" {
 			for range 20 {
-				n.loads.First(f.clock(n), c.query.Service)
+				n.loads.First(f.clock(n), c.request.Service)
 			}
 		}
 		before := c.machine.Repeats
@@ -152,7 +152,7 @@
 		if order.Fault != nil {
 			f.Counts[order.Fault.Result+" "+order.Fault.Kind]++
 		}
-		c.answer(proxy.Tell(n.ident, c.query.Attempt, order.Result, order.Fault), "")
+		c.answer(proxy.Tell(n.ident, c.request.Attempt, order.Result, order.Fault), "")
 	case proxy.OrderWait:
 		if order.Wanted != "" {
 			n.core.Want(f.clock(n), order.Wanted)
@@ -243,8 +243,8 @@
 	f.after(order.For, func() { finish(late) })
 	if c.peer == nil {
 		b := c.backend
-		f.began(c.query, order.Header.Get(proxy.HeaderNumber))
-		if f.freezeAttempt > 0 && c.query.Method != http.MethodGet {
+		f.began(c.request, order.Header.Get(proxy.HeaderNumber))
+		if f.freezeAttempt > 0 && c.request.Method != http.MethodGet {
 			f.Freeze(n, f.freezeAttempt)
 			f.freezeAttempt = 0
 		}
@@ -254,7 +254,7 @@
 				case !b.IsUp:
 					finish(proxy.Event{Kind: proxy.EventAnswered, Err: fmt.Errorf("connection reset by %s", b.Instance), IsTouched: true})
 				case !f.cuts[[2]string{n.Name, b.Instance}]:
-					f.arrive(b, n, order, c.query.Method, finish)
+					f.arrive(b, n, order, c.request.Method, finish)
 				}
 			})
 		})
@@ -275,7 +275,7 @@
 			f.breach("a forward has path %q", order.Path)
 			return
 		}
-		f.carry(peer, &http.Request{Method: c.query.Method, URL: target, Header: order.Header.Clone()}, func(o *proxy.Result, broken string) {
+		f.carry(peer, &http.Request{Method: c.request.Method, URL: target, Header: order.Header.Clone()}, func(o *proxy.Result, broken string) {
 			f.after(f.delay(n, peer), func() {
 				switch {
 				case f.cuts[back]:
@@ -289,7 +289,7 @@
 	})
 }
 
-func (f *Fleet) began(q *proxy.Query, number string) {
+func (f *Fleet) began(q *proxy.Request, number string) {
 	if q.Method == http.MethodGet {
 		return
 	}
@@ -343,7 +343,7 @@
 }
 
 // Query is one simulated sending; done is told its outcome: sealed, declined, doubtful, unreached, broken or late.
-func (f *Fleet) Query(attempt, method, service, path string, region string, wait time.Duration, done func(result string)) {
+func (f *Fleet) Request(attempt, method, service, path string, region string, wait time.Duration, done func(result string)) {
 	f.send(Ask{Attempt: attempt, Method: method, Service: service, Path: path, Region: region, Wait: wait}, 1, func(r *judge.Reply) {
 		switch {
 		case r == nil:
