--- a/cmd/rig/caller.go
+++ b/cmd/rig/caller.go
@@ -244,7 +244,7 @@
 			continue
 		}
 		m := &matched{at: time.Now()}
-		seen := judge.MatchSeen{At: at, Door: machine.name, Service: kind.Service, Path: kind.Path, Status: response.StatusCode, Boot: machine.boot}
+		seen := judge.MatchSeen{At: at, Admin: machine.name, Service: kind.Service, Path: kind.Path, Status: response.StatusCode, Boot: machine.boot}
 		if response.StatusCode == http.StatusOK && json.Unmarshal(text, m) == nil && len(m.Proxies) > 0 {
 			seen.Version, seen.Zone = m.Version, m.Proxies[0].Zone
 			judge.Record(c.history, &c.history.Matches, seen)
--- a/cmd/rig/fleet.go
+++ b/cmd/rig/fleet.go
@@ -272,7 +272,7 @@
 	}
 }
 
-func (f *Fleet) door(m *Machine, method, path string, query url.Values, body []byte) (int, http.Header, []byte, error) {
+func (f *Fleet) adminCall(m *Machine, method, path string, query url.Values, body []byte) (int, http.Header, []byte, error) {
 	address := url.URL{Scheme: "http", Host: m.shown(7003), Path: path, RawQuery: query.Encode()}
 	request, err := http.NewRequest(method, address.String(), bytes.NewReader(body))
 	if err != nil {
--- a/cmd/rig/routed.go
+++ b/cmd/rig/routed.go
@@ -60,7 +60,7 @@
 	return &routedWorld{ran: map[string]int{}, once: map[string]bool{}, seen: map[string]time.Time{}, random: rand.New(rand.NewSource(seed))}
 }
 
-func (w *routedWorld) breach(form string, args ...any) {
+func (w *routedWorld) violation(form string, args ...any) {
 	w.broken = append(w.broken, fmt.Sprintf(form, args...))
 }
 
@@ -136,7 +136,7 @@
 		case hold.until.Before(now):
 		case !isOverlap || hold.instance != b.instance:
 			if isOverlap && r.URL.Path == "/keys/grant" {
-				w.breach("keys %d to %d of %s were granted to %s while %s held %d to %d", call.First, call.Last, call.Service, b.instance, hold.instance, hold.first, hold.last)
+				w.violation("keys %d to %d of %s were granted to %s while %s held %d to %d", call.First, call.Last, call.Service, b.instance, hold.instance, hold.first, hold.last)
 			}
 			kept = append(kept, hold)
 		case hold.number > call.Number && r.URL.Path == "/keys/grant":
@@ -208,7 +208,7 @@
 	w.lock.Lock()
 	w.ran[id]++
 	if w.once[id] && w.ran[id] > 1 {
-		w.breach("%s, which must not be repeated, ran %d times", id, w.ran[id])
+		w.violation("%s, which must not be repeated, ran %d times", id, w.ran[id])
 	}
 	w.lock.Unlock()
 	time.Sleep(pause)
@@ -294,7 +294,7 @@
 
 func (r *routedRun) status() (map[string]any, error) {
 	for _, m := range r.fleet.machines {
-		status, _, text, err := r.fleet.door(m, http.MethodGet, "/v1/status", nil, nil)
+		status, _, text, err := r.fleet.adminCall(m, http.MethodGet, "/v1/status", nil, nil)
 		if err == nil && status == http.StatusOK {
 			var s map[string]any
 			return s, json.Unmarshal(text, &s)
@@ -336,12 +336,12 @@
 		isWhole := err == nil && strings.HasSuffix(string(text), " "+path+" "+id) && response.Header.Get("Content-Digest") == seal(text)
 		if response.StatusCode == http.StatusOK && !isWhole {
 			r.world.lock.Lock()
-			r.world.breach("%s got an answer that is not its own or not whole: %q, %v", id, text, err)
+			r.world.violation("%s got an answer that is not its own or not whole: %q, %v", id, text, err)
 			r.world.lock.Unlock()
 		}
 		if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Retry-After") == "" {
 			r.world.lock.Lock()
-			r.world.breach("%s was refused without Retry-After", id)
+			r.world.violation("%s was refused without Retry-After", id)
 			r.world.lock.Unlock()
 		}
 	}
@@ -375,7 +375,7 @@
 	last := ""
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
 		for _, m := range r.fleet.machines {
-			status, _, text, err := r.fleet.door(m, method, path, query, []byte(body))
+			status, _, text, err := r.fleet.adminCall(m, method, path, query, []byte(body))
 			if err == nil && status == http.StatusOK {
 				return nil
 			}
@@ -471,10 +471,10 @@
 			return true
 		}
 	}
-	breach := func(form string, args ...any) {
+	injectedFault := func(form string, args ...any) {
 		r.world.lock.Lock()
 		defer r.world.lock.Unlock()
-		r.world.breach(form, args...)
+		r.world.violation(form, args...)
 	}
 	steps := []func() error{
 		func() error {
@@ -485,7 +485,7 @@
 			last := time.Since(r.world.seen["north-a"])
 			r.world.lock.Unlock()
 			if most := time.Duration(c.seconds) * time.Second * 2 / 12; last < most-2500*time.Millisecond {
-				breach("north-a was emptied %v ago and got a request %v ago", most, last)
+				injectedFault("north-a was emptied %v ago and got a request %v ago", most, last)
 			}
 			return r.order(http.MethodPost, "/v1/districts/north-a/restore", nil, "")
 		},
@@ -523,8 +523,8 @@
 	}
 	<-loaded
 	for _, m := range r.fleet.machines {
-		if status, _, text, err := r.fleet.door(m, http.MethodGet, "/v1/configuration", nil, nil); err != nil || status != http.StatusOK || string(text) != routedDocument {
-			breach("%s reads back status %d, %d bytes, %v", m.name, status, len(text), err)
+		if status, _, text, err := r.fleet.adminCall(m, http.MethodGet, "/v1/configuration", nil, nil); err != nil || status != http.StatusOK || string(text) != routedDocument {
+			injectedFault("%s reads back status %d, %d bytes, %v", m.name, status, len(text), err)
 		}
 	}
 	s, err := r.status()
@@ -533,7 +533,7 @@
 	}
 	changes, _ := s["changes"].([]any)
 	if len(changes) == 0 {
-		breach("status tells no change of standing")
+		injectedFault("status tells no change of standing")
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -543,7 +543,7 @@
 	}
 	fmt.Printf("routed seed %d: %d requests, ends %v, slowest answer %v, %d changes told\n", c.seed, total, r.ends, r.slowest.Round(time.Millisecond), len(changes))
 	if 10*r.ends["200"] < 9*total {
-		breach("only %d of %d requests were answered", r.ends["200"], total)
+		injectedFault("only %d of %d requests were answered", r.ends["200"], total)
 	}
 	return r.world.broken, nil
 }
--- a/cmd/rig/scenario.go
+++ b/cmd/rig/scenario.go
@@ -115,7 +115,7 @@
 	for range 40 {
 		m := r.fleet.machines[r.callers.draw(len(r.fleet.machines))]
 		at := r.history.Now()
-		status, header, text, err := r.fleet.door(m, method, path, query, body)
+		status, header, text, err := r.fleet.adminCall(m, method, path, query, body)
 		if err != nil || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout && what != "put" {
 			time.Sleep(250 * time.Millisecond)
 			continue
@@ -222,7 +222,7 @@
 	}
 	for _, m := range r.fleet.machines {
 		var told struct{ Role string }
-		if _, _, text, err := r.fleet.door(m, http.MethodGet, "/v1/status", nil, nil); err == nil && json.Unmarshal(text, &told) == nil && told.Role == "leader" {
+		if _, _, text, err := r.fleet.adminCall(m, http.MethodGet, "/v1/status", nil, nil); err == nil && json.Unmarshal(text, &told) == nil && told.Role == "leader" {
 			r.leader = m
 		}
 	}
--- a/cmd/rig/simulate.go
+++ b/cmd/rig/simulate.go
@@ -20,8 +20,8 @@
 )
 
 type simCommand struct {
-	scenario, seeds, breach string
-	isVerbose               bool
+	scenario, seeds, injectedFault string
+	isVerbose                      bool
 }
 
 func (*simCommand) Name() string     { return "sim" }
@@ -32,7 +32,7 @@
 func (c *simCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.scenario, "scenario", "all", "scenario's name, all, or list")
 	flags.StringVar(&c.seeds, "seeds", "1-20", "first and last seed, or one seed")
-	flags.StringVar(&c.breach, "breach", "", "switch a protection off, to see the checks fail")
+	flags.StringVar(&c.injectedFault, "breach", "", "switch a protection off, to see the checks fail")
 	flags.BoolVar(&c.isVerbose, "v", false, "print the counts of each run")
 }
 
@@ -58,9 +58,9 @@
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitUsageError
 	}
-	if c.breach != "" && !slices.ContainsFunc(sim.Breaches, func(b sim.Breach) bool { return b.Name == c.breach }) {
-		fmt.Fprintf(os.Stderr, "breach %q is unknown; use one of:\n", c.breach)
-		for _, b := range sim.Breaches {
+	if c.injectedFault != "" && !slices.ContainsFunc(sim.Faults, func(b sim.Fault) bool { return b.Name == c.injectedFault }) {
+		fmt.Fprintf(os.Stderr, "breach %q is unknown; use one of:\n", c.injectedFault)
+		for _, b := range sim.Faults {
 			fmt.Fprintf(os.Stderr, "  %-10s %s; shown by -scenario %s\n", b.Name, b.About, b.Scenario)
 		}
 		return subcommands.ExitUsageError
@@ -98,7 +98,7 @@
 		for seed := first; seed <= last; seed++ {
 			slots <- true
 			group.Go(func() {
-				fleet, err := sim.Play(s, seed, c.breach)
+				fleet, err := sim.Play(s, seed, c.injectedFault)
 				lock.Lock()
 				results = append(results, result{seed, fleet, err})
 				lock.Unlock()
@@ -120,7 +120,7 @@
 			if c.isVerbose {
 				fmt.Printf("  seed %d: %v\n    not sealed: %v\n", r.seed, n, r.fleet.Lost)
 			}
-			if r.err == nil && len(r.fleet.Breaches) == 0 {
+			if r.err == nil && len(r.fleet.Violations) == 0 {
 				continue
 			}
 			failed++
@@ -130,9 +130,9 @@
 				if r.err != nil {
 					fmt.Println("   ", r.err)
 				}
-				for i, breach := range r.fleet.Breaches {
+				for i, injectedFault := range r.fleet.Violations {
 					if i < 3 {
-						fmt.Println("   ", breach)
+						fmt.Println("   ", injectedFault)
 					}
 				}
 			}
--- a/cmd/topazshed/commands.go
+++ b/cmd/topazshed/commands.go
@@ -101,14 +101,14 @@
 	log.Info("settings reloaded", "log_level", fresh.LogLevel)
 }
 
-type doorFlag struct{ door string }
+type adminFlag struct{ admin string }
 
-func (d *doorFlag) SetFlags(flags *flag.FlagSet) {
-	flags.StringVar(&d.door, "door", "127.0.0.1:7003", "IP:port of any node's door")
+func (d *adminFlag) SetFlags(flags *flag.FlagSet) {
+	flags.StringVar(&d.admin, "door", "127.0.0.1:7003", "IP:port of any node's door")
 }
 
-func (d *doorFlag) call(method, path string, query url.Values, header http.Header, body []byte) (int, http.Header, []byte, error) {
-	address := url.URL{Scheme: "http", Host: d.door, Path: path, RawQuery: query.Encode()}
+func (d *adminFlag) call(method, path string, query url.Values, header http.Header, body []byte) (int, http.Header, []byte, error) {
+	address := url.URL{Scheme: "http", Host: d.admin, Path: path, RawQuery: query.Encode()}
 	request, err := http.NewRequest(method, address.String(), bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, nil, err
@@ -119,7 +119,7 @@
 	client := http.Client{Timeout: 10 * time.Second}
 	response, err := client.Do(request)
 	if err != nil {
-		return 0, nil, nil, fmt.Errorf("%w; is a node's door at %s?", err, d.door)
+		return 0, nil, nil, fmt.Errorf("%w; is a node's door at %s?", err, d.admin)
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
@@ -160,7 +160,7 @@
 }
 
 type putCommand struct {
-	doorFlag
+	adminFlag
 	base int64
 	key  string
 }
@@ -169,7 +169,7 @@
 func (*putCommand) Synopsis() string { return "put a whole configuration" }
 func (*putCommand) Usage() string    { return "put [-door IP:PORT] [-base N] [-key TEXT] FILE\n" }
 func (c *putCommand) SetFlags(flags *flag.FlagSet) {
-	c.doorFlag.SetFlags(flags)
+	c.adminFlag.SetFlags(flags)
 	flags.Int64Var(&c.base, "base", -1, "version the file was based on (default: the newest)")
 	flags.StringVar(&c.key, "key", "", "operator key that makes repeated puts one")
 }
@@ -205,7 +205,7 @@
 	return code
 }
 
-type showCommand struct{ doorFlag }
+type showCommand struct{ adminFlag }
 
 func (*showCommand) Name() string     { return "show" }
 func (*showCommand) Synopsis() string { return "read the newest configuration back" }
@@ -221,7 +221,7 @@
 }
 
 type zoneCommand struct {
-	doorFlag
+	adminFlag
 	isEmpty bool
 	reason  string
 }
@@ -242,7 +242,7 @@
 	return c.Name() + " [-door IP:PORT] [-reason TEXT] DISTRICT\n"
 }
 func (c *zoneCommand) SetFlags(flags *flag.FlagSet) {
-	c.doorFlag.SetFlags(flags)
+	c.adminFlag.SetFlags(flags)
 	flags.StringVar(&c.reason, "reason", "operator", "why, shown by status")
 }
 func (c *zoneCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -262,7 +262,7 @@
 }
 
 type statusCommand struct {
-	doorFlag
+	adminFlag
 	isJSON bool
 }
 
@@ -272,7 +272,7 @@
 }
 func (*statusCommand) Usage() string { return "status [-door IP:PORT] [-json]\n" }
 func (c *statusCommand) SetFlags(flags *flag.FlagSet) {
-	c.doorFlag.SetFlags(flags)
+	c.adminFlag.SetFlags(flags)
 	flags.BoolVar(&c.isJSON, "json", false, "print the whole status as JSON")
 }
 func (c *statusCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
--- a/cmd/topazshed/commands_test.go
+++ b/cmd/topazshed/commands_test.go
@@ -25,7 +25,7 @@
 		w.Write([]byte(`{"entries":[]}`))
 	}))
 	defer server.Close()
-	door := strings.TrimPrefix(server.URL, "http://")
+	admin := strings.TrimPrefix(server.URL, "http://")
 	for _, c := range []struct {
 		name    string
 		command subcommands.Command
@@ -35,13 +35,13 @@
 		{"serve without settings", &serveCommand{}, nil, subcommands.ExitUsageError},
 		{"serve with an argument", &serveCommand{}, []string{"now"}, subcommands.ExitUsageError},
 		{"serve with a file that isn't there", &serveCommand{}, []string{"-settings", "/nowhere.json"}, subcommands.ExitUsageError},
-		{"put without a file", &putCommand{}, []string{"-door", door}, subcommands.ExitUsageError},
-		{"put of a file that isn't there", &putCommand{}, []string{"-door", door, "/nowhere.json"}, subcommands.ExitUsageError},
-		{"show", &showCommand{}, []string{"-door", door}, subcommands.ExitSuccess},
+		{"put without a file", &putCommand{}, []string{"-door", admin}, subcommands.ExitUsageError},
+		{"put of a file that isn't there", &putCommand{}, []string{"-door", admin, "/nowhere.json"}, subcommands.ExitUsageError},
+		{"show", &showCommand{}, []string{"-door", admin}, subcommands.ExitSuccess},
 		{"show from nobody", &showCommand{}, []string{"-door", "127.0.0.1:1"}, subcommands.ExitFailure},
-		{"empty", &zoneCommand{isEmpty: true}, []string{"-door", door, "north-a"}, subcommands.ExitSuccess},
-		{"empty of an unknown district", &zoneCommand{isEmpty: true}, []string{"-door", door, "moon"}, subcommands.ExitFailure},
-		{"empty of none", &zoneCommand{isEmpty: true}, []string{"-door", door}, subcommands.ExitUsageError},
+		{"empty", &zoneCommand{isEmpty: true}, []string{"-door", admin, "north-a"}, subcommands.ExitSuccess},
+		{"empty of an unknown district", &zoneCommand{isEmpty: true}, []string{"-door", admin, "moon"}, subcommands.ExitFailure},
+		{"empty of none", &zoneCommand{isEmpty: true}, []string{"-door", admin}, subcommands.ExitUsageError},
 		{"doctor of nothing", &doctorCommand{}, nil, subcommands.ExitUsageError},
 		{"version", &versionCommand{}, nil, subcommands.ExitSuccess},
 	} {
--- a/cmd/topazshed/doctor.go
+++ b/cmd/topazshed/doctor.go
@@ -24,7 +24,7 @@
 )
 
 type doctorCommand struct {
-	doorFlag
+	adminFlag
 	file, data string
 	span       time.Duration
 }
@@ -37,7 +37,7 @@
 	return "doctor [-door IP:PORT] [-settings FILE] [-data FOLDER]; exit code 0 is healthy, 1 has findings, 2 is a wrong call\n"
 }
 func (c *doctorCommand) SetFlags(flags *flag.FlagSet) {
-	flags.StringVar(&c.door, "door", "", "IP:port of any node's door: look at the live fleet")
+	flags.StringVar(&c.admin, "door", "", "IP:port of any node's door: look at the live fleet")
 	flags.DurationVar(&c.span, "clock-span", 2*time.Second, "how long to compare the machines' clock rates; 0 leaves it out")
 	flags.StringVar(&c.file, "settings", "", "settings file to check, with its seeds")
 	flags.StringVar(&c.data, "data", "", "data folder of a stopped process")
@@ -47,7 +47,7 @@
 type Finding struct{ Kind, Message, Remedy string }
 
 func (c *doctorCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	if c.door == "" && c.file == "" && c.data == "" {
+	if c.admin == "" && c.file == "" && c.data == "" {
 		fmt.Fprintln(os.Stderr, "name what to look at: -door, -settings or -data")
 		return subcommands.ExitUsageError
 	}
@@ -58,7 +58,7 @@
 	if c.data != "" {
 		findings = append(findings, examineData(c.data)...)
 	}
-	if c.door != "" {
+	if c.admin != "" {
 		findings = append(findings, c.examineFleet()...)
 	}
 	for _, finding := range findings {
@@ -100,12 +100,12 @@
 		conn.Close()
 	}
 	if s.Data != "" {
-		findings = append(findings, examineRoom(s.Data)...)
+		findings = append(findings, examineDiskSpace(s.Data)...)
 	}
 	return findings
 }
 
-func examineRoom(folder string) []Finding {
+func examineDiskSpace(folder string) []Finding {
 	var room syscall.Statfs_t
 	if err := syscall.Statfs(folder, &room); err != nil {
 		return []Finding{{"no-data-folder", err.Error(), "make the folder or mount its disk"}}
@@ -132,7 +132,7 @@
 	if info, err := os.Stat(folder); err != nil || !info.IsDir() {
 		return []Finding{{"no-data-folder", fmt.Sprintf("%s is no folder", folder), "name the data folder of a stopped process"}}
 	}
-	findings := examineRoom(folder)
+	findings := examineDiskSpace(folder)
 	if _, err := os.Stat(folder + "/ring-0"); err != nil {
 		return append(findings, Finding{"empty-data-folder", "there is no journal yet", "nothing, if the machine is new: it joins as a learner"})
 	}
@@ -154,9 +154,9 @@
 	return findings
 }
 
-func statusOf(door string) (*control.Status, error) {
+func statusOf(admin string) (*control.Status, error) {
 	client := http.Client{Timeout: 3 * time.Second}
-	response, err := client.Get("http://" + door + "/v1/status")
+	response, err := client.Get("http://" + admin + "/v1/status")
 	if err != nil {
 		return nil, err
 	}
@@ -169,22 +169,22 @@
 
 type reading struct{ mine, theirs, blur time.Duration }
 
-func examineClocks(door string, first *control.Status, span time.Duration) []Finding {
+func examineClocks(admin string, first *control.Status, span time.Duration) []Finding {
 	if span <= 0 {
 		return nil
 	}
-	doors := map[string]string{first.Node: door}
+	admins := map[string]string{first.Node: admin}
 	for _, node := range first.Nodes {
 		if node.State == "ready" && node.ID != first.Node {
-			doors[node.ID] = node.Door
+			admins[node.ID] = node.Admin
 		}
 	}
 	origin := time.Now()
 	read := func() map[string]reading {
 		readings := map[string]reading{}
-		for id, door := range doors {
+		for id, admin := range admins {
 			begun := time.Since(origin)
-			if s, err := statusOf(door); err == nil && s.Node == id {
+			if s, err := statusOf(admin); err == nil && s.Node == id {
 				blur := (time.Since(origin) - begun) / 2
 				readings[id] = reading{begun + blur, time.Duration(s.ClockMs) * time.Millisecond, blur}
 			}
@@ -213,7 +213,7 @@
 }
 
 func (c *doctorCommand) examineFleet() []Finding {
-	first, err := statusOf(c.door)
+	first, err := statusOf(c.admin)
 	if err != nil {
 		return []Finding{{"unreachable-door", err.Error(), "name the door of a running node"}}
 	}
@@ -228,9 +228,9 @@
 			add("lost-node", fmt.Sprintf("%s in %s is %s", node.ID, node.Zone, node.State), "start the machine again, or leave it: the others have taken over")
 			continue
 		}
-		s, err := statusOf(node.Door)
+		s, err := statusOf(node.Admin)
 		if err != nil {
-			add("unreachable-node", fmt.Sprintf("%s at %s: %v", node.ID, node.Door, err), "look at its log; restart it if it hangs")
+			add("unreachable-node", fmt.Sprintf("%s at %s: %v", node.ID, node.Admin, err), "look at its log; restart it if it hangs")
 			continue
 		}
 		all = append(all, s)
@@ -270,7 +270,7 @@
 			add("slow-disk", fmt.Sprintf("%s: worst sync %d ms, last %d ms", s.Node, s.Disk.WorstMs, s.Disk.LastSyncMs), "check the disk; a slow leader hands over by itself")
 		}
 	}
-	findings = append(findings, examineClocks(c.door, first, c.span)...)
+	findings = append(findings, examineClocks(c.admin, first, c.span)...)
 	if leader != nil {
 		first = leader
 	}
--- a/cmd/topazshed/doctor_test.go
+++ b/cmd/topazshed/doctor_test.go
@@ -52,7 +52,7 @@
 		{"a node without fresh state", func(_, r *control.Status) { r.Fit = false }, "unfit-node"},
 		{"an entry without a back end", func(l, _ *control.Status) { l.Entries = append(l.Entries, "gates/windows") }, "entry-without-back-end"},
 		{"a node that is not reached", func(l, _ *control.Status) {
-			l.Nodes = append(l.Nodes, control.NodeStatus{ID: "c", State: "ready", Door: "127.0.0.1:1"})
+			l.Nodes = append(l.Nodes, control.NodeStatus{ID: "c", State: "ready", Admin: "127.0.0.1:1"})
 		}, "unreachable-node"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -67,12 +67,12 @@
 				t.Cleanup(server.Close)
 				return strings.TrimPrefix(server.URL, "http://")
 			}
-			door := serve(leader)
-			leader.Nodes = []control.NodeStatus{{ID: "a", State: "ready", Door: door}, {ID: "b", State: "ready", Door: serve(reader)}}
+			admin := serve(leader)
+			leader.Nodes = []control.NodeStatus{{ID: "a", State: "ready", Admin: admin}, {ID: "b", State: "ready", Admin: serve(reader)}}
 			if c.change != nil {
 				c.change(leader, reader)
 			}
-			if got := strings.Join(kinds((&doctorCommand{doorFlag: doorFlag{door}}).examineFleet()), " "); got != c.want {
+			if got := strings.Join(kinds((&doctorCommand{adminFlag: adminFlag{admin}}).examineFleet()), " "); got != c.want {
 				t.Fatalf("got %q, want %q", got, c.want)
 			}
 		})
--- a/cmd/topazshed/platform.go
+++ b/cmd/topazshed/platform.go
@@ -60,7 +60,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	n, err := node.StartRouted(own, log, node.OpenFolder, platform.Seam(file, bounds))
+	n, err := node.StartRouted(own, log, node.OpenFolder, platform.NewPlatform(file, bounds))
 	if err != nil {
 		log.Error("did not start", "reason", err.Error())
 		return subcommands.ExitFailure
--- a/cmd/topazshed/rollout.go
+++ b/cmd/topazshed/rollout.go
@@ -143,7 +143,7 @@
 }
 
 type rolloutCommand struct {
-	doorFlag
+	adminFlag
 	isJSON bool
 }
 
@@ -155,7 +155,7 @@
 	return "rollout [-door IP:PORT] [-json] status\nExits with 0 if the next machine may be taken, 1 if not.\n"
 }
 func (c *rolloutCommand) SetFlags(flags *flag.FlagSet) {
-	c.doorFlag.SetFlags(flags)
+	c.adminFlag.SetFlags(flags)
 	flags.BoolVar(&c.isJSON, "json", false, "print it as JSON")
 }
 func (c *rolloutCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
--- a/cmd/topazshed/status.go
+++ b/cmd/topazshed/status.go
@@ -32,7 +32,7 @@
 		line("district %-12s region %-10s residue %2d emptied %v %s", d.Name, d.Region, d.Residue, d.Emptied, d.Reason)
 	}
 	for _, n := range s.Nodes {
-		line("machine  %s %-9s district %-10s proxy %s door %s disk %v%s", n.ID, n.State, n.Zone, n.Proxy, n.Door, n.Disk, wordOf(s, n))
+		line("machine  %s %-9s district %-10s proxy %s door %s disk %v%s", n.ID, n.State, n.Zone, n.Proxy, n.Admin, n.Disk, wordOf(s, n))
 	}
 	for _, row := range s.Assignments {
 		line("standing %-20s %-6s %-10s -> %-14s number %d fenced %v: %s", row.Service+row.Path, row.Kind, row.Region, row.Active, row.Number, row.Fenced, row.Reason)
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -101,12 +101,12 @@
 		if given.ResponseLimit > constants.BodyLimitMost {
 			add(at("outcome_limit"), "%d is too much; keep it within %d", given.ResponseLimit, constants.BodyLimitMost)
 		}
-		if given.Bearable > 1000 {
-			add(at("bearable"), "%d is too much; keep it within 1000", given.Bearable)
+		if given.ColdRate > 1000 {
+			add(at("bearable"), "%d is too much; keep it within 1000", given.ColdRate)
 		}
 		entries = append(entries, &schema.Entry{Service: given.Service, Path: given.Path, Methods: given.Methods, SafeMethods: given.RepeatSafe,
 			HomeRegions: given.HomeRegions, Keyed: given.Keyed, BodyLimit: or(given.BodyLimit, constants.BodyLimit),
-			ResponseLimit: or(given.ResponseLimit, constants.ResponseLimit), ColdRate: uint32(or(uint64(given.Bearable), constants.Bearable))})
+			ResponseLimit: or(given.ResponseLimit, constants.ResponseLimit), ColdRate: uint32(or(uint64(given.ColdRate), constants.ColdRate))})
 	}
 	if len(faults) > 0 {
 		return nil, faults
@@ -216,7 +216,7 @@
 // Plan makes the one record that replaces the whole configuration, guarded against any other put.
 func Plan(table *image.Table, entries []*schema.Entry, document []byte, base uint64, key string) (*schema.Record, uint64, error) {
 	row := table.Get(image.HeadKey)
-	head := image.Decode[schema.CatalogHead](row)
+	head := image.DecodeRow[schema.CatalogHead](row)
 	if base != head.GetVersion() {
 		return nil, 0, &ConflictError{head.GetVersion()}
 	}
@@ -232,15 +232,15 @@
 		entry.Version = version
 		key := image.EntryKey(entry.Service, entry.Path)
 		kept[key] = true
-		record.Rows = append(record.Rows, image.Put(key, entry))
+		record.Rows = append(record.Rows, image.EncodeRow(key, entry))
 	}
 	table.Each("s/", func(row *schema.Row) {
 		if strings.Contains(row.Key, "/entry/") && !kept[row.Key] {
-			record.Rows = append(record.Rows, image.Gone(row.Key))
+			record.Rows = append(record.Rows, image.Tombstone(row.Key))
 		}
 	})
-	record.Rows = append(record.Rows, image.Put(image.HeadKey, &schema.CatalogHead{Version: version, OperatorKey: key}),
-		image.Put(image.DocumentKey, &schema.CatalogDocument{Version: version, Document: document}))
+	record.Rows = append(record.Rows, image.EncodeRow(image.HeadKey, &schema.CatalogHead{Version: version, OperatorKey: key}),
+		image.EncodeRow(image.DocumentKey, &schema.CatalogDocument{Version: version, Document: document}))
 	return record, version, nil
 }
 
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -15,12 +15,12 @@
 	t.Helper()
 	table := image.NewTable()
 	_, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
-		image.Put(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}),
-		image.Put(image.RegionKey("south"), &schema.Region{Name: "south", Residue: 3}),
-		image.Put(image.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Residue: 0}),
-		image.Put(image.ZoneKey("south-a"), &schema.Zone{Name: "south-a", Region: "south", Residue: 2}),
-		image.Put(image.NodeKey("n1"), &schema.Node{Id: "n1", Zone: "north-a", Region: "north", State: schema.NodeState_NODE_READY}),
-		image.Put(image.BackendKey("ledger", "l-1"), &schema.Backend{Service: "ledger", Instance: "l-1", Zone: "north-a", State: schema.BackendState_BACKEND_READY}),
+		image.EncodeRow(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}),
+		image.EncodeRow(image.RegionKey("south"), &schema.Region{Name: "south", Residue: 3}),
+		image.EncodeRow(image.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Residue: 0}),
+		image.EncodeRow(image.ZoneKey("south-a"), &schema.Zone{Name: "south-a", Region: "south", Residue: 2}),
+		image.EncodeRow(image.NodeKey("n1"), &schema.Node{Id: "n1", Zone: "north-a", Region: "north", State: schema.NodeState_NODE_READY}),
+		image.EncodeRow(image.BackendKey("ledger", "l-1"), &schema.Backend{Service: "ledger", Instance: "l-1", Zone: "north-a", State: schema.BackendState_BACKEND_READY}),
 	}}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 	if _, err := table.Apply(3, second, nil); err == nil {
 		t.Fatal("both racing records were applied")
 	}
-	if assignment := image.Decode[schema.FailoverAssignment](table.Get(image.AssignmentKey("ledger", "/balances", "north"))); assignment.GetNumber() != 100 {
+	if assignment := image.DecodeRow[schema.FailoverAssignment](table.Get(image.AssignmentKey("ledger", "/balances", "north"))); assignment.GetNumber() != 100 {
 		t.Fatalf("the standing does not come with the configuration: %v", assignment)
 	}
 	if _, err := plan(); err == nil || !strings.Contains(err.Error(), "newest configuration is version 1") {
--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -17,5 +17,5 @@
 	Keyed         bool     `json:"keyed,omitempty"`
 	BodyLimit     uint64   `json:"body_limit,omitempty"`
 	ResponseLimit uint64   `json:"outcome_limit,omitempty"`
-	Bearable      uint32   `json:"bearable,omitempty"`
+	ColdRate      uint32   `json:"bearable,omitempty"`
 }
--- a/internal/catalog/document_easyjson.go
+++ b/internal/catalog/document_easyjson.go
@@ -146,7 +146,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Bearable = uint32(in.Uint32())
+				out.ColdRate = uint32(in.Uint32())
 			}
 		default:
 			in.AddError(&jlexer.LexerError{
@@ -237,10 +237,10 @@
 		out.RawString(prefix)
 		out.Uint64(uint64(in.ResponseLimit))
 	}
-	if in.Bearable != 0 {
+	if in.ColdRate != 0 {
 		const prefix string = ",\"bearable\":"
 		out.RawString(prefix)
-		out.Uint32(uint32(in.Bearable))
+		out.Uint32(uint32(in.ColdRate))
 	}
 	out.RawByte('}')
 }
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -101,13 +101,13 @@
 	DigestEvery = 2 * time.Second
 
 	// RosterEvery (time) is the pause between sweeps of the platform's list.
-	RosterEvery = 500 * time.Millisecond
+	ListReadEvery = 500 * time.Millisecond
 	// RosterMissing (sweeps) is how many whole sweeps must lack a back end before it is taken out.
-	RosterMissing = 2
+	EndpointMissingReads = 2
 	// RosterFloor (percent) of a service may vanish in one sweep; more needs the probes' agreement too.
-	RosterFloor = 50
+	EndpointFloor = 50
 	// RosterCall (time) bounds one page's call.
-	RosterCall = 800 * time.Millisecond
+	ListCallTimeout = 800 * time.Millisecond
 	// VitalsEvery (time) is the probing period of a back end by one proxy.
 	HealthCheckEvery = 700 * time.Millisecond
 	// VitalsWait (time) bounds one probe.
@@ -175,7 +175,7 @@
 	// ColdMargin (time) lengthens the second in which a cold back end's legs are counted, since a leg arrives later than it was counted.
 	ColdMargin = 100 * time.Millisecond
 	// Bearable (legs) a warm back end works on at once, the entry's default.
-	Bearable = 6
+	ColdRate = 6
 	// KeyShare (percent) of a proxy's legs in flight to a service one key may hold.
 	KeyShare = 40
 	// ConnectWait (time) bounds a connection with its identity exchange.
@@ -247,13 +247,13 @@
 	// Keys (keys) of a keyed service of a routed fleet: 0 to 65535.
 	Keys = 1 << 16
 	// HeatBuckets (buckets) in which a node notes the work of a keyed service: 64 keys each, fine enough to divide a hot range; beats carry only those that had work.
-	HeatBuckets = 1024
+	LoadBuckets = 1024
 	// HeatEvery (time) is how often a beat carries them.
-	HeatEvery = 600 * time.Millisecond
+	LoadEvery = 600 * time.Millisecond
 	// HeatReports (reports) of a node are averaged: fewer follow chance, more come late.
-	HeatReports = 5
+	LoadReports = 5
 	// HeatCap (times) the usual time is the most that one request adds to the heat of its key.
-	HeatCap = 2
+	LoadCap = 2
 	// UsualStep (parts) is how far the usual time, a running median, moves at each request: a twentieth.
 	UsualStep = 20
 	// ParkPoll (time) is how often a request that waits for its key looks again.
@@ -315,25 +315,25 @@
 	// OutlierPenalty (times) makes a back end dearer that is used although it is out.
 	OutlierPenalty = 3.0
 	// JuryVotes (nodes) whose requests a back end failed within the window make it failing for all: one loses a request now and then, three seldom the same one's.
-	JuryVotes = 3
+	EjectionVotes = 3
 	// JuryWindow (time) for which a node's word counts: two beats through a relay.
-	JuryWindow = 2 * time.Second
+	EjectionVoteWindow = 2 * time.Second
 	// JuryOut (time) of a first verdict, doubled at each further one: several beats, so that one that is well again is soon back.
-	JuryOut = 2500 * time.Millisecond
+	EjectionTime = 2500 * time.Millisecond
 	// JuryOutHolder (time) of a first verdict on a holder of keys: its keys went elsewhere, and each return moves them twice more if it is still ill.
 	EjectionTimeOwner = 10 * time.Second
 	// JuryOutMost (time) of a verdict.
-	JuryOutMost = 20 * time.Second
+	MaxEjectionTime = 20 * time.Second
 	// JuryTrial (time) after which a failing back end that nobody tried is cleared.
-	JuryTrial = 3 * time.Second
+	EjectionTrial = 3 * time.Second
 	// JuryGoods (requests) that must go well on trial.
-	JuryGoods = 2
+	OutlierQuorumGoods = 2
 	// JurySponsors (nodes) may try a failing back end.
 	TrialSenders = 2
 	// JuryForgiven (time) that a back end must have been clear before its former verdicts count no more: several periods of one that goes down and up.
-	JuryForgiven = 30 * time.Second
+	OutlierQuorumForgiven = 30 * time.Second
 	// JuryFloor (percent) of a service's back ends that may be failing by verdict: the rest bear a third more then. If more are doubted, the trouble may be elsewhere and twice the votes are needed.
-	JuryFloor = 25
+	OutlierQuorumFloor = 25
 	// SearchesMost (back ends) are sought for one request, connected or not.
 	SearchesMost = 5
 	// BackendConnect (time) bounds a connection to a back end: two ways over the longest link and a busy machine.
@@ -419,7 +419,7 @@
 	// PassOnPause (time) after a node said that it does not lead.
 	PassOnPause = 100 * time.Millisecond
 	// FarNeighbours (nodes) of other regions are probed at most where the own region has too few: bytes between regions are dear.
-	FarNeighbours = 1
+	FarPeers = 1
 	// RoutedHeartbeat (time) keeps a routed fleet's leader known: four fit into the shortest election wait.
 	RoutedRaftHeartbeat = 250 * time.Millisecond
 	// RoutedElectionLeast (time) is the shortest silence before a voter of a routed fleet asks for votes: its keys stay held for seconds, so it may wait.
@@ -479,13 +479,13 @@
 	// RequestBytes (bytes) that a request in flight may take: what is kept of its body and its answer, buffers and stacks, and their garbage.
 	RequestBytes = 256 << 10
 	// RoomParts (parts) of the process's memory, one of which requests in flight may take.
-	RoomParts = 2
+	CapacityParts = 2
 	// RoomLeast (requests) a node may have in flight however little memory it has.
-	RoomLeast = 64
+	CapacityLeast = 64
 	// RoomMost (requests) a node may have in flight however much memory it has: each takes two descriptors.
-	RoomMost = 4096
+	CapacityMost = 4096
 	// RoomRankParts (parts) of the room, one of which each lower rank leaves to the higher ones.
-	RoomRankParts = 8
+	CapacityPriorityParts = 8
 	// CallerHead (time) that a request's head may take if the configuration says nothing.
 	CallerHead = 5 * time.Second
 	// CallerIdle (time) that a caller's connection may stay idle if the configuration says nothing.
--- a/internal/constants/keys.go
+++ b/internal/constants/keys.go
@@ -50,9 +50,9 @@
 	// KeyPiecesMost (spans) are what a freed span is split into at the most.
 	KeyPiecesMost = 8
 	// KeyHeatLeast (requests in flight) is the sum below which heat tells nothing.
-	KeyHeatLeast = 2.0
+	KeyLoadLeast = 2.0
 	// KeyHeatUneven (requests in flight) is the least difference from the mean worth a move.
-	KeyHeatUneven = 0.8
+	KeyLoadUneven = 0.8
 	// KeyHotShare (parts of the mean) is the load above which a back end gives keys away.
 	KeyHotShare = 1.35
 	// KeyIdleShare (parts of the mean) is the load below which a back end is given keys.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -80,7 +80,7 @@
 	ID     string `json:"id"`
 	Peer   string `json:"peer"`
 	Proxy  string `json:"proxy"`
-	Door   string `json:"door"`
+	Admin  string `json:"door"`
 	Zone   string `json:"district"`
 	Region string `json:"region"`
 	Disk   bool   `json:"disk"`
@@ -156,11 +156,11 @@
 }
 
 // Door serves directory and operators.
-type Door struct{ options Options }
+type Server struct{ options Options }
 
 // New makes the door's handler.
 func New(options Options) http.Handler {
-	d := &Door{options}
+	d := &Server{options}
 	router := d.insight()
 	if options.Routed != nil {
 		router.Get("/v1/match", d.match)
@@ -177,9 +177,9 @@
 }
 
 // NewInsight makes the part of the door that only reads and asks no operator's leave: status, standings, metrics.
-func NewInsight(options Options) http.Handler { return (&Door{options}).insight() }
+func NewInsight(options Options) http.Handler { return (&Server{options}).insight() }
 
-func (d *Door) insight() *chi.Mux {
+func (d *Server) insight() *chi.Mux {
 	router := chi.NewRouter()
 	router.Get("/v1/status", d.status)
 	router.Get("/metrics", d.metrics)
@@ -209,7 +209,7 @@
 	schema.RefusalKind_REFUSAL_OVERSIZE: http.StatusRequestEntityTooLarge,
 }
 
-func (d *Door) operate(w http.ResponseWriter, r *http.Request, request *schema.OperatorRequest) *schema.OperatorResponse {
+func (d *Server) operate(w http.ResponseWriter, r *http.Request, request *schema.OperatorRequest) *schema.OperatorResponse {
 	ctx, cancel := context.WithTimeout(r.Context(), constants.ProposalWait+time.Second)
 	defer cancel()
 	response, err := d.options.Operate(ctx, request)
@@ -232,7 +232,7 @@
 	write(w, statuses[response.Refusal], reply)
 }
 
-func (d *Door) put(w http.ResponseWriter, r *http.Request) {
+func (d *Server) put(w http.ResponseWriter, r *http.Request) {
 	base, err := strconv.ParseUint(r.URL.Query().Get("base"), 10, 64)
 	if err != nil {
 		write(w, http.StatusBadRequest, Reply{Kind: "bad-base", Message: "name the version that the document was based on: ?base=N, 0 for the first"})
@@ -265,7 +265,7 @@
 	}
 }
 
-func (d *Door) show(w http.ResponseWriter, r *http.Request) {
+func (d *Server) show(w http.ResponseWriter, r *http.Request) {
 	response := d.operate(w, r, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
 	if response == nil {
 		return
@@ -281,7 +281,7 @@
 	w.Write(response.Document)
 }
 
-func (d *Door) ask(w http.ResponseWriter, r *http.Request) {
+func (d *Server) ask(w http.ResponseWriter, r *http.Request) {
 	if d.options.Routed != nil {
 		write(w, http.StatusNotFound, Reply{Kind: "unknown", Message: "this fleet keeps no operator keys; put the same document on the same base again: it is taken once"})
 		return
@@ -291,7 +291,7 @@
 	}
 }
 
-func (d *Door) zone(kind schema.OperatorKind) http.HandlerFunc {
+func (d *Server) zone(kind schema.OperatorKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		request := &schema.OperatorRequest{Kind: kind, Zone: chi.URLParam(r, "district"), Reason: r.URL.Query().Get("reason")}
 		if request.Reason == "" {
@@ -303,7 +303,7 @@
 	}
 }
 
-func (d *Door) status(w http.ResponseWriter, r *http.Request) {
+func (d *Server) status(w http.ResponseWriter, r *http.Request) {
 	s := d.Status()
 	response, err := d.leaderWord(r.Context())
 	s.hear(response, err, d.placeName(d.options.Local().View))
@@ -311,7 +311,7 @@
 }
 
 // Status gathers what this node knows.
-func (d *Door) Status() *Status {
+func (d *Server) Status() *Status {
 	now, local := d.options.Now(), d.options.Local()
 	view := local.View
 	s := &Status{Node: d.options.Self.Id, System: local.System, Role: local.Role, Term: local.Term, Leader: local.Leader, Index: view.Version, Rows: local.Rows,
@@ -343,7 +343,7 @@
 		if err != nil {
 			speaks = versions.Span{Low: versions.First, High: versions.First}
 		}
-		s.Nodes = append(s.Nodes, NodeStatus{SpeaksLow: speaks.Low, SpeaksHigh: speaks.High, ID: node.Id, Peer: node.Address, Proxy: node.Proxy, Door: node.Admin, Zone: node.Zone, Region: node.Region, Disk: node.Disk,
+		s.Nodes = append(s.Nodes, NodeStatus{SpeaksLow: speaks.Low, SpeaksHigh: speaks.High, ID: node.Id, Peer: node.Address, Proxy: node.Proxy, Admin: node.Admin, Zone: node.Zone, Region: node.Region, Disk: node.Disk,
 			State: strings.ToLower(strings.TrimPrefix(node.State.String(), "NODE_"))})
 	}
 	slices.SortFunc(s.Nodes, func(a, b NodeStatus) int { return strings.Compare(a.ID, b.ID) })
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -16,13 +16,13 @@
 	"topazshed/internal/schema"
 )
 
-func door(response *schema.OperatorResponse, fault error, seen *schema.OperatorRequest) http.Handler {
+func server(response *schema.OperatorResponse, fault error, seen *schema.OperatorRequest) http.Handler {
 	table := image.NewTable()
 	table.Apply(9, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
-		image.Put(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}),
-		image.Put(image.ZoneKey("north-b"), &schema.Zone{Name: "north-b", Region: "north", Residue: 2}),
-		image.Put(image.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
-		image.Put(image.AssignmentKey("ledger", "/b", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/b", Region: "north", Number: 202, Reason: "all proxies of district north-a are lost or stopping"}),
+		image.EncodeRow(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}),
+		image.EncodeRow(image.ZoneKey("north-b"), &schema.Zone{Name: "north-b", Region: "north", Residue: 2}),
+		image.EncodeRow(image.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
+		image.EncodeRow(image.AssignmentKey("ledger", "/b", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/b", Region: "north", Number: 202, Reason: "all proxies of district north-a are lost or stopping"}),
 	}}, nil)
 	view := image.Compile(table)
 	return New(Options{Self: &schema.Node{Id: "n1"}, Now: func() time.Duration { return time.Hour }, Local: func() *core.Local { return &core.Local{View: view, FreshAt: time.Hour, TickAt: time.Hour} },
@@ -35,7 +35,7 @@
 		Stats: func() map[string]uint64 { return nil }, Replica: func() (uint64, bool, bool, int) { return 1, true, true, 0 }, Disk: func() Disk { return Disk{} }, Match: http.NotFoundHandler()})
 }
 
-func TestDoor(t *testing.T) {
+func TestServer(t *testing.T) {
 	for _, c := range []struct {
 		name, method, path, body string
 		response                 *schema.OperatorResponse
@@ -61,7 +61,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := httptest.NewRecorder()
-			door(c.response, c.fault, nil).ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
+			server(c.response, c.fault, nil).ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
 			if w.Code != c.status || !strings.Contains(w.Body.String(), c.want) {
 				t.Fatalf("status %d, body %s", w.Code, w.Body)
 			}
@@ -75,9 +75,9 @@
 	}
 }
 
-func TestDoorPassesOnWhatWasAsked(t *testing.T) {
+func TestServerForwardsWhatWasAsked(t *testing.T) {
 	var seen schema.OperatorRequest
-	handler := door(&schema.OperatorResponse{}, nil, &seen)
+	handler := server(&schema.OperatorResponse{}, nil, &seen)
 	handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("POST", "/v1/districts/north-b/restore?reason=mended", nil))
 	if seen.Kind != schema.OperatorKind_OPERATOR_RESTORE || seen.Zone != "north-b" || seen.Reason != "mended" {
 		t.Errorf("restore became %v", &seen)
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -12,7 +12,7 @@
 )
 
 // metrics writes what this node counts anyway in the usual text form; nothing is counted for it, and no other node is asked.
-func (d *Door) metrics(w http.ResponseWriter, r *http.Request) {
+func (d *Server) metrics(w http.ResponseWriter, r *http.Request) {
 	var text bytes.Buffer
 	s := d.Status()
 	gauge := func(name string, value uint64, labels ...string) {
--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -15,9 +15,9 @@
 	var seen *schema.OperatorRequest
 	routed := NewInsight(ground{response: &schema.OperatorResponse{}}.options(&seen))
 	for _, c := range []struct {
-		name string
-		door func() *httptest.ResponseRecorder
-		want []string
+		name   string
+		server func() *httptest.ResponseRecorder
+		want   []string
 	}{
 		{"a fleet that carries routes", func() *httptest.ResponseRecorder {
 			w := httptest.NewRecorder()
@@ -29,12 +29,12 @@
 			`topazshed_keys_unheld{service="nickel"} 32768`, `topazshed_resting_back_ends 2`, `topazshed_disk_worst_sync_milliseconds 80`, `topazshed_disk_fault 0`}},
 		{"a fleet that carries entries", func() *httptest.ResponseRecorder {
 			w := httptest.NewRecorder()
-			door(nil, nil, nil).ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
+			server(nil, nil, nil).ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 			return w
 		}, []string{`topazshed_standing_number{region="north",service="ledger",path="/b",kind="region",active="north-b"} 202`, `topazshed_leads 0`}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := c.door()
+			w := c.server()
 			if w.Code != 200 || !strings.HasPrefix(w.Header().Get("Content-Type"), "text/plain; version=0.0.4") {
 				t.Fatalf("%d %v", w.Code, w.Header())
 			}
--- a/internal/control/routed.go
+++ b/internal/control/routed.go
@@ -85,14 +85,14 @@
 	Releasing bool   `json:"releasing,omitempty"`
 }
 
-func (d *Door) isFit(now time.Duration, local *core.Local) bool {
+func (d *Server) isFit(now time.Duration, local *core.Local) bool {
 	if d.options.Routed != nil {
 		return gateway.IsFit(local)
 	}
 	return proxy.IsFit(now, local)
 }
 
-func (d *Door) leaderWord(ctx context.Context) (*schema.OperatorResponse, error) {
+func (d *Server) leaderWord(ctx context.Context) (*schema.OperatorResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, constants.ConfirmWait)
 	defer cancel()
 	response, err := d.options.Operate(ctx, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS})
@@ -142,7 +142,7 @@
 	return changes
 }
 
-func (d *Door) placeName(view *image.View) func(number uint64) string {
+func (d *Server) placeName(view *image.View) func(number uint64) string {
 	return func(number uint64) string {
 		if number == 0 {
 			return "nobody"
@@ -164,7 +164,7 @@
 	return constants.Keys - held
 }
 
-func (d *Door) describe(s *Status, view *image.View) {
+func (d *Server) describe(s *Status, view *image.View) {
 	s.Routed = &RoutedStatus{}
 	name := d.placeName(view)
 	aimed := map[string]int{}
@@ -236,12 +236,12 @@
 	LeaderUnreachable string `json:"leader_silent,omitempty"`
 }
 
-func (d *Door) assignments(w http.ResponseWriter, r *http.Request) {
+func (d *Server) assignments(w http.ResponseWriter, r *http.Request) {
 	s := d.Status()
 	write(w, http.StatusOK, map[string]any{"standings": s.Assignments, "groups": s.Routed.Groups})
 }
 
-func (d *Door) assignment(w http.ResponseWriter, r *http.Request) {
+func (d *Server) assignment(w http.ResponseWriter, r *http.Request) {
 	service, region := r.URL.Query().Get("service"), chi.URLParam(r, "region")
 	view := d.options.Local().View
 	if view.Regions[region] == nil || service != "" && view.Services[service] == nil {
@@ -277,7 +277,7 @@
 	LiveMS  int64    `json:"live_ms"`
 }
 
-func (d *Door) match(w http.ResponseWriter, r *http.Request) {
+func (d *Server) match(w http.ResponseWriter, r *http.Request) {
 	region, zone := r.URL.Query().Get("region"), r.URL.Query().Get("district")
 	if region == "" {
 		region = d.options.Self.Region
@@ -290,7 +290,7 @@
 	write(w, http.StatusOK, Match{proxies, life.Milliseconds()})
 }
 
-func (d *Door) ready(w http.ResponseWriter, r *http.Request) {
+func (d *Server) ready(w http.ResponseWriter, r *http.Request) {
 	if !d.options.Routed.IsReady() {
 		write(w, http.StatusServiceUnavailable, Reply{Kind: "not-ready", Message: "this node knows no configuration yet, or is stopping; ask another node"})
 		return
--- a/internal/control/routed_test.go
+++ b/internal/control/routed_test.go
@@ -25,21 +25,21 @@
 func (g ground) options(seen **schema.OperatorRequest) Options {
 	table := image.NewTable()
 	table.Apply(9, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
-		image.Put(image.HeadKey, &schema.CatalogHead{Version: 4}),
-		image.Put(image.NodeKey("n1"), &schema.Node{Id: "n1", Zone: "mu-b", Region: "mu", Disk: true, State: schema.NodeState_NODE_READY}),
-		image.Put(image.NodeKey("n2"), &schema.Node{Id: "n2", Zone: "mu-a", Region: "mu", State: schema.NodeState_NODE_READY}),
-		image.Put(image.RegionKey("mu"), &schema.Region{Name: "mu", Residue: 1}), image.Put(image.RegionKey("xi"), &schema.Region{Name: "xi", Residue: 3}),
-		image.Put(image.ZoneKey("mu-a"), &schema.Zone{Name: "mu-a", Region: "mu", Emptied: true, Reason: "new racks"}),
-		image.Put(image.ZoneKey("mu-b"), &schema.Zone{Name: "mu-b", Region: "mu", Residue: 2}),
-		image.Put(image.GroupKey("mu"), &schema.Group{Name: "mu", Region: "mu", Zones: []string{"mu-a", "mu-b"}, Residue: 0}),
-		image.Put(image.GroupKey("mu:mu-b"), &schema.Group{Name: "mu:mu-b", Region: "mu", Zones: []string{"mu-b"}, Residue: 2}),
-		image.Put(image.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: 20002, Reason: "its open districts"}),
-		image.Put(image.AssignmentKey("nickel", "", "mu"), &schema.FailoverAssignment{Service: "nickel", Region: "mu", Number: 20003, Reason: "no open district with back ends; work goes to xi"}),
-		image.Put(image.PolicyKey("nickel"), &schema.ServicePolicy{Service: "nickel", Keyed: true}),
-		image.Put(image.SpanKey("nickel", 0), &schema.ShardRange{Service: "nickel", First: 0, Last: 32767, Instance: "i-1", Fence: 7}),
-		image.Put(image.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1", Zone: "mu-b", State: schema.BackendState_BACKEND_READY, Cold: true}),
-		image.Put(image.BackendKey("copper", "c-2"), &schema.Backend{Service: "copper", Instance: "c-2", Zone: "mu-b", State: schema.BackendState_BACKEND_DRAINING}),
-		image.Put(image.RouteKey("one.example", "/c/"), &schema.Route{Host: "one.example", Prefix: "/c/", Targets: []*schema.Target{{Service: "copper", Weight: 1}}}),
+		image.EncodeRow(image.HeadKey, &schema.CatalogHead{Version: 4}),
+		image.EncodeRow(image.NodeKey("n1"), &schema.Node{Id: "n1", Zone: "mu-b", Region: "mu", Disk: true, State: schema.NodeState_NODE_READY}),
+		image.EncodeRow(image.NodeKey("n2"), &schema.Node{Id: "n2", Zone: "mu-a", Region: "mu", State: schema.NodeState_NODE_READY}),
+		image.EncodeRow(image.RegionKey("mu"), &schema.Region{Name: "mu", Residue: 1}), image.EncodeRow(image.RegionKey("xi"), &schema.Region{Name: "xi", Residue: 3}),
+		image.EncodeRow(image.ZoneKey("mu-a"), &schema.Zone{Name: "mu-a", Region: "mu", Emptied: true, Reason: "new racks"}),
+		image.EncodeRow(image.ZoneKey("mu-b"), &schema.Zone{Name: "mu-b", Region: "mu", Residue: 2}),
+		image.EncodeRow(image.GroupKey("mu"), &schema.Group{Name: "mu", Region: "mu", Zones: []string{"mu-a", "mu-b"}, Residue: 0}),
+		image.EncodeRow(image.GroupKey("mu:mu-b"), &schema.Group{Name: "mu:mu-b", Region: "mu", Zones: []string{"mu-b"}, Residue: 2}),
+		image.EncodeRow(image.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: 20002, Reason: "its open districts"}),
+		image.EncodeRow(image.AssignmentKey("nickel", "", "mu"), &schema.FailoverAssignment{Service: "nickel", Region: "mu", Number: 20003, Reason: "no open district with back ends; work goes to xi"}),
+		image.EncodeRow(image.PolicyKey("nickel"), &schema.ServicePolicy{Service: "nickel", Keyed: true}),
+		image.EncodeRow(image.ShardRangeKey("nickel", 0), &schema.ShardRange{Service: "nickel", First: 0, Last: 32767, Instance: "i-1", Fence: 7}),
+		image.EncodeRow(image.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1", Zone: "mu-b", State: schema.BackendState_BACKEND_READY, Cold: true}),
+		image.EncodeRow(image.BackendKey("copper", "c-2"), &schema.Backend{Service: "copper", Instance: "c-2", Zone: "mu-b", State: schema.BackendState_BACKEND_DRAINING}),
+		image.EncodeRow(image.RouteKey("one.example", "/c/"), &schema.Route{Host: "one.example", Prefix: "/c/", Targets: []*schema.Target{{Service: "copper", Weight: 1}}}),
 	}}, nil)
 	view := image.Compile(table)
 	return Options{Self: &schema.Node{Id: "n1", Region: "mu", Disk: true}, Now: func() time.Duration { return time.Hour }, Local: func() *core.Local { return &core.Local{View: view, Role: "leader", Rows: 15} },
@@ -54,7 +54,7 @@
 		Routed:  &Routed{Resolve: func(string, string) ([]string, time.Duration) { return g.proxies, 2 * time.Second }, IsReady: func() bool { return g.isReady }}}
 }
 
-func TestRoutedDoor(t *testing.T) {
+func TestRoutedServer(t *testing.T) {
 	notified := &schema.OperatorResponse{Unconfirmed: []string{"mu-a"}, Reports: []*schema.NodeReport{{Id: "n1", Index: 9, InForce: true}, {Id: "n2", NeverHeard: true}},
 		Changes: []*schema.FailoverChange{{Region: "mu", From: 10000, To: 20002, Cause: "its open districts", Evidence: "mu-a is emptied (new racks)", Leader: "n1", Index: 8, Term: 3, AtMs: 1777896000123},
 			{Service: "nickel", Region: "mu", From: 20002, To: 20003, Cause: "work goes to xi", Index: 9, Term: 3}}}
--- a/internal/core/beats.go
+++ b/internal/core/beats.go
@@ -13,14 +13,14 @@
 	"topazshed/internal/schema"
 )
 
-func (r *routedState) nearPace() neighbours.Pace {
+func (r *routedState) samplerTiming() neighbours.Pace {
 	if r == nil {
 		return neighbours.Pace{}
 	}
 	return neighbours.Pace{Probe: constants.RoutedProbe, Wait: constants.RoutedProbeWait, Shuffle: constants.RoutedShuffle, IsNear: true}
 }
 
-func (r *routedState) quorumPace() quorum.Pace {
+func (r *routedState) raftTiming() quorum.Pace {
 	if r == nil {
 		return quorum.Pace{}
 	}
@@ -69,7 +69,7 @@
 }
 
 // beatRouted reports to the relay, a disk machine of the own region; relays report to the leader what they were told since.
-func (c *Core) sendRelayedHeartbeat(b *schema.Heartbeat) {
+func (c *Machine) sendRelayedHeartbeat(b *schema.Heartbeat) {
 	r := c.routed
 	to := c.heartbeatTarget()
 	if c.serial%constants.FullHeartbeatEvery != 1 && r.heartbeatTo == to && r.heartbeatState == c.self.State {
@@ -87,7 +87,7 @@
 	c.send(r.heartbeatTo, &schema.Frame{Body: &schema.Frame_Heartbeat{Heartbeat: b}})
 }
 
-func (c *Core) heartbeatTarget() string {
+func (c *Machine) heartbeatTarget() string {
 	isLeaderKnown := c.leader != "" && c.leader != c.self.Address && c.now-c.leaderAt <= constants.NodeLostAfter
 	switch {
 	case c.view.Nodes[c.self.Id] == nil && c.leader != "" && c.leader != c.self.Address && c.serial%2 == 0:
@@ -100,7 +100,7 @@
 	return c.pick(func(node *schema.Node) bool { return node.Disk && node.Address != c.self.Address })
 }
 
-func (c *Core) takeHeartbeatRouted(f *schema.Frame, b *schema.Heartbeat) {
+func (c *Machine) takeHeartbeatRouted(f *schema.Frame, b *schema.Heartbeat) {
 	if c.IsLeading() {
 		for _, heartbeat := range b.Relayed {
 			c.noteHeartbeat(heartbeat)
@@ -130,7 +130,7 @@
 	}
 }
 
-func (c *Core) noteHeartbeat(b *schema.Heartbeat) {
+func (c *Machine) noteHeartbeat(b *schema.Heartbeat) {
 	if b.Node == nil {
 		return
 	}
@@ -158,14 +158,14 @@
 	}
 	g.heard, g.version, g.suspects, g.node = c.now, b.Version, b.Suspects, b.Node
 	if len(b.Load) > 0 {
-		c.routed.noteHeat(c.now, b.Node.Id, b.Load)
+		c.routed.noteLoad(c.now, b.Node.Id, b.Load)
 	}
-	c.routed.jury.Report(c.now, b.Node.Id, b.Node.Zone, b.Health)
+	c.routed.outlierQuorum.Report(c.now, b.Node.Id, b.Node.Zone, b.Health)
 }
 
 // introduce gives some of the nodes that a node which asks should know: a sample of the views, and in a routed fleet the disk machines of its own region.
-func (c *Core) introduce(to *schema.Node) []*schema.Node {
-	nodes := c.near.Sample()
+func (c *Machine) introduce(to *schema.Node) []*schema.Node {
+	nodes := c.peerSampler.Sample()
 	if c.routed == nil {
 		return nodes
 	}
@@ -180,7 +180,7 @@
 }
 
 // newestAt is the newest incarnation that was heard of at each address: an older one there is no more.
-func (c *Core) newestAt() map[string]uint64 {
+func (c *Machine) newestAt() map[string]uint64 {
 	if c.routed == nil {
 		return nil
 	}
@@ -192,7 +192,7 @@
 }
 
 // isFounder tells whether this machine is the one that may found a system: the lowest seed with a disk, or who the lowest seed named because no seed has one.
-func (c *Core) isFounder(seeds []string) bool {
+func (c *Machine) isFounder(seeds []string) bool {
 	if c.routed == nil {
 		return seeds[0] == c.self.Address
 	}
@@ -209,7 +209,7 @@
 }
 
 // nominate names the machine that shall found the system, once, if this is the lowest of the seeds and none of them has a disk.
-func (c *Core) nominate() string {
+func (c *Machine) nominate() string {
 	r := c.routed
 	if r == nil || c.system != "" || c.options.Rejoin || c.self.Disk || c.self.Address != slices.Min(c.options.Seeds) {
 		return ""
@@ -223,7 +223,7 @@
 		r.bornAt = c.now
 	}
 	if r.founder == "" && c.now-r.bornAt >= constants.FoundSettle {
-		for _, node := range c.near.Known() {
+		for _, node := range c.peerSampler.Known() {
 			if node.Disk && (r.founder == "" || node.Address < r.founder) {
 				r.founder = node.Address
 			}
--- a/internal/core/changes.go
+++ b/internal/core/changes.go
@@ -19,27 +19,27 @@
 }
 
 // numbersOf are the failover numbers of the standings that a record would change.
-func (c *Core) numbersOf(record *schema.Record) map[string]uint64 {
+func (c *Machine) numbersOf(record *schema.Record) map[string]uint64 {
 	var numbers map[string]uint64
 	for _, row := range record.GetRows() {
 		if isAssignment(row.Key) {
 			if numbers == nil {
 				numbers = map[string]uint64{}
 			}
-			numbers[row.Key] = image.Decode[schema.FailoverAssignment](c.table.Get(row.Key)).GetNumber()
+			numbers[row.Key] = image.DecodeRow[schema.FailoverAssignment](c.table.Get(row.Key)).GetNumber()
 		}
 	}
 	return numbers
 }
 
 // noteChanges remembers the newest changes of standing as they are applied from the log.
-func (c *Core) noteChanges(item *schema.LogItem, before map[string]uint64, rows []*schema.Row) {
+func (c *Machine) noteChanges(item *schema.LogItem, before map[string]uint64, rows []*schema.Row) {
 	if len(before) == 0 {
 		return
 	}
 	for _, row := range rows {
 		from, isNoted := before[row.Key]
-		fresh := image.Decode[schema.FailoverAssignment](row)
+		fresh := image.DecodeRow[schema.FailoverAssignment](row)
 		if !isNoted || fresh == nil || fresh.Number == from {
 			continue
 		}
@@ -52,7 +52,7 @@
 }
 
 // sign tells in a record who makes it and when, by the time of day at this machine.
-func (c *Core) sign(record *schema.Record) {
+func (c *Machine) sign(record *schema.Record) {
 	record.Leader = c.self.Id
 	if !c.options.Epoch.IsZero() {
 		record.AtMs = c.options.Epoch.Add(c.now).UnixMilli()
@@ -60,7 +60,7 @@
 }
 
 // reports are what this leader heard last from each node; a configuration is in force where its row's index was reached.
-func (c *Core) reports() []*schema.NodeReport {
+func (c *Machine) reports() []*schema.NodeReport {
 	head := c.table.Get(image.HeadKey).GetIndex()
 	var reports []*schema.NodeReport
 	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
--- a/internal/core/changes_test.go
+++ b/internal/core/changes_test.go
@@ -15,7 +15,7 @@
 )
 
 type solo struct {
-	core     *Core
+	core     *Machine
 	now      time.Duration
 	epoch    time.Time
 	items    []*schema.LogItem
@@ -26,7 +26,7 @@
 func (s *solo) options() Options {
 	self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Admin: "a", Zone: "mu-a", Region: "mu", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
 	return Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Epoch: s.epoch,
-		Routed: &Routed{HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}}
+		Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}}
 }
 
 // run lets time pass; the machines whose districts are named report in the meantime.
@@ -77,7 +77,7 @@
 		t.Fatalf("%d changes, had %d", len(status.Changes), begun)
 	}
 	last := status.Changes[begun]
-	row := image.Decode[schema.FailoverAssignment](s.core.table.Get(image.DefaultKey("mu")))
+	row := image.DecodeRow[schema.FailoverAssignment](s.core.table.Get(image.DefaultKey("mu")))
 	if last.Region != "mu" || last.From >= last.To || last.To != row.Number || last.Cause != row.Reason || last.Evidence != "mu-b is emptied (new racks)" || last.Leader != "a" || last.Term == 0 ||
 		last.AtMs > at || last.AtMs < at-1000 {
 		t.Errorf("%v, row %v, at %d", last, row, at)
@@ -124,7 +124,7 @@
 	s := &solo{now: time.Hour}
 	s.core = New(s.now, s.options())
 	for i := range uint64(3 * constants.ChangesKept) {
-		record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.Put(image.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: i + 1})}}
+		record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.EncodeRow(image.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: i + 1})}}
 		before := s.core.numbersOf(record)
 		rows, err := s.core.table.Apply(i+1, record, nil)
 		if err != nil {
@@ -149,7 +149,7 @@
 			t.Errorf("%s: %v, want %v", key, got, want)
 		}
 	}
-	if numbers := (&Core{table: image.NewTable()}).numbersOf(&schema.Record{}); numbers != nil {
+	if numbers := (&Machine{table: image.NewTable()}).numbersOf(&schema.Record{}); numbers != nil {
 		t.Error(fmt.Sprint(numbers))
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -68,29 +68,29 @@
 
 // Local is what the hot path of this node may rely on; it is never changed once published.
 type Local struct {
-	View       *image.View
-	Held       map[string]bool
-	IsFull     bool
-	FreshAt    time.Duration
-	LeaseUntil time.Duration
-	ThawedAt   time.Duration
-	Fences     map[string]time.Duration
-	Opened     map[string]time.Duration
-	BehindAt   time.Duration
-	TickAt     time.Duration
-	PeersAt    time.Duration
-	Leader     string
-	System     string
-	Role       string
-	Term       uint64
-	Commit     uint64
-	Members    *schema.Members
-	ListAt     time.Duration
-	ListFault  string
-	Suspects   []string
-	Rows       int
-	IsStopping bool
-	First      uint64
+	View         *image.View
+	HeldPrefixes map[string]bool
+	IsFull       bool
+	FreshAt      time.Duration
+	LeaseUntil   time.Duration
+	ThawedAt     time.Duration
+	Fences       map[string]time.Duration
+	Opened       map[string]time.Duration
+	BehindAt     time.Duration
+	TickAt       time.Duration
+	PeersAt      time.Duration
+	Leader       string
+	System       string
+	Role         string
+	Term         uint64
+	Commit       uint64
+	Members      *schema.Members
+	ListAt       time.Duration
+	ListFault    string
+	Suspects     []string
+	Rows         int
+	IsStopping   bool
+	First        uint64
 	// Strays are the answers that belonged to nothing that this life of the process waits for.
 	StaleResponses uint64
 }
@@ -125,7 +125,7 @@
 
 type nodeRecord struct {
 	until              time.Duration
-	floor              uint64
+	oldestIndex        uint64
 	version            uint64
 	heard              time.Duration
 	suspects           []string
@@ -152,83 +152,83 @@
 const FirstNumberMost = 1 << 34
 
 // Core is the machine.
-type Core struct {
-	options        Options
-	log            *slog.Logger
-	self           *schema.Node
-	system         string
-	quorum         *quorum.Quorum
-	table          *image.Table
-	view           *image.View
-	near           *neighbours.Neighbours
-	rost           *roster.Roster
-	effects        Effects
-	now            time.Duration
-	tickedAt       time.Duration
-	thawedAt       time.Duration
-	leader         string
-	leaderAt       time.Duration
-	heartbeatAt    time.Duration
-	heartbeats     map[uint64]asked
-	serial         uint64
-	leaseUntil     time.Duration
-	freshAt        time.Duration
-	held           map[string]bool
-	wanted         map[string]time.Duration
-	source         source
-	subSerial      uint64
-	subAt          time.Duration
-	subs           map[uint64]asked
-	digestAt       time.Duration
-	subscriber     map[string]*subscriber
-	nodes          map[string]*nodeRecord
-	planAt         time.Duration
-	wasLeader      bool
-	electedAt      time.Duration
-	releasedAt     map[uint64]time.Duration
-	operations     []*pendingRequest
-	confirming     []*pendingRequest
-	undecided      []*pendingRequest
-	staleResponses uint64
-	reads          map[uint64]*pendingRequest
-	nextRead       uint64
-	whoAt          time.Duration
-	askedSeeds     int
-	seeds          map[string]time.Duration
-	empties        map[string]bool
-	emptySince     time.Duration
-	listAt         time.Duration
-	listFault      string
-	sweep          *roster.Sweep
-	healthReports  []*schema.HealthReport
-	reservationSet uint64
-	isKeeping      bool
-	floor          uint64
-	peers          map[string]time.Duration
-	pending        map[string]uint64
-	verdicts       map[uint64]string
-	snapshotAt     uint64
-	knownCommit    uint64
-	fences         map[string]time.Duration
-	behindAt       time.Duration
-	opened         map[string]time.Duration
-	openedAs       map[string]uint64
-	addresses      map[string]string
-	knownCommitAt  time.Duration
-	routed         *routedState
-	changes        []*schema.FailoverChange
-	speaks         versions.Span
-	refused        error
-	risingTo       uint32
-	risingFrom     time.Duration
-	proposed       uint32
-	refusedNodes   map[string]uint64
+type Machine struct {
+	options            Options
+	log                *slog.Logger
+	self               *schema.Node
+	system             string
+	quorum             *quorum.Node
+	table              *image.Table
+	view               *image.View
+	peerSampler        *neighbours.Sampler
+	endpoints          *roster.Endpoints
+	effects            Effects
+	now                time.Duration
+	tickedAt           time.Duration
+	thawedAt           time.Duration
+	leader             string
+	leaderAt           time.Duration
+	heartbeatAt        time.Duration
+	heartbeats         map[uint64]asked
+	serial             uint64
+	leaseUntil         time.Duration
+	freshAt            time.Duration
+	held               map[string]bool
+	wanted             map[string]time.Duration
+	source             source
+	subSerial          uint64
+	subAt              time.Duration
+	subs               map[uint64]asked
+	digestAt           time.Duration
+	subscriber         map[string]*subscriber
+	nodes              map[string]*nodeRecord
+	planAt             time.Duration
+	wasLeader          bool
+	electedAt          time.Duration
+	releasedAt         map[uint64]time.Duration
+	operations         []*pendingRequest
+	confirming         []*pendingRequest
+	undecided          []*pendingRequest
+	staleResponses     uint64
+	reads              map[uint64]*pendingRequest
+	nextRead           uint64
+	whoAt              time.Duration
+	askedSeeds         int
+	seeds              map[string]time.Duration
+	empties            map[string]bool
+	emptySince         time.Duration
+	listAt             time.Duration
+	listFault          string
+	listRead           *roster.ListRead
+	healthReports      []*schema.HealthReport
+	reservationSet     uint64
+	isReservationReady bool
+	oldestIndex        uint64
+	peers              map[string]time.Duration
+	pending            map[string]uint64
+	verdicts           map[uint64]string
+	snapshotAt         uint64
+	knownCommit        uint64
+	fences             map[string]time.Duration
+	behindAt           time.Duration
+	opened             map[string]time.Duration
+	openedAs           map[string]uint64
+	addresses          map[string]string
+	knownCommitAt      time.Duration
+	routed             *routedState
+	changes            []*schema.FailoverChange
+	speaks             versions.Span
+	refused            error
+	risingTo           uint32
+	risingFrom         time.Duration
+	proposed           uint32
+	refusedNodes       map[string]uint64
 }
 
 // New restores a node from its journal, or makes an empty one.
-func New(now time.Duration, options Options) *Core {
-	c := &Core{options: options, log: options.Log, self: proto.Clone(options.Self).(*schema.Node), system: options.System,
-		table: image.NewTable(), view: image.NewView(), rost: roster.New(), heartbeats: map[uint64]asked{}, held: map[string]bool{},
+func New(now time.Duration, options Options) *Machine {
+	c := &Machine{options: options, log: options.Log, self: proto.Clone(options.Self).(*schema.Node), system: options.System,
+		table: image.NewTable(), view: image.NewView(), endpoints: roster.New(), heartbeats: map[uint64]asked{}, held: map[string]bool{},
 		wanted: map[string]time.Duration{}, subs: map[uint64]asked{}, subscriber: map[string]*subscriber{}, nodes: map[string]*nodeRecord{},
 		releasedAt: map[uint64]time.Duration{}, reads: map[uint64]*pendingRequest{}, seeds: map[string]time.Duration{}, empties: map[string]bool{},
 		peers: map[string]time.Duration{}, pending: map[string]uint64{}, verdicts: map[uint64]string{}, fences: map[string]time.Duration{}, opened: map[string]time.Duration{}, openedAs: map[string]uint64{}, addresses: map[string]string{}, now: now, tickedAt: now, speaks: options.Speaks.OrOwn(), refusedNodes: map[string]uint64{}}
@@ -237,12 +237,12 @@
 	}
 	c.source.staleAt = map[string]time.Duration{}
 	c.serial, c.subSerial = c.firstNumber(), c.firstNumber()
-	c.near = neighbours.New(neighbours.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Pace: c.routed.nearPace()})
+	c.peerSampler = neighbours.New(neighbours.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Pace: c.routed.samplerTiming()})
 	if options.Self.Disk {
 		if options.Snapshot != nil {
 			c.table.Restore(options.Snapshot)
 		}
-		c.quorum = quorum.New(now, quorum.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Snapshot: options.Snapshot, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.routed.quorumPace()})
+		c.quorum = quorum.New(now, quorum.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Snapshot: options.Snapshot, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.routed.raftTiming()})
 		c.view = image.Compile(c.table)
 		c.noteFences(c.table.Rows(image.All))
 		c.guard(c.view.Fleet)
@@ -253,10 +253,10 @@
 }
 
 // firstNumber draws where this life of the process begins to number its questions, so that an answer to a former life's is known as such.
-func (c *Core) firstNumber() uint64 { return uint64(c.options.Draw(FirstNumberMost)) }
+func (c *Machine) firstNumber() uint64 { return uint64(c.options.Draw(FirstNumberMost)) }
 
 // Whole gives the image at the applied index, for a follower or for the disk.
-func (c *Core) Whole() *schema.Snapshot {
+func (c *Machine) Whole() *schema.Snapshot {
 	whole := c.table.Whole()
 	c.quorum.Describe(whole)
 	whole.Version = c.shownFleet()
@@ -264,13 +264,13 @@
 }
 
 // IsLeading tells whether this node leads and has settled.
-func (c *Core) IsLeading() bool { return c.quorum != nil && c.quorum.Settled() }
+func (c *Machine) IsLeading() bool { return c.quorum != nil && c.quorum.Settled() }
 
-func (c *Core) isFull() bool {
+func (c *Machine) isFull() bool {
 	return c.quorum != nil && (c.quorum.IsVoter(c.self.Id) || slices.ContainsFunc(c.quorum.Members().Learners, func(m *schema.Member) bool { return m.Id == c.self.Id }))
 }
 
-func (c *Core) send(to string, frame *schema.Frame) {
+func (c *Machine) send(to string, frame *schema.Frame) {
 	if to == "" || to == c.self.Address {
 		return
 	}
@@ -278,25 +278,25 @@
 	c.effects.Sends = append(c.effects.Sends, Send{to, frame})
 }
 
-func (c *Core) learnMembers() {
+func (c *Machine) learnMembers() {
 	if c.quorum == nil {
 		return
 	}
 	for _, m := range slices.Concat(c.quorum.Members().Voters, c.quorum.Members().Learners) {
 		if node := c.view.Nodes[m.Id]; node == nil {
-			c.near.Learn(&schema.Node{Id: m.Id, Address: m.Address, Disk: true})
+			c.peerSampler.Learn(&schema.Node{Id: m.Id, Address: m.Address, Disk: true})
 		}
 	}
 }
 
 // SetSeeds takes the seeds of changed settings: a node that knows nobody asks them, and the former ones may all be gone.
-func (c *Core) SetSeeds(now time.Duration, seeds []string) {
+func (c *Machine) SetSeeds(now time.Duration, seeds []string) {
 	c.now = now
 	if len(seeds) == 0 || slices.Equal(seeds, c.options.Seeds) {
 		return
 	}
 	c.options.Seeds = slices.Clone(seeds)
-	c.near.SetSeeds(c.options.Seeds)
+	c.peerSampler.SetSeeds(c.options.Seeds)
 	if c.view.System == "" {
 		c.source.address = ""
 	}
@@ -304,20 +304,20 @@
 }
 
 // SetVitals takes this node's probes of back ends.
-func (c *Core) SetHealthReports(healthReports []*schema.HealthReport) {
+func (c *Machine) SetHealthReports(healthReports []*schema.HealthReport) {
 	c.healthReports = healthReports
 }
 
 // SetKeeper takes this node's state as a keeper.
-func (c *Core) SetReservationReplica(number uint64, isReady bool) {
-	c.reservationSet, c.isKeeping = number, isReady
+func (c *Machine) SetReservationReplica(number uint64, isReady bool) {
+	c.reservationSet, c.isReservationReady = number, isReady
 }
 
 // SetFloor takes the lowest image version that a keyed leg in flight was begun on; none is 0.
-func (c *Core) SetFloor(floor uint64) { c.floor = floor }
+func (c *Machine) SetOldestIndex(floor uint64) { c.oldestIndex = floor }
 
 // Stop marks the node as stopping: it is told to the leader and no match names it any more.
-func (c *Core) Stop(now time.Duration) {
+func (c *Machine) Stop(now time.Duration) {
 	c.now = now
 	c.self.State = schema.NodeState_NODE_STOPPING
 	c.self.Incarnation++
@@ -328,7 +328,7 @@
 }
 
 // Want asks for a service's slice.
-func (c *Core) Want(now time.Duration, service string) {
+func (c *Machine) Want(now time.Duration, service string) {
 	prefix := image.ServicePrefix(service)
 	isNew := !c.held[prefix]
 	c.wanted[prefix] = now
@@ -339,25 +339,25 @@
 }
 
 // SetSweep takes a read of the platform's list; only the leader uses it.
-func (c *Core) SetSweep(now time.Duration, sweep roster.Sweep) {
+func (c *Machine) SetListRead(now time.Duration, sweep roster.ListRead) {
 	c.now = now
 	c.listFault = sweep.Reason
 	if sweep.IsWhole {
 		c.listAt = now
 	}
-	c.sweep = &sweep
+	c.listRead = &sweep
 	c.planAt = 0
 }
 
 // SlowDisk tells that a sync took too long or failed; a leader hands over.
-func (c *Core) SlowDisk(now time.Duration) {
+func (c *Machine) SlowDisk(now time.Duration) {
 	if c.quorum != nil && c.quorum.Role() == quorum.Leader {
 		c.quorum.Handover(now)
 	}
 }
 
 // Receive takes a frame from another node.
-func (c *Core) Receive(now time.Duration, f *schema.Frame) {
+func (c *Machine) Receive(now time.Duration, f *schema.Frame) {
 	c.now = now
 	if c.refused != nil {
 		return
@@ -366,7 +366,7 @@
 		c.log.Warn("frame of another system declined", "from", f.From, "system", f.System)
 		return
 	}
-	c.near.Heard(now, f.From)
+	c.peerSampler.Heard(now, f.From)
 	if node := c.view.Nodes[f.From]; node != nil && node.Region == c.self.Region {
 		c.peers[f.From] = now
 	}
@@ -390,14 +390,14 @@
 			}
 		}
 	case *schema.Frame_DiscoverRequest:
-		c.near.Learn(body.DiscoverRequest.Node)
+		c.peerSampler.Learn(body.DiscoverRequest.Node)
 		c.send(f.Address, &schema.Frame{Body: &schema.Frame_DiscoverResponse{DiscoverResponse: &schema.DiscoverResponse{System: c.system, Leader: c.leader,
 			Nodes: c.introduce(body.DiscoverRequest.Node), Founding: c.options.Restart, Disk: c.self.Disk, Founder: c.nominate(), FleetVersion: c.shownFleet()}}})
 	case *schema.Frame_DiscoverResponse:
 		if c.guard(body.DiscoverResponse.FleetVersion) != nil {
 			return
 		}
-		c.near.Learn(body.DiscoverResponse.Nodes...)
+		c.peerSampler.Learn(body.DiscoverResponse.Nodes...)
 		c.seeds[f.Address] = now
 		c.empties[f.Address] = body.DiscoverResponse.System == ""
 		if c.routed != nil {
@@ -413,7 +413,7 @@
 			c.leader = body.DiscoverResponse.Leader
 		}
 	case *schema.Frame_Shuffle:
-		for _, s := range c.near.Shuffle(f.Address, body.Shuffle) {
+		for _, s := range c.peerSampler.Shuffle(f.Address, body.Shuffle) {
 			s.Frame.GetShuffle().System, s.Frame.GetShuffle().Leader = c.system, c.leader
 			c.send(s.To, s.Frame)
 		}
@@ -466,7 +466,7 @@
 	return false
 }
 
-func (c *Core) adopt(system string) {
+func (c *Machine) adopt(system string) {
 	if system == "" || c.system != "" {
 		return
 	}
@@ -475,7 +475,7 @@
 }
 
 // Tick tells the time; the shell calls it every constants.Tick, in a routed fleet every constants.RoutedTick.
-func (c *Core) Tick(now time.Duration) {
+func (c *Machine) Tick(now time.Duration) {
 	c.now = now
 	if c.refused != nil {
 		return
@@ -485,7 +485,7 @@
 		c.log.Warn("this process stood still and refreshes before it serves", "milliseconds", (now - c.tickedAt).Milliseconds())
 	}
 	c.tickedAt = now
-	for _, s := range c.near.Tick(now) {
+	for _, s := range c.peerSampler.Tick(now) {
 		if shuffle := s.Frame.GetShuffle(); shuffle != nil {
 			shuffle.System, shuffle.Leader = c.system, c.leader
 		}
@@ -503,7 +503,7 @@
 	if now-c.heartbeatAt >= c.routed.heartbeatEvery() {
 		c.sendHeartbeat()
 	}
-	c.seek()
+	c.seekSystem()
 	if c.quorum == nil {
 		c.keepSource()
 	}
@@ -513,24 +513,24 @@
 
 // asked are the nodes to ask for a system now. Seeds and machines with a disk must hear all seeds to found one; the others ask one seed
 // after another where nothing can have been founded before, all of them where something was; and each asks one more node that it knows.
-func (c *Core) asked() []string {
+func (c *Machine) asked() []string {
 	seeds := c.options.Seeds
 	if c.quorum == nil && !c.options.Rejoin && !slices.Contains(seeds, c.self.Address) {
 		c.askedSeeds++
 		seeds = seeds[c.askedSeeds%len(seeds):][:1]
 	}
-	others := slices.DeleteFunc(c.near.Known(), func(node *schema.Node) bool { return slices.Contains(c.options.Seeds, node.Address) })
+	others := slices.DeleteFunc(c.peerSampler.Known(), func(node *schema.Node) bool { return slices.Contains(c.options.Seeds, node.Address) })
 	if len(others) == 0 {
 		return seeds
 	}
 	return append(slices.Clone(seeds), others[c.options.Draw(int64(len(others)))].Address)
 }
 
-func (c *Core) found() {
+func (c *Machine) found() {
 	if c.now-c.whoAt >= constants.WhoEvery {
 		c.whoAt = c.now
 		for _, address := range c.asked() {
-			c.send(address, &schema.Frame{Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: c.near.Self()}}})
+			c.send(address, &schema.Frame{Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: c.peerSampler.Self()}}})
 		}
 	}
 	if c.quorum == nil || c.quorum.Last() > 0 || c.options.Rejoin || c.options.Hard.GetId() != "" && c.options.Restart {
@@ -558,15 +558,15 @@
 		Members: &schema.Members{Voters: []*schema.Member{{Id: c.self.Id, Address: c.self.Address, Zone: c.self.Zone}}}, Reason: "founding"})
 }
 
-func (c *Core) sendHeartbeat() {
+func (c *Machine) sendHeartbeat() {
 	if c.system == "" {
 		return
 	}
 	c.heartbeatAt = c.now
 	c.serial++
-	b := &schema.Heartbeat{Node: c.spoken(c.near.Self()), Version: c.table.Version(), Health: c.healthReports, Suspects: c.near.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isKeeping, OldestIndex: c.floor}
+	b := &schema.Heartbeat{Node: c.spoken(c.peerSampler.Self()), Version: c.table.Version(), Health: c.healthReports, Suspects: c.peerSampler.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isReservationReady, OldestIndex: c.oldestIndex}
 	if c.routed != nil {
-		b.Load = c.routed.takeHeat(c.now)
+		b.Load = c.routed.takeLoad(c.now)
 		if healthReports := c.routed.options.HealthReports; healthReports != nil {
 			b.Health = healthReports()
 		}
@@ -586,13 +586,13 @@
 	c.send(to, &schema.Frame{Body: &schema.Frame_Heartbeat{Heartbeat: b}})
 }
 
-func (c *Core) noteHeartbeatSent(to string) {
+func (c *Machine) noteHeartbeatSent(to string) {
 	c.heartbeats[c.serial] = asked{c.now, to}
 	delete(c.heartbeats, c.serial-questionsKept)
 }
 
 // pick draws one of the known nodes that fit, or a seed if there is none.
-func (c *Core) pick(isFit func(*schema.Node) bool) string {
+func (c *Machine) pick(isFit func(*schema.Node) bool) string {
 	options := c.known(isFit)
 	if len(options) == 0 {
 		options = c.options.Seeds
@@ -601,9 +601,9 @@
 }
 
 // known gives the addresses of the other nodes that fit, of the views and of the table.
-func (c *Core) known(isFit func(*schema.Node) bool) []string {
+func (c *Machine) known(isFit func(*schema.Node) bool) []string {
 	var addresses []string
-	for _, node := range c.near.Known() {
+	for _, node := range c.peerSampler.Known() {
 		if isFit(node) {
 			addresses = append(addresses, node.Address)
 		}
@@ -616,7 +616,7 @@
 	return addresses
 }
 
-func (c *Core) takeHeartbeat(f *schema.Frame, b *schema.Heartbeat) {
+func (c *Machine) takeHeartbeat(f *schema.Frame, b *schema.Heartbeat) {
 	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: c.table.Version()}
 	isLeader := c.IsLeading() && c.isFitNode(b.Node)
 	if isLeader {
@@ -628,12 +628,12 @@
 		}
 		g.heard, g.version, g.suspects, g.node = c.now, b.Version, b.Suspects, b.Node
 		g.reservationSet, g.isReservationReady = b.ReplicaSet, b.ReplicaReady
-		if g.floor = b.Version; b.OldestIndex > 0 {
-			g.floor = min(b.OldestIndex, b.Version)
+		if g.oldestIndex = b.Version; b.OldestIndex > 0 {
+			g.oldestIndex = min(b.OldestIndex, b.Version)
 		}
-		c.rost.Report(b.Node.Id, b.Health)
+		c.endpoints.Report(b.Node.Id, b.Health)
 		if c.routed != nil && len(b.Load) > 0 {
-			c.routed.noteHeat(c.now, b.Node.Id, b.Load)
+			c.routed.noteLoad(c.now, b.Node.Id, b.Load)
 		}
 		row := c.view.Nodes[b.Node.Id]
 		isKnown := row != nil && row.State != schema.NodeState_NODE_LOST && b.Node.State == row.State
@@ -654,7 +654,7 @@
 	c.send(f.Address, &schema.Frame{Body: &schema.Frame_HeartbeatResponse{HeartbeatResponse: response}})
 }
 
-func (c *Core) takeLease(f *schema.Frame, o *schema.HeartbeatResponse) {
+func (c *Machine) takeLease(f *schema.Frame, o *schema.HeartbeatResponse) {
 	if !o.Accepted {
 		if o.Leader != "" && o.Leader != c.leader && o.Leader != f.Address {
 			c.leader, c.leaderAt = o.Leader, c.now
@@ -673,7 +673,7 @@
 	}
 }
 
-func (c *Core) publish(changed []*schema.Row) {
+func (c *Machine) publish(changed []*schema.Row) {
 	if len(changed) == 0 && c.view.Version == c.table.Version() {
 		return
 	}
@@ -692,15 +692,15 @@
 	}
 }
 
-func (c *Core) noteFences(changed []*schema.Row) {
+func (c *Machine) noteFences(changed []*schema.Row) {
 	isCloned := false
 	for _, row := range changed {
 		isFenced := false
 		switch {
 		case strings.Contains(row.Key, "/standing/"):
-			isFenced = image.Decode[schema.FailoverAssignment](row).GetFenced()
+			isFenced = image.DecodeRow[schema.FailoverAssignment](row).GetFenced()
 		case strings.Contains(row.Key, "/entity/"):
-			entity := image.Decode[schema.Entity](row)
+			entity := image.DecodeRow[schema.Entity](row)
 			isFenced = entity.GetFenced()
 			c.noteOpened(row.Key, entity)
 		default:
@@ -721,7 +721,7 @@
 	}
 }
 
-func (c *Core) noteOpened(key string, entity *schema.Entity) {
+func (c *Machine) noteOpened(key string, entity *schema.Entity) {
 	if entity == nil || entity.Fenced || c.openedAs[key] == entity.Number {
 		return
 	}
@@ -731,9 +731,9 @@
 }
 
 // Local gives what the hot path may rely on now.
-func (c *Core) Local() *Local {
-	l := &Local{View: c.view, Held: c.held, IsFull: c.isFull(), FreshAt: c.freshAt, LeaseUntil: c.leaseUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
-		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.near.Suspects(), Rows: c.table.Size(),
+func (c *Machine) Local() *Local {
+	l := &Local{View: c.view, HeldPrefixes: c.held, IsFull: c.isFull(), FreshAt: c.freshAt, LeaseUntil: c.leaseUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
+		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
 		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", StaleResponses: c.staleResponses}
 	if c.quorum != nil {
 		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), c.quorum.Term(), c.quorum.Commit(), c.quorum.Members(), c.quorum.First()
@@ -764,7 +764,7 @@
 }
 
 // Take gives the effects that are due.
-func (c *Core) Take() Effects {
+func (c *Machine) Take() Effects {
 	if c.refused != nil {
 		return Effects{}
 	}
@@ -789,7 +789,7 @@
 }
 
 // TakeUnbound applies what a majority has on disk and gives the effects that rest on nothing unwritten, while this disk is busy.
-func (c *Core) TakeUnbound() Effects {
+func (c *Machine) TakeUnbound() Effects {
 	if c.quorum != nil {
 		c.apply()
 		c.refresh()
@@ -803,14 +803,14 @@
 	return effects
 }
 
-func (c *Core) addressOf(id string) string {
+func (c *Machine) addressOf(id string) string {
 	if address := c.addresses[id]; address != "" {
 		return address
 	}
 	if g := c.nodes[id]; g != nil && c.now-g.heard < constants.NodeLostAfter {
 		return g.node.Address
 	}
-	for _, node := range c.near.Known() {
+	for _, node := range c.peerSampler.Known() {
 		if node.Id == id {
 			return node.Address
 		}
@@ -827,7 +827,7 @@
 }
 
 // Synced tells that the effects are on disk; committed items are applied now.
-func (c *Core) Synced(now time.Duration, effects Effects) {
+func (c *Machine) Synced(now time.Duration, effects Effects) {
 	c.now = now
 	if c.quorum == nil {
 		return
@@ -854,7 +854,7 @@
 	c.spread()
 }
 
-func (c *Core) refresh() {
+func (c *Machine) refresh() {
 	switch {
 	case c.table.Version() >= c.knownCommit:
 		c.behindAt = 0
@@ -866,7 +866,7 @@
 	}
 }
 
-func (c *Core) apply() {
+func (c *Machine) apply() {
 	var changed []*schema.Row
 	for _, item := range c.quorum.Committed() {
 		if c.refused == nil {
@@ -900,7 +900,7 @@
 }
 
 // Compactable tells whether a new image should be written.
-func (c *Core) Compactable() bool {
+func (c *Machine) Compactable() bool {
 	if c.quorum == nil || c.table.Version() <= c.snapshotAt {
 		return false
 	}
@@ -908,7 +908,7 @@
 }
 
 // Compacted tells that an image of that index is on disk.
-func (c *Core) Compacted(index uint64) {
+func (c *Machine) Compacted(index uint64) {
 	c.snapshotAt = index
 	c.quorum.Compact(index)
 }
--- a/internal/core/driver.go
+++ b/internal/core/driver.go
@@ -11,7 +11,7 @@
 // Driver performs a Core's effects in their order: write, apply, send, answer. The shell and the simulator both use it.
 // Write carries out work on the disk and then has done called by the Core's owner; meanwhile what rests on nothing unwritten goes on.
 type Driver struct {
-	Core    *Core
+	Core    *Machine
 	Journal *journal.Journal
 	Now     func() time.Duration
 	Send    func(to string, f *schema.Frame)
--- a/internal/core/founding_test.go
+++ b/internal/core/founding_test.go
@@ -27,7 +27,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			random := rand.New(rand.NewSource(1))
-			cores := map[string]*Core{}
+			cores := map[string]*Machine{}
 			names := []string{"a", "b", "c", "d", "e"}
 			for _, name := range names {
 				self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "r"}
@@ -35,7 +35,7 @@
 					self.Disk = self.Disk || string(disk) == name
 				}
 				cores[name] = New(time.Hour, Options{Self: self, Seeds: c.seeds, Draw: random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Rejoin: c.isRejoin,
-					Routed: &Routed{HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
+					Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			}
 			founded := map[string]string{}
 			for now := time.Hour; now < time.Hour+12*time.Second; now += 20 * time.Millisecond {
--- a/internal/core/frames_test.go
+++ b/internal/core/frames_test.go
@@ -19,19 +19,19 @@
 		name   string
 		system string
 		heard  *schema.Frame
-		change func(core *Core, now time.Duration)
+		change func(core *Machine, now time.Duration)
 	}{
-		{"shuffles before a stop", "x", nil, func(core *Core, now time.Duration) { core.Stop(now) }},
-		{"questions for a system before a stop", "", nil, func(core *Core, now time.Duration) { core.Stop(now) }},
-		{"an introduction before a stop", "x", &schema.Frame{System: "x", From: "p", Address: "p", Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: peer}}}, func(core *Core, now time.Duration) { core.Stop(now) }},
-		{"shuffles before a refuted suspicion", "x", nil, func(core *Core, now time.Duration) {
+		{"shuffles before a stop", "x", nil, func(core *Machine, now time.Duration) { core.Stop(now) }},
+		{"questions for a system before a stop", "", nil, func(core *Machine, now time.Duration) { core.Stop(now) }},
+		{"an introduction before a stop", "x", &schema.Frame{System: "x", From: "p", Address: "p", Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: peer}}}, func(core *Machine, now time.Duration) { core.Stop(now) }},
+		{"shuffles before a refuted suspicion", "x", nil, func(core *Machine, now time.Duration) {
 			core.Receive(now, &schema.Frame{System: "x", From: "p", Address: "p", Body: &schema.Frame_Shuffle{Shuffle: &schema.Shuffle{Nodes: []*schema.Node{lostSelf}, Reply: true}}})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Hour
 			core := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r", State: schema.NodeState_NODE_READY}, Seeds: []string{"s"}, System: c.system,
-				Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
+				Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			if c.heard != nil {
 				core.Receive(now, c.heard)
 			}
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -13,7 +13,7 @@
 	"topazshed/internal/standing"
 )
 
-func (c *Core) lead() {
+func (c *Machine) lead() {
 	if !c.IsLeading() {
 		if c.wasLeader {
 			c.nodes = map[string]*nodeRecord{}
@@ -33,7 +33,7 @@
 		c.wasLeader = true
 		c.log.Info("this machine leads", "term", c.quorum.Term(), "index", c.table.Version())
 		c.electedAt = c.now
-		c.sweep = nil
+		c.listRead = nil
 		c.sendHeartbeat()
 	}
 	c.leader, c.leaderAt = c.self.Address, c.now
@@ -51,16 +51,16 @@
 		c.leadRouted()
 		return
 	}
-	c.planRoster()
+	c.planEndpoints()
 	c.planReplicaSets()
-	c.planSlots()
+	c.planShardSlots()
 	for _, record := range standing.Plan(c.view, c.table, c.released) {
 		c.sign(record)
 		c.propose(record)
 	}
 }
 
-func (c *Core) propose(record *schema.Record) bool {
+func (c *Machine) propose(record *schema.Record) bool {
 	if record == nil || len(record.Rows) == 0 {
 		return false
 	}
@@ -84,7 +84,7 @@
 	return true
 }
 
-func (c *Core) lapse(g *nodeRecord) time.Duration {
+func (c *Machine) lapse(g *nodeRecord) time.Duration {
 	at := c.electedAt + constants.LeaseDuration + constants.LeaseClockMargin
 	if g != nil {
 		at = max(at, g.until)
@@ -92,7 +92,7 @@
 	return at
 }
 
-func (c *Core) released(index uint64) (bool, uint64) {
+func (c *Machine) released(index uint64) (bool, uint64) {
 	for id := range c.view.Nodes {
 		if g := c.nodes[id]; (g == nil || g.version < index) && c.now < c.lapse(g) {
 			return false, 0
@@ -104,16 +104,16 @@
 	return true, uint64((c.now - c.releasedAt[index]).Milliseconds())
 }
 
-func (c *Core) isKeyFree(index uint64) bool {
+func (c *Machine) isKeyFree(index uint64) bool {
 	for id := range c.view.Nodes {
-		if g := c.nodes[id]; (g == nil || g.floor < index) && c.now < c.lapse(g)+constants.ReservationWindow {
+		if g := c.nodes[id]; (g == nil || g.oldestIndex < index) && c.now < c.lapse(g)+constants.ReservationWindow {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Core) newestFence() uint64 {
+func (c *Machine) newestFence() uint64 {
 	var newest uint64
 	for key := range c.fences {
 		newest = max(newest, c.table.Get(key).GetIndex())
@@ -126,7 +126,7 @@
 	return newest
 }
 
-func (c *Core) planNodes() {
+func (c *Machine) planNodes() {
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "nodes"}
 	put := func(key string, row *schema.Row) {
 		record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: c.table.Get(key).GetIndex()})
@@ -148,7 +148,7 @@
 	admit := func(zone, region string) {
 		if !regions[region] && nextRegion < constants.Increment {
 			regions[region] = true
-			put(image.RegionKey(region), image.Put(image.RegionKey(region), &schema.Region{Name: region, Residue: nextRegion}))
+			put(image.RegionKey(region), image.EncodeRow(image.RegionKey(region), &schema.Region{Name: region, Residue: nextRegion}))
 			nextRegion += 2
 		}
 		if c.routed != nil {
@@ -156,7 +156,7 @@
 		}
 		if _, isKnown := zones[zone]; !isKnown && nextZone < constants.Increment {
 			zones[zone] = region
-			put(image.ZoneKey(zone), image.Put(image.ZoneKey(zone), &schema.Zone{Name: zone, Region: region, Residue: nextZone}))
+			put(image.ZoneKey(zone), image.EncodeRow(image.ZoneKey(zone), &schema.Zone{Name: zone, Region: region, Residue: nextZone}))
 			nextZone += 2
 		}
 	}
@@ -182,7 +182,7 @@
 		}
 		fresh := proto.Clone(g.node).(*schema.Node)
 		if row == nil || row.State != fresh.State || row.Address != fresh.Address || row.Proxy != fresh.Proxy || row.Admin != fresh.Admin || row.SpeaksLow != fresh.SpeaksLow || row.SpeaksHigh != fresh.SpeaksHigh || row.Incarnation < fresh.Incarnation {
-			put(image.NodeKey(id), image.Put(image.NodeKey(id), fresh))
+			put(image.NodeKey(id), image.EncodeRow(image.NodeKey(id), fresh))
 		}
 	}
 	witnesses := map[string]int{}
@@ -206,17 +206,17 @@
 		isLost := sinceHeard > lostAfter && witnesses[id] >= constants.SuspectWitnesses || sinceHeard > 2*lostAfter
 		isLapsed := sinceHeard > constants.LeaseDuration+constants.LeaseClockMargin+constants.ReservationWindow
 		if c.routed != nil && !row.Disk && newest[row.Address] > row.Incarnation {
-			put(image.NodeKey(id), image.Gone(image.NodeKey(id)))
+			put(image.NodeKey(id), image.Tombstone(image.NodeKey(id)))
 			delete(c.nodes, id)
 		} else if isLapsed && row.State == schema.NodeState_NODE_STOPPING && !row.Disk || sinceHeard > time.Minute && !row.Disk {
-			put(image.NodeKey(id), image.Gone(image.NodeKey(id)))
+			put(image.NodeKey(id), image.Tombstone(image.NodeKey(id)))
 			delete(c.nodes, id)
-			c.rost.Drop(id)
+			c.endpoints.Drop(id)
 		} else if isLost && row.State != schema.NodeState_NODE_LOST {
 			lost := proto.Clone(row).(*schema.Node)
 			lost.State = schema.NodeState_NODE_LOST
-			put(image.NodeKey(id), image.Put(image.NodeKey(id), lost))
-			c.rost.Drop(id)
+			put(image.NodeKey(id), image.EncodeRow(image.NodeKey(id), lost))
+			c.endpoints.Drop(id)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
@@ -226,7 +226,7 @@
 		}
 		isMember := slices.ContainsFunc(slices.Concat(c.quorum.Members().Voters, c.quorum.Members().Learners), func(m *schema.Member) bool { return m.Id == id })
 		if !isMember && (c.nodes[id] == nil || c.now-c.nodes[id].heard > time.Minute) && c.now-c.electedAt > time.Minute {
-			put(image.NodeKey(id), image.Gone(image.NodeKey(id)))
+			put(image.NodeKey(id), image.Tombstone(image.NodeKey(id)))
 		}
 	}
 	if c.propose(record) {
@@ -236,15 +236,15 @@
 	}
 }
 
-func (c *Core) planRoster() {
-	sweep := c.sweep
-	c.sweep = nil
-	if record := c.rost.Plan(c.now, c.view, c.table, sweep); record != nil && c.propose(record) {
+func (c *Machine) planEndpoints() {
+	sweep := c.listRead
+	c.listRead = nil
+	if record := c.endpoints.Plan(c.now, c.view, c.table, sweep); record != nil && c.propose(record) {
 		c.log.Info("back ends changed", "rows", len(record.Rows))
 	}
 }
 
-func (c *Core) planReplicaSets() {
+func (c *Machine) planReplicaSets() {
 	for _, region := range slices.Sorted(maps.Keys(c.view.Regions)) {
 		set := c.view.ReplicaSets[region]
 		key := image.ReplicaSetKey(region)
@@ -278,7 +278,7 @@
 		switch {
 		case !isSame && (set == nil || isSmaller || !isUnready && !isLate):
 			fresh := &schema.ReplicaSet{Region: region, Number: set.GetNumber() + 1, Members: members, Former: set.GetMembers(), Fenced: set != nil, First: set == nil}
-			record.Rows = []*schema.Row{image.Put(key, fresh)}
+			record.Rows = []*schema.Row{image.EncodeRow(key, fresh)}
 		case set.GetFenced():
 			isReleased, _ := c.released(c.table.Get(key).GetIndex())
 			if !isReleased {
@@ -286,13 +286,13 @@
 			}
 			fresh := proto.Clone(set).(*schema.ReplicaSet)
 			fresh.Fenced = false
-			record.Rows = []*schema.Row{image.Put(key, fresh)}
+			record.Rows = []*schema.Row{image.EncodeRow(key, fresh)}
 		}
 		c.propose(record)
 	}
 }
 
-func (c *Core) planSlots() {
+func (c *Machine) planShardSlots() {
 	for _, name := range slices.Sorted(maps.Keys(c.view.Services)) {
 		service := c.view.Services[name]
 		isKeyed := slices.ContainsFunc(service.Entries, func(e *schema.Entry) bool { return e.Keyed })
@@ -340,9 +340,9 @@
 		}
 		record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "keys of " + name}
 		put := func(slot uint32, fresh *schema.ShardSlot) {
-			key := image.SlotKey(name, slot)
+			key := image.ShardSlotKey(name, slot)
 			record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: c.table.Get(key).GetIndex()})
-			record.Rows = append(record.Rows, image.Put(key, fresh))
+			record.Rows = append(record.Rows, image.EncodeRow(key, fresh))
 		}
 		for slot := range uint32(constants.KeySlots) {
 			row := service.Slots[slot]
@@ -353,7 +353,7 @@
 				put(slot, &schema.ShardSlot{Service: name, Slot: slot, Instance: target, Number: 1})
 				share[target]++
 			case row.Next != "":
-				if c.isKeyFree(c.table.Get(image.SlotKey(name, slot)).GetIndex()) {
+				if c.isKeyFree(c.table.Get(image.ShardSlotKey(name, slot)).GetIndex()) {
 					next := row.Next
 					if _, isThere := share[next]; !isThere {
 						next = target
--- a/internal/core/load_bench_test.go
+++ b/internal/core/load_bench_test.go
@@ -11,7 +11,7 @@
 )
 
 // loaded is the leader of three machines with a disk whose fleet has so many back ends, a third of them of a service that is divided by key.
-func loaded(b *testing.B, backends int) (*fleet, *Core) {
+func loaded(b *testing.B, backends int) (*fleet, *Machine) {
 	b.Helper()
 	f := newFleetOf(b)
 	leader := f.cores[f.leader()]
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -17,7 +17,7 @@
 const votersLeast = 3
 
 // heirOf gives the newer process with a disk that speaks at a voter's address under another identity: the voter's disk is gone, so that it never votes again.
-func (c *Core) heirOf(m *schema.Member) string {
+func (c *Machine) replacementOf(m *schema.Member) string {
 	if c.routed == nil || m.Id == c.self.Id {
 		return ""
 	}
@@ -34,7 +34,7 @@
 }
 
 // planMembers proposes the next change of members, if one is needed; another one follows once a majority has it.
-func (c *Core) planMembers() {
+func (c *Machine) planMembers() {
 	members := proto.Clone(c.quorum.Members()).(*schema.Members)
 	for _, change := range []func(*schema.Members) string{c.dropReplaced, c.admitMember, c.dropUnresponsiveLearner, c.dropUnresponsiveVoter} {
 		reason := change(members)
@@ -54,18 +54,18 @@
 }
 
 // dropReplaced takes out a voter whose disk is gone: it never votes again, and each such voter raises the majority that the others must be.
-func (c *Core) dropReplaced(members *schema.Members) string {
+func (c *Machine) dropReplaced(members *schema.Members) string {
 	for i, m := range members.Voters {
-		if heir := c.heirOf(m); heir != "" {
+		if replacement := c.replacementOf(m); replacement != "" {
 			members.Voters = slices.Delete(members.Voters, i, i+1)
-			return "voter " + m.Id + " has lost its disk and is back as " + heir
+			return "voter " + m.Id + " has lost its disk and is back as " + replacement
 		}
 	}
 	return ""
 }
 
 // admitMember takes a machine with a disk in as a learner, and lets a learner vote that has the whole log on its disk.
-func (c *Core) admitMember(members *schema.Members) string {
+func (c *Machine) admitMember(members *schema.Members) string {
 	for _, id := range slices.Sorted(maps.Keys(c.nodes)) {
 		g := c.nodes[id]
 		if !c.isFitNode(g.node) || !g.node.Disk || c.now-g.heard > constants.NodeLostAfter || g.node.State == schema.NodeState_NODE_STOPPING {
@@ -95,20 +95,20 @@
 
 // hasCaughtUp tells whether a learner's disk has all that was committed when the members last changed, its own joining among it, and nearly all
 // that was committed since: what was acknowledged before a disk was lost is then as safe as it was.
-func (c *Core) hasCaughtUp(id string) bool {
+func (c *Machine) hasCaughtUp(id string) bool {
 	match := c.quorum.Match(id)
 	return match >= c.quorum.MembersIndex() && match+constants.LearnerGap >= c.quorum.Commit() && c.now-c.quorum.Heard(id) < time.Second
 }
 
 // silence is how long a member has not answered this leader.
-func (c *Core) sinceHeard(id string) time.Duration {
+func (c *Machine) sinceHeard(id string) time.Duration {
 	if id == c.self.Id {
 		return 0
 	}
 	return c.now - max(c.quorum.Heard(id), c.electedAt)
 }
 
-func (c *Core) dropUnresponsiveLearner(members *schema.Members) string {
+func (c *Machine) dropUnresponsiveLearner(members *schema.Members) string {
 	for i, m := range members.Learners {
 		if c.sinceHeard(m.Id) > 2*constants.MemberLostAfter {
 			members.Learners = slices.Delete(members.Learners, i, i+1)
@@ -120,7 +120,7 @@
 
 // dropSilentVoter takes out a voter that has been silent for long. Where the majority of the voters gets smaller without the silent ones, so that
 // one more loss is borne, that is done sooner: of four voters three must live, and of three that are left only two.
-func (c *Core) dropUnresponsiveVoter(members *schema.Members) string {
+func (c *Machine) dropUnresponsiveVoter(members *schema.Members) string {
 	if len(members.Voters) <= votersLeast {
 		return ""
 	}
@@ -151,7 +151,7 @@
 func majority(voters int) int { return voters/2 + 1 }
 
 // lossesBorne is how many more voters may be lost before there is no majority, and the voters that are silent already.
-func (c *Core) lossesBorne() (borne uint32, unresponsive []string) {
+func (c *Machine) toleratedLosses() (borne uint32, unresponsive []string) {
 	voters := c.quorum.Members().Voters
 	for _, m := range voters {
 		if c.sinceHeard(m.Id) > c.routed.lostAfter() {
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -18,12 +18,12 @@
 // Operators' orders: the leader decides them, the other nodes pass them on to it.
 
 // Operate takes a local operator's query.
-func (c *Core) Operate(now time.Duration, ticket uint64, request *schema.OperatorRequest) {
+func (c *Machine) Operate(now time.Duration, ticket uint64, request *schema.OperatorRequest) {
 	c.now = now
 	c.operate(&pendingRequest{ticket: ticket, request: request})
 }
 
-func (c *Core) operate(w *pendingRequest) {
+func (c *Machine) operate(w *pendingRequest) {
 	if w.until == 0 {
 		w.bornAt, w.until = c.now, c.now+constants.ProposalWait
 	}
@@ -45,7 +45,7 @@
 	}
 }
 
-func (c *Core) reply(w *pendingRequest, response *schema.OperatorResponse) {
+func (c *Machine) reply(w *pendingRequest, response *schema.OperatorResponse) {
 	if w.to != "" {
 		c.send(w.to, &schema.Frame{Call: w.call, Body: &schema.Frame_OperatorResponse{OperatorResponse: response}})
 		return
@@ -54,7 +54,7 @@
 }
 
 // operateElsewhere has another node decide an order, or refuses it to the node that passed it on.
-func (c *Core) operateElsewhere(w *pendingRequest) {
+func (c *Machine) operateElsewhere(w *pendingRequest) {
 	if w.to != "" {
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "the node asked does not lead; ask again shortly"})
 		return
@@ -69,7 +69,7 @@
 }
 
 // read waits for a majority to confirm that this machine still leads; answerRead then goes on with the order.
-func (c *Core) read(w *pendingRequest) {
+func (c *Machine) read(w *pendingRequest) {
 	c.nextRead++
 	c.reads[c.nextRead] = w
 	if err := c.quorum.Read(c.now, c.nextRead); err != nil {
@@ -81,7 +81,7 @@
 // answer gives an answer that rests on this machine's state and not on a commit of its own: a refusal, or the word that an order changes nothing
 // or was taken before. A machine that leads no more, and does not know it yet, would give it by old state: so a majority must have confirmed,
 // after the order came, that this one leads. The order is then decided anew on the state of that moment.
-func (c *Core) answer(w *pendingRequest, response *schema.OperatorResponse) {
+func (c *Machine) answer(w *pendingRequest, response *schema.OperatorResponse) {
 	if w.isConfirmed {
 		c.reply(w, response)
 		return
@@ -89,17 +89,17 @@
 	c.read(w)
 }
 
-func (c *Core) operatePut(w *pendingRequest) {
+func (c *Machine) operatePut(w *pendingRequest) {
 	if len(c.view.Regions) == 0 || len(c.view.Services) == 0 {
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "no back end is known from the platform's list yet; ask again shortly"})
 		return
 	}
 	if c.pending[image.HeadKey] > c.table.Version() {
-		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Version: image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey)).GetVersion() + 1,
+		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Version: image.DecodeRow[schema.CatalogHead](c.table.Get(image.HeadKey)).GetVersion() + 1,
 			Message: "another configuration is being accepted; read it, merge, and put again"})
 		return
 	}
-	if head := image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey)); w.request.Key != "" && head.GetOperatorKey() == w.request.Key {
+	if head := image.DecodeRow[schema.CatalogHead](c.table.Get(image.HeadKey)); w.request.Key != "" && head.GetOperatorKey() == w.request.Key {
 		c.answer(w, &schema.OperatorResponse{Version: head.Version, Index: c.table.Get(image.HeadKey).Index})
 		return
 	}
@@ -111,14 +111,14 @@
 	record, version, err := catalog.Plan(c.table, entries, w.request.Document, w.request.Base, w.request.Key)
 	if err != nil {
 		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Message: err.Error(),
-			Version: image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey)).GetVersion()})
+			Version: image.DecodeRow[schema.CatalogHead](c.table.Get(image.HeadKey)).GetVersion()})
 		return
 	}
 	catalog.Assignments(c.view, c.table, record)
 	c.submit(w, record, version)
 }
 
-func (c *Core) submit(w *pendingRequest, record *schema.Record, version uint64) {
+func (c *Machine) submit(w *pendingRequest, record *schema.Record, version uint64) {
 	index, term, err := c.quorum.Propose(c.now, record)
 	if err != nil {
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: err.Error()})
@@ -131,11 +131,11 @@
 	c.operations = append(c.operations, w)
 }
 
-func (c *Core) operateZone(w *pendingRequest) {
+func (c *Machine) operateZone(w *pendingRequest) {
 	isEmpty := w.request.Kind == schema.OperatorKind_OPERATOR_EMPTY
 	key := image.ZoneKey(w.request.Zone)
 	row := c.table.Get(key)
-	zone := image.Decode[schema.Zone](row)
+	zone := image.DecodeRow[schema.Zone](row)
 	if zone == nil {
 		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Message: "district " + w.request.Zone + " is not known; see status for the names"})
 		return
@@ -147,10 +147,10 @@
 	fresh := proto.Clone(zone).(*schema.Zone)
 	fresh.Emptied, fresh.Reason = isEmpty, w.request.Reason
 	fresh.Settling = c.routed != nil && !isEmpty
-	c.submit(w, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "district " + zone.Name, Rows: []*schema.Row{image.Put(key, fresh)}}, 0)
+	c.submit(w, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "district " + zone.Name, Rows: []*schema.Row{image.EncodeRow(key, fresh)}}, 0)
 }
 
-func (c *Core) settle(item *schema.LogItem) {
+func (c *Machine) settle(item *schema.LogItem) {
 	_, isVoid := c.verdicts[item.Index]
 	delete(c.verdicts, item.Index)
 	var again []*pendingRequest
@@ -184,7 +184,7 @@
 
 // decideAgain takes the orders whose records were void, because another one came before them in the log: that may have been the same order,
 // proposed by a former leader or twice by this one, which is no conflict.
-func (c *Core) decideAgain() {
+func (c *Machine) decideAgain() {
 	undecided := c.undecided
 	c.undecided = nil
 	for _, w := range undecided {
@@ -192,7 +192,7 @@
 	}
 }
 
-func (c *Core) unconfirmed(index uint64) []string {
+func (c *Machine) unconfirmed(index uint64) []string {
 	var zones []string
 	for id, node := range c.view.Nodes {
 		if g := c.nodes[id]; node.State != schema.NodeState_NODE_STOPPING && (g == nil || g.version < index) && !slices.Contains(zones, node.Zone) {
@@ -203,7 +203,7 @@
 	return zones
 }
 
-func (c *Core) operated() uint64 {
+func (c *Machine) newestOperation() uint64 {
 	newest := c.table.Get(image.HeadKey).GetIndex()
 	for name := range c.view.Zones {
 		newest = max(newest, c.table.Get(image.ZoneKey(name)).GetIndex())
@@ -211,7 +211,7 @@
 	return newest
 }
 
-func (c *Core) confirm() {
+func (c *Machine) confirm() {
 	c.confirming = slices.DeleteFunc(c.confirming, func(w *pendingRequest) bool {
 		response := &schema.OperatorResponse{Version: w.version, Index: w.index, Unconfirmed: c.unconfirmed(w.index)}
 		isOver := len(response.Unconfirmed) == 0 || c.now >= w.until || !c.IsLeading()
@@ -222,7 +222,7 @@
 	})
 }
 
-func (c *Core) answerRead(ticket uint64) {
+func (c *Machine) answerRead(ticket uint64) {
 	w := c.reads[ticket]
 	if w == nil {
 		return
@@ -233,14 +233,14 @@
 		c.operate(w)
 		return
 	}
-	document := image.Decode[schema.CatalogDocument](c.table.Get(image.DocumentKey))
+	document := image.DecodeRow[schema.CatalogDocument](c.table.Get(image.DocumentKey))
 	response := &schema.OperatorResponse{Version: document.GetVersion(), Document: document.GetDocument(), Index: c.table.Version()}
 	if w.request.Kind == schema.OperatorKind_OPERATOR_STATUS {
-		response = &schema.OperatorResponse{Version: document.GetVersion(), Index: c.operated(), Unconfirmed: c.unconfirmed(c.operated()),
+		response = &schema.OperatorResponse{Version: document.GetVersion(), Index: c.newestOperation(), Unconfirmed: c.unconfirmed(c.newestOperation()),
 			Reports: c.reports(), Changes: c.changes}
-		response.ToleratedLosses, response.UnresponsiveVoters = c.lossesBorne()
+		response.ToleratedLosses, response.UnresponsiveVoters = c.toleratedLosses()
 	}
-	head := image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey))
+	head := image.DecodeRow[schema.CatalogHead](c.table.Get(image.HeadKey))
 	if w.request.Kind == schema.OperatorKind_OPERATOR_ASK && head.GetOperatorKey() != w.request.Key {
 		response = &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Version: head.GetVersion(),
 			Message: "the newest configuration was not put with that key; read it back and compare"}
@@ -258,7 +258,7 @@
 }
 
 // loseRead goes on with what waited for a majority to confirm that this machine leads, which it does no more.
-func (c *Core) loseRead(ticket uint64) {
+func (c *Machine) loseRead(ticket uint64) {
 	w := c.reads[ticket]
 	if w == nil {
 		return
@@ -271,7 +271,7 @@
 	c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "the leader changed while it answered; ask again"})
 }
 
-func (c *Core) expire() {
+func (c *Machine) expire() {
 	c.confirm()
 	c.resumeDeferred()
 	c.askAgain()
@@ -300,7 +300,7 @@
 	}
 }
 
-func (c *Core) operatePutRoutes(w *pendingRequest) {
+func (c *Machine) operatePutRoutes(w *pendingRequest) {
 	if c.routed == nil {
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Message: "this fleet carries entries, not routes; put a configuration of entries"})
 		return
@@ -309,7 +309,7 @@
 		c.routed.deferred = append(c.routed.deferred, w)
 		return
 	}
-	head := image.Decode[schema.CatalogHead](c.table.Get(image.HeadKey))
+	head := image.DecodeRow[schema.CatalogHead](c.table.Get(image.HeadKey))
 	config := w.request.Routes
 	digest := sha256.Sum256(config.GetDocument())
 	switch routes.Recall(c.table, config, digest[:]) {
@@ -339,7 +339,7 @@
 }
 
 // fits tells whether the voters' disks have room for a record in the log, and for a snapshot of the state with it.
-func (c *Core) fits(record *schema.Record) bool {
+func (c *Machine) fits(record *schema.Record) bool {
 	options := c.routed.options
 	if options.Fits != nil && !options.Fits(record) {
 		return false
@@ -361,7 +361,7 @@
 	return options.FitsWhole(whole)
 }
 
-func (c *Core) resumeDeferred() {
+func (c *Machine) resumeDeferred() {
 	if c.routed == nil || len(c.routed.deferred) == 0 || c.pending[image.HeadKey] > c.table.Version() && c.IsLeading() {
 		return
 	}
@@ -377,7 +377,7 @@
 }
 
 // passOn sends an operator's query to the leader, if one is known.
-func (c *Core) passOn(w *pendingRequest) {
+func (c *Machine) passOn(w *pendingRequest) {
 	w.sentAt = c.now
 	w.hasWay = c.leader != "" && c.leader != c.self.Address && c.now-c.leaderAt <= constants.NodeLostAfter
 	if w.hasWay {
@@ -390,7 +390,7 @@
 
 // takeOutcome takes another node's answer to an order that was passed on. Only an answer to an order of this life, from a node that it was
 // passed on to, is given to whoever waits for it.
-func (c *Core) takeResponse(f *schema.Frame, response *schema.OperatorResponse) {
+func (c *Machine) takeResponse(f *schema.Frame, response *schema.OperatorResponse) {
 	at := slices.IndexFunc(c.operations, func(w *pendingRequest) bool {
 		return w.isSent && w.ticket == f.Call && slices.Contains(w.asked, f.Address)
 	})
@@ -407,7 +407,7 @@
 }
 
 // mayAskAgain tells that an answer only says that another node must be asked, and there is time to: operators wait longer after each failure.
-func (c *Core) mayAskAgain(w *pendingRequest, response *schema.OperatorResponse) bool {
+func (c *Machine) mayAskAgain(w *pendingRequest, response *schema.OperatorResponse) bool {
 	if c.routed == nil || response.Refusal != schema.RefusalKind_REFUSAL_NO_LEADER || c.now >= w.bornAt+constants.OperatorPatience {
 		return false
 	}
@@ -417,7 +417,7 @@
 }
 
 // askAgain passes on what found no leader or no answer; the leader takes a query that comes twice as one.
-func (c *Core) askAgain() {
+func (c *Machine) askAgain() {
 	if c.routed == nil {
 		return
 	}
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -18,7 +18,7 @@
 	t         testing.TB
 	now       time.Duration
 	names     []string
-	cores     map[string]*Core
+	cores     map[string]*Machine
 	isDown    map[string]bool
 	responses map[uint64]*schema.OperatorResponse
 	ticket    uint64
@@ -27,12 +27,12 @@
 func newFleet(t *testing.T) *fleet { return newFleetOf(t) }
 
 func newFleetOf(t testing.TB) *fleet {
-	f := &fleet{t: t, now: time.Hour, names: []string{"a", "b", "c", "r"}, cores: map[string]*Core{}, isDown: map[string]bool{}, responses: map[uint64]*schema.OperatorResponse{}}
+	f := &fleet{t: t, now: time.Hour, names: []string{"a", "b", "c", "r"}, cores: map[string]*Machine{}, isDown: map[string]bool{}, responses: map[uint64]*schema.OperatorResponse{}}
 	random := rand.New(rand.NewSource(3))
 	for _, name := range f.names {
 		self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "g", Disk: name != "r", Incarnation: 1, State: schema.NodeState_NODE_READY}
 		f.cores[name] = New(f.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-			Routed: &Routed{HoldMost: 10 * time.Second, Zones: map[string]string{"z": "g", "y": "g"}, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
+			Routed: &Routed{HoldMost: 10 * time.Second, Zones: map[string]string{"z": "g", "y": "g"}, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 	}
 	f.run(8 * time.Second)
 	if f.leader() == "" || len(f.cores[f.leader()].quorum.Members().Voters) != 3 {
@@ -303,7 +303,7 @@
 	random := rand.New(rand.NewSource(int64(f.now)))
 	self := &schema.Node{Id: fmt.Sprintf("id-%s-%d", name, f.now), Address: name, Proxy: name, Admin: name, Zone: "z", Region: "g", Disk: true, Incarnation: uint64(f.now.Milliseconds()), State: schema.NodeState_NODE_READY}
 	f.cores[name] = New(f.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: random.Int63n, Rejoin: true, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Routed: &Routed{HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
+		Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 	f.isDown[name] = false
 }
 
--- a/internal/core/pace_test.go
+++ b/internal/core/pace_test.go
@@ -22,7 +22,7 @@
 		{time.Second, constants.RaftElectionLeast, 0},
 	} {
 		r := newRoutedState(Options{Routed: &Routed{Quiet: c.quiet}})
-		pace := r.quorumPace()
+		pace := r.raftTiming()
 		if pace.ElectionLeast != c.election || 4*pace.Heartbeat > pace.ElectionLeast || pace.ElectionLeast <= constants.KeyLeaseTime {
 			t.Errorf("quiet %v: %+v, want a shortest wait of %v", c.quiet, pace, c.election)
 		}
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -23,20 +23,20 @@
 	// Quiet is how long after trouble a calm machine must keep every bound again; 0 is unknown.
 	Quiet time.Duration
 	// ColdBearable is how many requests a second the whole fleet may send to a cold back end.
-	ColdBearable func(*schema.ServicePolicy) int
+	ColdRate func(*schema.ServicePolicy) int
 	// Fits tells whether a record can be logged; nil is always.
 	Fits func(*schema.Record) bool
 	// FitsWhole tells whether a snapshot of the whole state fits the disk; nil is always.
 	FitsWhole func(*schema.Snapshot) bool
 	// Heat gives the requests by key since it was last asked.
-	Heat func(since time.Duration) []*schema.ShardLoad
+	Load func(since time.Duration) []*schema.ShardLoad
 	// Vitals give the back ends that failed this node's requests, or served it although they are failing, since it was last asked; nil is none.
 	HealthReports func() []*schema.HealthReport
 }
 
-type nodeHeat struct {
+type nodeLoad struct {
 	at    time.Duration
-	heats []*schema.ShardLoad
+	loads []*schema.ShardLoad
 }
 
 // GrantCall is a call to a back end, with the granter's life that made it.
@@ -46,16 +46,16 @@
 }
 
 type routedState struct {
-	options      *Routed
-	leaseManager *keys.LeaseManager
-	watch        *roster.Watch
-	jury         *roster.Jury
-	listing      *roster.Listing
-	incarnation  uint64
-	heats        map[string][]nodeHeat
-	heatAt       time.Duration
-	dead         map[string]bool
-	deferred     []*pendingRequest
+	options       *Routed
+	leaseManager  *keys.LeaseManager
+	watch         *roster.Watch
+	outlierQuorum *roster.OutlierQuorum
+	listing       *roster.Listing
+	incarnation   uint64
+	loads         map[string][]nodeLoad
+	loadAt        time.Duration
+	dead          map[string]bool
+	deferred      []*pendingRequest
 	// relayed are the beats that this node took for the leader since it last told it.
 	relayed        map[string]*schema.Heartbeat
 	heartbeatTo    string
@@ -67,7 +67,7 @@
 }
 
 func newRoutedState(options Options) *routedState {
-	r := &routedState{options: options.Routed, heats: map[string][]nodeHeat{}, dead: map[string]bool{}, relayed: map[string]*schema.Heartbeat{}, disks: map[string]bool{}}
+	r := &routedState{options: options.Routed, loads: map[string][]nodeLoad{}, dead: map[string]bool{}, relayed: map[string]*schema.Heartbeat{}, disks: map[string]bool{}}
 	r.resign(options)
 	return r
 }
@@ -75,50 +75,50 @@
 func (r *routedState) resign(options Options) {
 	r.leaseManager = keys.New(keys.Options{Most: options.Routed.HoldMost})
 	r.watch = roster.NewWatch(options.Routed.ListLag)
-	r.jury = roster.NewJury()
+	r.outlierQuorum = roster.NewOutlierQuorum()
 	r.listing = nil
-	r.heats = map[string][]nodeHeat{}
+	r.loads = map[string][]nodeLoad{}
 	r.incarnation++
 	r.dead = map[string]bool{}
 }
 
-func (r *routedState) takeHeat(now time.Duration) []*schema.ShardLoad {
-	if r.options.Heat == nil || now-r.heatAt < constants.HeatEvery {
+func (r *routedState) takeLoad(now time.Duration) []*schema.ShardLoad {
+	if r.options.Load == nil || now-r.loadAt < constants.LoadEvery {
 		return nil
 	}
-	span := now - r.heatAt
-	r.heatAt = now
-	return r.options.Heat(span)
+	span := now - r.loadAt
+	r.loadAt = now
+	return r.options.Load(span)
 }
 
-func (r *routedState) noteHeat(now time.Duration, node string, heats []*schema.ShardLoad) {
-	reports := append(r.heats[node], nodeHeat{now, heats})
-	r.heats[node] = reports[max(0, len(reports)-constants.HeatReports):]
+func (r *routedState) noteLoad(now time.Duration, node string, loads []*schema.ShardLoad) {
+	reports := append(r.loads[node], nodeLoad{now, loads})
+	r.loads[node] = reports[max(0, len(reports)-constants.LoadReports):]
 }
 
-func (r *routedState) heat(now time.Duration) map[string][]float64 {
+func (r *routedState) load(now time.Duration) map[string][]float64 {
 	sums := map[string][]float64{}
-	for id, reports := range r.heats {
-		if now-reports[len(reports)-1].at > constants.HeatReports*constants.HeatEvery {
-			delete(r.heats, id)
+	for id, reports := range r.loads {
+		if now-reports[len(reports)-1].at > constants.LoadReports*constants.LoadEvery {
+			delete(r.loads, id)
 			continue
 		}
 		span := float64(0)
 		for _, report := range reports {
-			for _, heat := range report.heats[:min(1, len(report.heats))] {
-				span += float64(heat.SpanMs)
+			for _, load := range report.loads[:min(1, len(report.loads))] {
+				span += float64(load.SpanMs)
 			}
 		}
 		for _, report := range reports {
-			for _, heat := range report.heats {
-				sum := sums[heat.Service]
+			for _, load := range report.loads {
+				sum := sums[load.Service]
 				if sum == nil {
-					sum = make([]float64, constants.HeatBuckets)
-					sums[heat.Service] = sum
+					sum = make([]float64, constants.LoadBuckets)
+					sums[load.Service] = sum
 				}
-				for i, bucket := range heat.Buckets[:min(len(heat.Buckets), len(heat.BusyMs))] {
-					if bucket < constants.HeatBuckets && span > 0 {
-						sum[bucket] += float64(heat.BusyMs[i]) / span
+				for i, bucket := range load.Buckets[:min(len(load.Buckets), len(load.BusyMs))] {
+					if bucket < constants.LoadBuckets && span > 0 {
+						sum[bucket] += float64(load.BusyMs[i]) / span
 					}
 				}
 			}
@@ -128,7 +128,7 @@
 }
 
 // SetListing takes a read of the platform's list of a routed fleet; only the leader uses it.
-func (c *Core) SetListing(now time.Duration, listing roster.Listing) {
+func (c *Machine) SetListing(now time.Duration, listing roster.Listing) {
 	c.now = now
 	c.listFault = listing.Reason
 	if listing.IsWhole {
@@ -141,7 +141,7 @@
 }
 
 // SetDead tells that a back end's process has surely ended, so that it holds no keys any more.
-func (c *Core) SetDead(instance string) {
+func (c *Machine) SetDead(instance string) {
 	if c.routed != nil {
 		c.routed.dead[instance] = true
 		c.planAt = 0
@@ -149,7 +149,7 @@
 }
 
 // Granted takes what became of a call to a back end; an answer for a former granter is worth nothing.
-func (c *Core) LeaseAnswered(now time.Duration, incarnation uint64, answer keys.Answer) {
+func (c *Machine) LeaseAnswered(now time.Duration, incarnation uint64, answer keys.Answer) {
 	c.now = now
 	if c.routed != nil && c.routed.incarnation == incarnation {
 		c.routed.leaseManager.Answered(now, answer)
@@ -157,16 +157,16 @@
 	}
 }
 
-func (c *Core) leadRouted() {
+func (c *Machine) leadRouted() {
 	r := c.routed
 	listing := r.listing
 	r.listing = nil
-	if record := r.watch.Plan(roster.WatchFacts{Now: c.now, View: c.view, Table: c.table, Listing: listing, ColdBearable: r.options.ColdBearable}); record != nil && c.propose(record) {
+	if record := r.watch.Plan(roster.WatchFacts{Now: c.now, View: c.view, Table: c.table, Listing: listing, ColdRate: r.options.ColdRate}); record != nil && c.propose(record) {
 		c.log.Info("back ends changed", "rows", len(record.Rows))
 	} else if record != nil {
 		r.listing = listing
 	}
-	if record := r.jury.Plan(c.now, c.view, c.table); record != nil && c.propose(record) {
+	if record := r.outlierQuorum.Plan(c.now, c.view, c.table); record != nil && c.propose(record) {
 		c.log.Info("back ends failing or well again", "rows", len(record.Rows))
 	}
 	for _, record := range standing.PlanPlaces(c.view, c.table) {
@@ -176,7 +176,7 @@
 		}
 	}
 	effects := r.leaseManager.Step(keys.Facts{Now: c.now, View: c.view, Table: c.table, IsLeading: true, ElectedAt: c.electedAt, LeaseAt: c.quorum.Contact(),
-		Heat: r.heat(c.now), Dead: c.isEnded})
+		Load: r.load(c.now), Dead: c.isEnded})
 	for _, record := range effects.Records {
 		c.propose(record)
 	}
@@ -186,14 +186,14 @@
 }
 
 // noteHolders lets the leader look at its keys at once when a record changes who holds them or who may: each move of keys takes two records.
-func (c *Core) noteOwners(rows []*schema.Row) {
+func (c *Machine) noteOwners(rows []*schema.Row) {
 	if c.routed != nil && slices.ContainsFunc(rows, func(row *schema.Row) bool { return strings.HasPrefix(row.Key, "s/") }) {
 		c.planAt = 0
 	}
 }
 
 // isEnded tells that a back end's process has surely ended: it was refused twice at its address, or two whole reads of the list lacked it.
-func (c *Core) isEnded(instance string) bool {
+func (c *Machine) isEnded(instance string) bool {
 	if c.routed.dead[instance] {
 		return true
 	}
@@ -207,7 +207,7 @@
 
 // restored is what a voter may take from its disk at a start. Only a routed fleet serves on its own last state before a leader has told it
 // the newest; a fleet of entries must not even hold it, since a leader that has not settled yet would seem to confirm it.
-func (c *Core) restored(hard *schema.HardState) *schema.HardState {
+func (c *Machine) restored(hard *schema.HardState) *schema.HardState {
 	if c.routed != nil || hard == nil {
 		return hard
 	}
--- a/internal/core/spread.go
+++ b/internal/core/spread.go
@@ -13,7 +13,7 @@
 
 // The spread of rows: a machine that keeps the log is a source, one that does not subscribes to one source at a time.
 
-func (c *Core) hold(prefix string, isHeld bool) {
+func (c *Machine) hold(prefix string, isHeld bool) {
 	if c.held[prefix] == isHeld {
 		return
 	}
@@ -25,7 +25,7 @@
 	}
 }
 
-func (c *Core) prefixes() []string {
+func (c *Machine) prefixes() []string {
 	if c.routed != nil {
 		return image.Routed
 	}
@@ -80,7 +80,7 @@
 }
 
 // keepSource renews the subscription, or turns to another source if this one is silent or sends old rows.
-func (c *Core) keepSource() {
+func (c *Machine) keepSource() {
 	if !c.source.isAlive(c.now) {
 		if c.source.address != "" && c.source.chosenAt > 0 {
 			c.source.lost(c.now, c.source.address)
@@ -97,7 +97,7 @@
 }
 
 // chooseSource takes another machine as the source, one of the own region as long as there is hope of one; it tells whether there was another.
-func (c *Core) chooseSource() bool {
+func (c *Machine) chooseSource() bool {
 	s := &c.source
 	isFit := func(node *schema.Node) bool {
 		staleAt, isNoted := s.staleAt[node.Address]
@@ -124,7 +124,7 @@
 }
 
 // isFarDue tells whether no source of the own region has been found for so long that one elsewhere must do.
-func (c *Core) isFarDue() bool {
+func (c *Machine) isFarDue() bool {
 	if c.routed == nil {
 		return c.options.Draw(farDraws) == 0
 	}
@@ -142,7 +142,7 @@
 
 // askAtHome asks a machine of the own region for rows while the source is elsewhere: bytes between regions are dear. It becomes the source once
 // it has sent rows that a majority has confirmed lately.
-func (c *Core) askAtHome() {
+func (c *Machine) askAtHome() {
 	s := &c.source
 	if c.routed == nil || c.now-s.homeAt < constants.HomeSourceEvery || s.seekingAt > 0 {
 		return
@@ -157,7 +157,7 @@
 }
 
 // subscribe asks the source for what changes.
-func (c *Core) subscribe() {
+func (c *Machine) subscribe() {
 	if c.system == "" || c.source.address == "" && !c.chooseSource() {
 		return
 	}
@@ -178,7 +178,7 @@
 	}
 }
 
-func (c *Core) sendSubscribe(to string) {
+func (c *Machine) sendSubscribe(to string) {
 	c.subSerial++
 	c.subs[c.subSerial] = asked{c.now, to}
 	delete(c.subs, c.subSerial-questionsKept)
@@ -193,7 +193,7 @@
 	c.send(to, &schema.Frame{Body: &schema.Frame_Subscribe{Subscribe: s}})
 }
 
-func (c *Core) takeSubscribe(from string, s *schema.Subscribe) {
+func (c *Machine) takeSubscribe(from string, s *schema.Subscribe) {
 	if !c.isFull() || c.table.Version() == 0 {
 		return
 	}
@@ -207,14 +207,14 @@
 	c.push(from, sub)
 }
 
-func (c *Core) fullAge() time.Duration {
+func (c *Machine) fullAge() time.Duration {
 	if c.quorum.Role() == quorum.Leader {
 		return c.now - c.quorum.Contact()
 	}
 	return c.now - c.freshAt
 }
 
-func (c *Core) push(to string, sub *subscriber) {
+func (c *Machine) push(to string, sub *subscriber) {
 	if sub.sent > c.table.Version() {
 		return
 	}
@@ -241,7 +241,7 @@
 	c.send(to, &schema.Frame{Body: &schema.Frame_Delta{Delta: d}})
 }
 
-func (c *Core) spread() {
+func (c *Machine) spread() {
 	for _, to := range slices.Sorted(maps.Keys(c.subscriber)) {
 		sub := c.subscriber[to]
 		if c.now-sub.renewed > constants.SubscriptionTTL || !c.isFull() {
@@ -254,7 +254,7 @@
 	}
 }
 
-func (c *Core) takeDelta(from string, d *schema.Delta) {
+func (c *Machine) takeDelta(from string, d *schema.Delta) {
 	question, isKnown := c.subs[d.Serial]
 	if !isKnown || question.to != from {
 		c.staleResponses++
@@ -289,7 +289,7 @@
 
 // mayTake tells whether rows from a machine are taken: from the source, and from another one that was asked if the source has none that are
 // confirmed, or is farther away.
-func (c *Core) mayTake(from string, isFresh bool) bool {
+func (c *Machine) mayTake(from string, isFresh bool) bool {
 	if from == c.source.address {
 		return true
 	}
@@ -303,14 +303,14 @@
 }
 
 // seek asks around for disk machines while this node has no source of rows.
-func (c *Core) seek() {
+func (c *Machine) seekSystem() {
 	if c.routed == nil || c.quorum != nil || c.source.isAlive(c.now) && c.view.System != "" || c.now-c.whoAt < constants.WhoEvery {
 		return
 	}
 	c.whoAt = c.now
 	to := c.options.Seeds[c.options.Draw(int64(len(c.options.Seeds)))]
-	if known := c.near.Known(); len(known) > 0 && c.options.Draw(2) == 0 {
+	if known := c.peerSampler.Known(); len(known) > 0 && c.options.Draw(2) == 0 {
 		to = known[c.options.Draw(int64(len(known)))].Address
 	}
-	c.send(to, &schema.Frame{Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: c.near.Self()}}})
+	c.send(to, &schema.Frame{Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: c.peerSampler.Self()}}})
 }
--- a/internal/core/startup_world_test.go
+++ b/internal/core/startup_world_test.go
@@ -61,7 +61,7 @@
 type startupNode struct {
 	index         int
 	self          *schema.Node
-	core          *core.Core
+	core          *core.Machine
 	driver        *core.Driver
 	random        *rand.Rand
 	clockOffset   time.Duration
@@ -143,7 +143,7 @@
 
 func (f *startupFleet) start(n *startupNode) {
 	options := core.Options{Self: n.self, Seeds: f.seeds(), Draw: n.random.Int63n, Log: slog.New(slog.DiscardHandler),
-		Routed: &core.Routed{HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 2 }, Heat: n.heat}}
+		Routed: &core.Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 2 }, Load: n.load}}
 	var opened *journal.Journal
 	if n.self.Disk {
 		ring, state, err := journal.Open(sim.NewDisk(), worldSizes)
@@ -205,9 +205,9 @@
 }
 
 // heat stands in for the work of the keyed service: a few buckets of it.
-func (n *startupNode) heat(span time.Duration) []*schema.ShardLoad {
+func (n *startupNode) load(span time.Duration) []*schema.ShardLoad {
 	h := &schema.ShardLoad{Service: startupService(0), SpanMs: uint32(span.Milliseconds())}
-	for bucket := n.random.Intn(64); bucket < constants.HeatBuckets; bucket += 64 + n.random.Intn(64) {
+	for bucket := n.random.Intn(64); bucket < constants.LoadBuckets; bucket += 64 + n.random.Intn(64) {
 		h.Buckets, h.BusyMs = append(h.Buckets, uint32(bucket)), append(h.BusyMs, uint32(1+n.random.Intn(20)))
 	}
 	return []*schema.ShardLoad{h}
--- a/internal/core/version.go
+++ b/internal/core/version.go
@@ -11,16 +11,16 @@
 )
 
 // Refused is why this node takes no part any more: the fleet uses what it does not speak, or the log holds what it does not know.
-func (c *Core) Refused() error { return c.refused }
+func (c *Machine) Refused() error { return c.refused }
 
-func (c *Core) refuse(err error) {
+func (c *Machine) refuse(err error) {
 	if c.refused == nil {
 		c.refused = err
 		c.log.Error("this node takes no part", "reason", err.Error())
 	}
 }
 
-func (c *Core) guard(fleet uint32) error {
+func (c *Machine) guard(fleet uint32) error {
 	if err := versions.CheckFleet(c.speaks, fleet); err != nil {
 		c.refuse(err)
 	}
@@ -28,20 +28,20 @@
 }
 
 // shownFleet is the fleet's version as it is told: the first one is left out.
-func (c *Core) shownFleet() uint32 {
+func (c *Machine) shownFleet() uint32 {
 	if c.view.Fleet == versions.First {
 		return 0
 	}
 	return c.view.Fleet
 }
 
-func (c *Core) spoken(node *schema.Node) *schema.Node {
+func (c *Machine) spoken(node *schema.Node) *schema.Node {
 	node.SpeaksLow, node.SpeaksHigh = c.speaks.Wire()
 	return node
 }
 
 // isFitNode tells whether a node speaks what the fleet uses, or is about to use.
-func (c *Core) isFitNode(node *schema.Node) bool {
+func (c *Machine) isFitNode(node *schema.Node) bool {
 	fleet := c.view.Fleet
 	if c.pending[image.VersionKey] > c.table.Version() {
 		fleet = max(fleet, c.proposed)
@@ -58,7 +58,7 @@
 }
 
 // readers are all who must read what the fleet uses: members of the log, nodes of the table, and nodes heard of that are not in it yet.
-func (c *Core) readers() []versions.Reader {
+func (c *Machine) readers() []versions.Reader {
 	isVoter := map[string]bool{}
 	known := map[string]bool{}
 	for _, m := range slices.Concat(c.quorum.Members().Voters, c.quorum.Members().Learners) {
@@ -91,7 +91,7 @@
 
 // planVersion lets the fleet rise once all have been able to read a version for long enough. Nothing may be under way in the log, so that
 // nobody joins between the decision and the record.
-func (c *Core) planVersion() {
+func (c *Machine) planVersion() {
 	next, _ := versions.Rise(c.view.Fleet, c.speaks, c.readers())
 	if next != c.risingTo || next == c.view.Fleet {
 		c.risingTo, c.risingFrom = next, c.now
@@ -106,7 +106,7 @@
 	}
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "the fleet's version rises",
 		Guards: []*schema.Guard{{Key: image.VersionKey, Index: c.table.Get(image.VersionKey).GetIndex()}},
-		Rows:   []*schema.Row{image.Put(image.VersionKey, &schema.FleetVersion{Version: next})}}
+		Rows:   []*schema.Row{image.EncodeRow(image.VersionKey, &schema.FleetVersion{Version: next})}}
 	if c.propose(record) {
 		c.proposed = next
 		c.log.Info("the fleet's version rises", "version", next)
--- a/internal/core/vitals_test.go
+++ b/internal/core/vitals_test.go
@@ -34,7 +34,7 @@
 				return &schema.Node{Id: id, Address: id, Proxy: id, Admin: id, Zone: "d", Region: "r", Disk: id == "a", Incarnation: 1, State: schema.NodeState_NODE_READY}
 			}
 			core := New(time.Hour, Options{Self: node("a"), Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-				Routed: &Routed{HoldMost: 10 * time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }, HealthReports: func() []*schema.HealthReport { return c.own }}})
+				Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }, HealthReports: func() []*schema.HealthReport { return c.own }}})
 			isFailing := false
 			for now := time.Hour; now < time.Hour+12*time.Second; now += 20 * time.Millisecond {
 				core.Tick(now)
@@ -76,7 +76,7 @@
 func TestRelaysJoinTheWordsOfOneNode(t *testing.T) {
 	peer := &schema.Node{Id: "b", Address: "b", Zone: "d", Region: "r", State: schema.NodeState_NODE_READY}
 	core := New(time.Hour, Options{Self: &schema.Node{Id: "a", Address: "a", Zone: "d", Region: "r", Disk: true, State: schema.NodeState_NODE_READY}, Seeds: []string{"s"}, System: "x",
-		Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}})
+		Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 	for _, id := range []string{"i-1", "i-2"} {
 		core.takeHeartbeatRouted(nil, &schema.Heartbeat{Node: peer, Health: []*schema.HealthReport{{Instance: id, Failing: true}}})
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -13,21 +13,21 @@
 func TestDecide(t *testing.T) {
 	table := image.NewTable()
 	rows := []*schema.Row{
-		image.Put(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}), image.Put(image.RegionKey("south"), &schema.Region{Name: "south", Residue: 3}),
-		image.Put(image.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north"}), image.Put(image.ZoneKey("south-a"), &schema.Zone{Name: "south-a", Region: "south", Residue: 2}),
-		image.Put(image.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
-		image.Put(image.EntryKey("ledger", "/home"), &schema.Entry{Service: "ledger", Path: "/home", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, HomeRegions: []string{"south"}}),
-		image.Put(image.EntryKey("ledger", "/pay"), &schema.Entry{Service: "ledger", Path: "/pay", Methods: []string{"POST"}}),
-		image.Put(image.EntryKey("ledger", "/new"), &schema.Entry{Service: "ledger", Path: "/new", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
-		image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "south", Number: 103}),
+		image.EncodeRow(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}), image.EncodeRow(image.RegionKey("south"), &schema.Region{Name: "south", Residue: 3}),
+		image.EncodeRow(image.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north"}), image.EncodeRow(image.ZoneKey("south-a"), &schema.Zone{Name: "south-a", Region: "south", Residue: 2}),
+		image.EncodeRow(image.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
+		image.EncodeRow(image.EntryKey("ledger", "/home"), &schema.Entry{Service: "ledger", Path: "/home", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, HomeRegions: []string{"south"}}),
+		image.EncodeRow(image.EntryKey("ledger", "/pay"), &schema.Entry{Service: "ledger", Path: "/pay", Methods: []string{"POST"}}),
+		image.EncodeRow(image.EntryKey("ledger", "/new"), &schema.Entry{Service: "ledger", Path: "/new", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
+		image.EncodeRow(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "south", Number: 103}),
 	}
 	for _, path := range []string{"/b", "/home", "/pay"} {
-		rows = append(rows, image.Put(image.AssignmentKey("ledger", path, "south"), &schema.FailoverAssignment{Service: "ledger", Path: path, Region: "south", Number: 102}),
-			image.Put(image.AssignmentKey("ledger", path, "north"), &schema.FailoverAssignment{Service: "ledger", Path: path, Region: "north", Number: 100}))
+		rows = append(rows, image.EncodeRow(image.AssignmentKey("ledger", path, "south"), &schema.FailoverAssignment{Service: "ledger", Path: path, Region: "south", Number: 102}),
+			image.EncodeRow(image.AssignmentKey("ledger", path, "north"), &schema.FailoverAssignment{Service: "ledger", Path: path, Region: "north", Number: 100}))
 	}
 	for id, state := range map[string]schema.NodeState{"n1": schema.NodeState_NODE_READY, "n2": schema.NodeState_NODE_STOPPING, "n3": schema.NodeState_NODE_LOST} {
-		rows = append(rows, image.Put(image.NodeKey(id), &schema.Node{Id: id, Zone: "north-a", Region: "north", Proxy: id, State: state}),
-			image.Put(image.NodeKey("s"+id), &schema.Node{Id: "s" + id, Zone: "south-a", Region: "south", Proxy: "s" + id, State: state}))
+		rows = append(rows, image.EncodeRow(image.NodeKey(id), &schema.Node{Id: id, Zone: "north-a", Region: "north", Proxy: id, State: state}),
+			image.EncodeRow(image.NodeKey("s"+id), &schema.Node{Id: "s" + id, Zone: "south-a", Region: "south", Proxy: "s" + id, State: state}))
 	}
 	if _, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows}, nil); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/course_test.go
+++ b/internal/gateway/course_test.go
@@ -201,7 +201,7 @@
 	w.backend("holder", "kol-b", "x", turns...)
 	w.backend("other", "kol-a", "x")
 	if span != nil {
-		w.put(image.SpanKey("copper", span.First), span)
+		w.put(image.ShardRangeKey("copper", span.First), span)
 	}
 }
 
@@ -277,7 +277,7 @@
 	keyed(w, nil)
 	p := newPlay(w, func(o *RequestOptions) { o.HasKey, o.Key = true, 7 })
 	p.feed("begun", "later", "woken")
-	w.put(image.SpanKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: "holder"})
+	w.put(image.ShardRangeKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: "holder"})
 	p.view = w.settle()
 	if got := p.feed("later", "woken", "connected", "answered"); got != "wait, wait, connect, send, pass" {
 		t.Fatal(got)
--- a/internal/gateway/failing_test.go
+++ b/internal/gateway/failing_test.go
@@ -34,7 +34,7 @@
 		{"one that this node tries gets its share", few(isFailing("n1", "n2")), nil, "a b bad"},
 		{"one that this node tries, and that failed here, rests", few(isFailing("n1")), func(s *Situation) {
 			for _, id := range []string{"a", "b", "a", "b"} {
-				s.Loads.Judge(s.Now, "copper", id, VerdictSound, time.Millisecond)
+				s.Loads.Judge(s.Now, "copper", id, VerdictHealthy, time.Millisecond)
 			}
 			s.Loads.Judge(s.Now, "copper", "bad", VerdictFailed, 0)
 		}, "a b"},
@@ -42,7 +42,7 @@
 		{"the holder of a key is used all the same", func(w *world) {
 			few(isFailing())(w)
 			w.put(image.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", Keyed: true})
-			w.put(image.SpanKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: "bad", Fence: 1})
+			w.put(image.ShardRangeKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: "bad", Fence: 1})
 		}, func(s *Situation) { s.Key, s.HasKey = 7, true }, "bad"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 				wait, err := time.ParseDuration(step)
 				switch {
 				case step == "good":
-					o.Judge(now, "copper", "i-1", VerdictSound, 50*time.Millisecond)
+					o.Judge(now, "copper", "i-1", VerdictHealthy, 50*time.Millisecond)
 				case step == "bad":
 					o.Judge(now, "copper", "i-1", VerdictFailed, 50*time.Millisecond)
 				case step == "start":
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -47,8 +47,8 @@
 	Bounds Bounds
 	Listen string
 	// Room is how many requests may be in flight; 0 is no bound.
-	Room int
-	Log  *slog.Logger
+	Capacity int
+	Log      *slog.Logger
 }
 
 // Stats count what a gateway did since its start.
@@ -215,7 +215,7 @@
 	left := g.wait(r, time.Duration(route.TimeoutMs)*time.Millisecond)
 	inFlight := int(g.inFlight.Add(1))
 	defer g.inFlight.Add(-1)
-	if g.options.Room > 0 && IsFull(inFlight, g.options.Room, route.Priority) {
+	if g.options.Capacity > 0 && IsFull(inFlight, g.options.Capacity, route.Priority) {
 		g.stats.Refused.Add(1)
 		g.tell(w, id, http.StatusServiceUnavailable, string(RefusalBusy), "this node has too many requests in flight; another may have room", ComeBack(constants.RefuseAfter, left, g.options.Draw))
 		return
@@ -392,7 +392,7 @@
 			g.pressure.Note(now, machine.Service, instance, now-begun)
 		}
 		if machine.IsKeyed {
-			g.loads.Heat(machine.Service, machine.Key, now-begun, isServed)
+			g.loads.KeyLoad(machine.Service, machine.Key, now-begun, isServed)
 		}
 	}
 	x.target = instance
@@ -451,7 +451,7 @@
 			return broken("the answer has no seal")
 		}
 		finish(true)
-		judge(VerdictSound)
+		judge(VerdictHealthy)
 		return answer, isClean, Event{Kind: EventAnswered}
 	case answer.Status == http.StatusTooManyRequests || answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusRequestTimeout:
 		return broken(fmt.Sprintf("status %d without word that it has not run", answer.Status))
@@ -461,7 +461,7 @@
 		return answer, isClean, Event{Kind: EventErrored, Reason: fmt.Sprintf("status %d", answer.Status)}
 	}
 	finish(true)
-	judge(VerdictSound)
+	judge(VerdictHealthy)
 	return answer, isClean, Event{Kind: EventAnswered}
 }
 
--- a/internal/gateway/outliers.go
+++ b/internal/gateway/outliers.go
@@ -16,7 +16,7 @@
 // The verdicts on attempts.
 const (
 	// VerdictSound: a whole answer that may be passed on.
-	VerdictSound Verdict = iota
+	VerdictHealthy Verdict = iota
 	// VerdictFailed: an error of the back end's own, a broken or untrustworthy answer, silence, or no connection.
 	VerdictFailed
 	// VerdictDeclined: the back end says that it did not run the request. Full ones say so too, so that it counts only beside the others of the service.
@@ -43,7 +43,7 @@
 	strikes   int
 	until     time.Duration
 	trials    int
-	soundAt   time.Duration
+	healthyAt time.Duration
 	started   []time.Duration
 	service   string
 	// hasFailed and hasServed are what was not told yet.
@@ -112,7 +112,7 @@
 	own, all := faded(now-s.at), faded(now-t.at)
 	s.good, s.bad, s.at = s.good*own, s.bad*own, now
 	t.good, t.bad, t.at = t.good*all, t.bad*all, now
-	if verdict == VerdictSound {
+	if verdict == VerdictHealthy {
 		s.good++
 		t.good++
 		s.hasServed = true
@@ -137,9 +137,9 @@
 		if s.trials++; s.trials < constants.OutlierTrials {
 			return
 		}
-		s.standing, s.soundAt, s.good, s.bad = OutlierHealthy, now, 0, 0
+		s.standing, s.healthyAt, s.good, s.bad = OutlierHealthy, now, 0, 0
 	case OutlierHealthy:
-		if s.strikes > 0 && now-s.soundAt >= constants.OutlierForgiven {
+		if s.strikes > 0 && now-s.healthyAt >= constants.OutlierForgiven {
 			s.strikes = 0
 		}
 	}
@@ -158,7 +158,7 @@
 			return
 		}
 	}
-	if s.strikes > 0 && s.standing == OutlierHealthy && now-s.soundAt >= constants.OutlierForgiven {
+	if s.strikes > 0 && s.standing == OutlierHealthy && now-s.healthyAt >= constants.OutlierForgiven {
 		s.strikes = 0
 	}
 	s.hasFailed = true
--- a/internal/gateway/outliers_test.go
+++ b/internal/gateway/outliers_test.go
@@ -41,7 +41,7 @@
 			o := NewOutliers()
 			now := time.Hour
 			var started time.Duration
-			verdicts := map[string]Verdict{"good": VerdictSound, "bad": VerdictFailed, "full": VerdictRefused}
+			verdicts := map[string]Verdict{"good": VerdictHealthy, "bad": VerdictFailed, "full": VerdictRefused}
 			for at, step := range strings.Fields(c.steps) {
 				of, isOthers := strings.CutPrefix(step, "others-")
 				verdict, isVerdict := verdicts[of]
@@ -108,7 +108,7 @@
 				s.Loads.End(s.Now, fmt.Sprint("i-", i), 50*time.Millisecond, true)
 			}
 			for range 50 {
-				s.Loads.Judge(s.Now, "copper", "i-9", VerdictSound, 50*time.Millisecond)
+				s.Loads.Judge(s.Now, "copper", "i-9", VerdictHealthy, 50*time.Millisecond)
 			}
 			for i := range c.bad {
 				s.Loads.Judge(s.Now, "copper", fmt.Sprint("i-", i), VerdictFailed, 0)
@@ -141,7 +141,7 @@
 			if random.Float64() < share {
 				return verdict, took
 			}
-			return VerdictSound, usual
+			return VerdictHealthy, usual
 		}
 	}
 	for _, c := range []struct {
@@ -160,7 +160,7 @@
 			if at/(1200*time.Millisecond)%2 == 0 {
 				return VerdictFailed, time.Millisecond
 			}
-			return VerdictSound, usual
+			return VerdictHealthy, usual
 		}, 0.6, 8 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -208,12 +208,12 @@
 				continue
 			}
 			l := loads[a.node]
-			l.End(now, a.id, now-a.begun, a.verdict == VerdictSound)
+			l.End(now, a.id, now-a.begun, a.verdict == VerdictHealthy)
 			l.Stop(a.id, a.begun)
 			if isJudged {
 				l.Judge(now, "copper", a.id, a.verdict, now-a.begun)
 			}
-			if a.verdict != VerdictSound {
+			if a.verdict != VerdictHealthy {
 				failures++
 			}
 		}
@@ -226,7 +226,7 @@
 			if choice.Backend == nil {
 				t.Fatalf("refused: %s", choice.Refusal)
 			}
-			a := attempt{node: node, id: choice.Backend.Instance, begun: now, verdict: VerdictSound}
+			a := attempt{node: node, id: choice.Backend.Instance, begun: now, verdict: VerdictHealthy}
 			took := 200 * time.Millisecond
 			isSick := a.id < fmt.Sprintf("i-%02d", sick)
 			if isSick && now >= from && now < to {
--- a/internal/gateway/room.go
+++ b/internal/gateway/room.go
@@ -3,13 +3,13 @@
 import "topazshed/internal/constants"
 
 // Room is how many requests a node may have in flight with so many bytes of memory for the whole process.
-func Room(memory int64) int {
-	return int(max(constants.RoomLeast, min(memory/constants.RoomParts/constants.RequestBytes, constants.RoomMost)))
+func Capacity(memory int64) int {
+	return int(max(constants.CapacityLeast, min(memory/constants.CapacityParts/constants.RequestBytes, constants.CapacityMost)))
 }
 
 // IsFull tells whether a request must be refused at once, as so many are in flight with it: the lowest rank finds the room full first,
 // so that the rest of it is kept for the higher ones.
-func IsFull(inFlight, room int, priority uint32) bool {
+func IsFull(inFlight, capacity int, priority uint32) bool {
 	rank := min(int(priority), constants.ShedRanks)
-	return inFlight > room-room*rank/constants.RoomRankParts
+	return inFlight > capacity-capacity*rank/constants.CapacityPriorityParts
 }
--- a/internal/gateway/room_test.go
+++ b/internal/gateway/room_test.go
@@ -10,35 +10,35 @@
 	"topazshed/internal/constants"
 )
 
-func TestRoom(t *testing.T) {
+func TestCapacity(t *testing.T) {
 	for _, c := range []struct {
 		memory      int64
 		least, most int
 	}{
-		{0, constants.RoomLeast, constants.RoomLeast},
-		{16 << 20, constants.RoomLeast, constants.RoomLeast},
+		{0, constants.CapacityLeast, constants.CapacityLeast},
+		{16 << 20, constants.CapacityLeast, constants.CapacityLeast},
 		{110 << 20, 200, 250},
 		{170 << 20, 300, 400},
-		{math.MaxInt64, constants.RoomMost, constants.RoomMost},
+		{math.MaxInt64, constants.CapacityMost, constants.CapacityMost},
 	} {
-		if room := Room(c.memory); room < c.least || room > c.most {
-			t.Fatalf("%d bytes: room for %d, want %d to %d", c.memory, room, c.least, c.most)
+		if capacity := Capacity(c.memory); capacity < c.least || capacity > c.most {
+			t.Fatalf("%d bytes: room for %d, want %d to %d", c.memory, capacity, c.least, c.most)
 		}
 	}
 }
 
 func TestIsFull(t *testing.T) {
 	for _, c := range []struct {
-		inFlight, room int
-		priority       uint32
-		want           bool
+		inFlight, capacity int
+		priority           uint32
+		want               bool
 	}{
 		{1, 100, 0, false}, {100, 100, 0, false}, {101, 100, 0, true},
 		{88, 100, 1, false}, {89, 100, 1, true}, {75, 100, 2, false}, {76, 100, 2, true},
 		{63, 100, 3, false}, {64, 100, 3, true}, {63, 100, math.MaxUint32, false}, {64, 100, math.MaxUint32, true},
-		{1, constants.RoomLeast, 9, false},
+		{1, constants.CapacityLeast, 9, false},
 	} {
-		if got := IsFull(c.inFlight, c.room, c.priority); got != c.want {
+		if got := IsFull(c.inFlight, c.capacity, c.priority); got != c.want {
 			t.Fatalf("%+v: %v", c, got)
 		}
 	}
@@ -53,7 +53,7 @@
 		return fine(r)
 	}))
 	f := newFront(t, held)
-	f.gateway.options.Room = 2
+	f.gateway.options.Capacity = 2
 	var group sync.WaitGroup
 	statuses := make(chan int, 2)
 	for range 2 {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -39,7 +39,7 @@
 	lock      sync.Mutex
 	instances map[string]*instance
 	windows   map[string]*budget.Bucket
-	heat      map[string]map[uint32]uint32
+	keyLoad   map[string]map[uint32]uint32
 	usual     map[string]time.Duration
 }
 
@@ -60,7 +60,7 @@
 func NewLoads(since time.Duration, bounds Bounds) *Loads {
 	l := &Loads{bounds: bounds, since: since, judged: judged{Outliers: NewOutliers()}}
 	for i := range l.shards {
-		l.shards[i] = shard{instances: map[string]*instance{}, windows: map[string]*budget.Bucket{}, heat: map[string]map[uint32]uint32{}, usual: map[string]time.Duration{}}
+		l.shards[i] = shard{instances: map[string]*instance{}, windows: map[string]*budget.Bucket{}, keyLoad: map[string]map[uint32]uint32{}, usual: map[string]time.Duration{}}
 	}
 	return l
 }
@@ -193,7 +193,7 @@
 }
 
 // ColdBearable is how many requests all nodes together may send in a second to a cold back end.
-func (l *Loads) ColdBearable(policy *schema.ServicePolicy) int {
+func (l *Loads) ColdRate(policy *schema.ServicePolicy) int {
 	return int(policy.GetColdRate()*l.bounds.ColdExcess+l.bounds.ColdMargin) - constants.ColdSpare
 }
 
@@ -203,7 +203,7 @@
 	if now-l.since < constants.ColdSecond {
 		return false
 	}
-	allowed := l.ColdBearable(policy) / max(1, parts)
+	allowed := l.ColdRate(policy) / max(1, parts)
 	s, free := l.in(id)
 	defer free()
 	i := s.instance(id)
@@ -257,7 +257,7 @@
 
 // Heat notes how long a back end worked on a key. What is far above the usual was spent in a queue, and what was turned away tells nothing
 // of its work, so that both count as bounded by the usual.
-func (l *Loads) Heat(service string, key uint32, busy time.Duration, isServed bool) {
+func (l *Loads) KeyLoad(service string, key uint32, busy time.Duration, isServed bool) {
 	s, free := l.in(service)
 	defer free()
 	usual := s.usual[service]
@@ -272,33 +272,33 @@
 		usual -= usual / constants.UsualStep
 	}
 	s.usual[service] = usual
-	busy = min(busy, constants.HeatCap*usual)
-	of := s.heat[service]
+	busy = min(busy, constants.LoadCap*usual)
+	of := s.keyLoad[service]
 	if of == nil {
 		of = map[uint32]uint32{}
-		s.heat[service] = of
+		s.keyLoad[service] = of
 	}
-	of[key/(constants.Keys/constants.HeatBuckets)%constants.HeatBuckets] += uint32(busy.Milliseconds())
+	of[key/(constants.Keys/constants.LoadBuckets)%constants.LoadBuckets] += uint32(busy.Milliseconds())
 }
 
 // TakeHeat gives what was noted since it was last asked.
-func (l *Loads) TakeHeat(span time.Duration) []*schema.ShardLoad {
-	var heats []*schema.ShardLoad
+func (l *Loads) TakeKeyLoad(span time.Duration) []*schema.ShardLoad {
+	var keyLoads []*schema.ShardLoad
 	for n := range l.shards {
 		s := &l.shards[n]
 		s.lock.Lock()
-		for service, of := range s.heat {
-			heat := &schema.ShardLoad{Service: service, SpanMs: uint32(span.Milliseconds())}
+		for service, of := range s.keyLoad {
+			keyLoad := &schema.ShardLoad{Service: service, SpanMs: uint32(span.Milliseconds())}
 			for _, bucket := range slices.Sorted(maps.Keys(of)) {
-				heat.Buckets, heat.BusyMs = append(heat.Buckets, bucket), append(heat.BusyMs, of[bucket])
+				keyLoad.Buckets, keyLoad.BusyMs = append(keyLoad.Buckets, bucket), append(keyLoad.BusyMs, of[bucket])
 			}
-			heats = append(heats, heat)
+			keyLoads = append(keyLoads, keyLoad)
 		}
-		s.heat = map[string]map[uint32]uint32{}
+		s.keyLoad = map[string]map[uint32]uint32{}
 		s.lock.Unlock()
 	}
-	slices.SortFunc(heats, func(a, b *schema.ShardLoad) int { return strings.Compare(a.Service, b.Service) })
-	return heats
+	slices.SortFunc(keyLoads, func(a, b *schema.ShardLoad) int { return strings.Compare(a.Service, b.Service) })
+	return keyLoads
 }
 
 // Keep forgets the back ends that are no longer known.
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -271,16 +271,16 @@
 	}
 }
 
-func TestLoadsHeat(t *testing.T) {
+func TestLoadsKeyLoad(t *testing.T) {
 	loads := NewLoads(0, bounds)
-	loads.Heat("nickel", 0, 40*time.Millisecond, true)
-	loads.Heat("nickel", 65535, 40*time.Millisecond, true)
-	loads.Heat("nickel", 65535, time.Hour, true)
-	heats := loads.TakeHeat(time.Second)
-	if len(heats) != 1 || fmt.Sprint(heats[0].Buckets) != "[0 1023]" || heats[0].SpanMs != 1000 || heats[0].BusyMs[1] < 80 || heats[0].BusyMs[1] > 200 {
-		t.Fatalf("%v", heats)
+	loads.KeyLoad("nickel", 0, 40*time.Millisecond, true)
+	loads.KeyLoad("nickel", 65535, 40*time.Millisecond, true)
+	loads.KeyLoad("nickel", 65535, time.Hour, true)
+	keyLoads := loads.TakeKeyLoad(time.Second)
+	if len(keyLoads) != 1 || fmt.Sprint(keyLoads[0].Buckets) != "[0 1023]" || keyLoads[0].SpanMs != 1000 || keyLoads[0].BusyMs[1] < 80 || keyLoads[0].BusyMs[1] > 200 {
+		t.Fatalf("%v", keyLoads)
 	}
-	if len(loads.TakeHeat(time.Second)) > 0 {
+	if len(loads.TakeKeyLoad(time.Second)) > 0 {
 		t.Fatal("heat told twice")
 	}
 }
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -37,7 +37,7 @@
 
 func (w *world) put(key string, message proto.Message) {
 	w.t.Helper()
-	if _, err := w.table.Apply(w.table.Version()+1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.Put(key, message)}}, standing.Check); err != nil {
+	if _, err := w.table.Apply(w.table.Version()+1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.EncodeRow(key, message)}}, standing.Check); err != nil {
 		w.t.Fatal(err)
 	}
 }
--- a/internal/image/table.go
+++ b/internal/image/table.go
@@ -49,10 +49,10 @@
 func GroupKey(name string) string         { return "group/" + name }
 func DefaultKey(region string) string     { return "standing/" + region }
 func PolicyKey(service string) string     { return ServicePrefix(service) + "policy" }
-func SpanKey(service string, first uint32) string {
+func ShardRangeKey(service string, first uint32) string {
 	return fmt.Sprintf("%sspan/%05d", ServicePrefix(service), first)
 }
-func SlotKey(service string, slot uint32) string {
+func ShardSlotKey(service string, slot uint32) string {
 	return fmt.Sprintf("%sslot/%03d", ServicePrefix(service), slot)
 }
 
@@ -73,7 +73,7 @@
 )
 
 // Put makes a row of a message.
-func Put(key string, message proto.Message) *schema.Row {
+func EncodeRow(key string, message proto.Message) *schema.Row {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
 		panic(fmt.Sprintf("encode row %s: %v", key, err))
@@ -82,10 +82,10 @@
 }
 
 // Gone makes a row that takes another out.
-func Gone(key string) *schema.Row { return &schema.Row{Key: key, Gone: true} }
+func Tombstone(key string) *schema.Row { return &schema.Row{Key: key, Gone: true} }
 
 // Decode reads a row's message; a missing row gives nil.
-func Decode[T any, P interface {
+func DecodeRow[T any, P interface {
 	*T
 	proto.Message
 }](row *schema.Row) P {
--- a/internal/image/table_test.go
+++ b/internal/image/table_test.go
@@ -17,7 +17,7 @@
 			key := fmt.Sprintf("%s%d", []string{"node/", ServicePrefix("a"), ServicePrefix("b")}[random.Intn(3)], random.Intn(20))
 			row := &schema.Row{Key: key, Value: []byte(fmt.Sprint(i))}
 			if random.Intn(4) == 0 {
-				row = Gone(key)
+				row = Tombstone(key)
 			}
 			if _, err := source.Apply(uint64(i+1), &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{row}}, nil); err != nil {
 				t.Fatal(err)
--- a/internal/image/view.go
+++ b/internal/image/view.go
@@ -120,21 +120,21 @@
 		kind, rest, _ := strings.Cut(row.Key, "/")
 		switch kind {
 		case "node":
-			fresh.Nodes = update(fresh.Nodes, &nodes, rest, Decode[schema.Node](row))
+			fresh.Nodes = update(fresh.Nodes, &nodes, rest, DecodeRow[schema.Node](row))
 		case "region":
-			fresh.Regions = update(fresh.Regions, &regions, rest, Decode[schema.Region](row))
+			fresh.Regions = update(fresh.Regions, &regions, rest, DecodeRow[schema.Region](row))
 		case "district":
-			fresh.Zones = update(fresh.Zones, &zones, rest, Decode[schema.Zone](row))
+			fresh.Zones = update(fresh.Zones, &zones, rest, DecodeRow[schema.Zone](row))
 		case "keepers":
-			fresh.ReplicaSets = update(fresh.ReplicaSets, &replicas, rest, Decode[schema.ReplicaSet](row))
+			fresh.ReplicaSets = update(fresh.ReplicaSets, &replicas, rest, DecodeRow[schema.ReplicaSet](row))
 		case "group":
-			fresh.Groups = update(fresh.Groups, &groups, rest, Decode[schema.Group](row))
+			fresh.Groups = update(fresh.Groups, &groups, rest, DecodeRow[schema.Group](row))
 		case "limits":
-			if limits := Decode[schema.Limits](row); limits != nil {
+			if limits := DecodeRow[schema.Limits](row); limits != nil {
 				fresh.Limits = limits
 			}
 		case "standing":
-			fresh.Defaults = update(fresh.Defaults, &defaults, rest, Decode[schema.FailoverAssignment](row))
+			fresh.Defaults = update(fresh.Defaults, &defaults, rest, DecodeRow[schema.FailoverAssignment](row))
 		case "route":
 			host, _, _ := strings.Cut(rest, "/")
 			hosts[host] = true
@@ -142,10 +142,10 @@
 			fresh.System = string(row.Value)
 		case "catalog":
 			if row.Key == VersionKey {
-				fresh.Fleet = versions.InUse(Decode[schema.FleetVersion](row).GetVersion())
+				fresh.Fleet = versions.InUse(DecodeRow[schema.FleetVersion](row).GetVersion())
 			}
 			if row.Key == HeadKey {
-				if head := Decode[schema.CatalogHead](row); head != nil {
+				if head := DecodeRow[schema.CatalogHead](row); head != nil {
 					fresh.Head = head
 				}
 			}
@@ -180,7 +180,7 @@
 func compileHost(table *Table, host string) []*schema.Route {
 	var routes []*schema.Route
 	table.Each(RouteKey(host, "/"), func(row *schema.Row) {
-		if route := Decode[schema.Route](row); route != nil {
+		if route := DecodeRow[schema.Route](row); route != nil {
 			routes = append(routes, route)
 		}
 	})
@@ -197,32 +197,32 @@
 		kind, _, _ := strings.Cut(strings.TrimPrefix(row.Key, prefix), "/")
 		switch kind {
 		case "entry":
-			if entry := Decode[schema.Entry](row); entry != nil {
+			if entry := DecodeRow[schema.Entry](row); entry != nil {
 				service.Entries = append(service.Entries, entry)
 			}
 		case "standing":
-			if assignment := Decode[schema.FailoverAssignment](row); assignment != nil {
+			if assignment := DecodeRow[schema.FailoverAssignment](row); assignment != nil {
 				if service.Assignments[assignment.Path] == nil {
 					service.Assignments[assignment.Path] = map[string]*schema.FailoverAssignment{}
 				}
 				service.Assignments[assignment.Path][assignment.Region] = assignment
 			}
 		case "entity":
-			if entity := Decode[schema.Entity](row); entity != nil {
+			if entity := DecodeRow[schema.Entity](row); entity != nil {
 				service.Entities[entity.Path] = entity
 			}
 		case "backend":
-			if backend := Decode[schema.Backend](row); backend != nil {
+			if backend := DecodeRow[schema.Backend](row); backend != nil {
 				service.Backends = append(service.Backends, backend)
 			}
 		case "policy":
-			service.Policy = Decode[schema.ServicePolicy](row)
+			service.Policy = DecodeRow[schema.ServicePolicy](row)
 		case "span":
-			if span := Decode[schema.ShardRange](row); span != nil {
+			if span := DecodeRow[schema.ShardRange](row); span != nil {
 				service.Spans = append(service.Spans, span)
 			}
 		case "slot":
-			if slot := Decode[schema.ShardSlot](row); slot != nil {
+			if slot := DecodeRow[schema.ShardSlot](row); slot != nil {
 				service.Slots[slot.Slot] = slot
 			}
 		}
--- a/internal/judge/history.go
+++ b/internal/judge/history.go
@@ -59,7 +59,7 @@
 // MatchSeen is a directory's outcome as a caller saw it.
 type MatchSeen struct {
 	At       time.Duration
-	Door     string
+	Admin    string
 	Service  string
 	Path     string
 	Version  uint64
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -26,7 +26,7 @@
 	coldBear    = 12
 )
 
-func (v *Verdict) breach(form string, args ...any) {
+func (v *Verdict) addViolation(form string, args ...any) {
 	v.Broken = append(v.Broken, fmt.Sprintf(form, args...))
 }
 
@@ -51,7 +51,7 @@
 	for attempt, count := range runs {
 		v.Count++
 		if count > 1 {
-			v.breach("attempt %s ran %d times", attempt, count)
+			v.addViolation("attempt %s ran %d times", attempt, count)
 		}
 	}
 	sent := map[string]bool{}
@@ -60,12 +60,12 @@
 	}
 	for _, r := range h.Replies {
 		if r.IsUnsafe && r.Result == "declined" && sent[r.Send] {
-			v.breach("send %s ran though its caller was told that it had not", r.Send)
+			v.addViolation("send %s ran though its caller was told that it had not", r.Send)
 		}
 	}
 	for _, c := range h.Calls {
 		if c.IsUnsafe && c.Result == "declined" && runs[c.Attempt] > 0 {
-			v.breach("attempt %s ran though the caller was told that it had not", c.Attempt)
+			v.addViolation("attempt %s ran though the caller was told that it had not", c.Attempt)
 		}
 	}
 	return v
@@ -81,7 +81,7 @@
 		if r.Result == "sealed" {
 			v.Count++
 			if !slices.Contains(digests[r.Attempt], r.Digest) {
-				v.breach("send %s got a success that no back end sealed for it", r.Send)
+				v.addViolation("send %s got a success that no back end sealed for it", r.Send)
 			}
 		}
 	}
@@ -134,7 +134,7 @@
 			return e != nil && slices.Contains(e.Methods, a.Method)
 		})
 		if !isAllowed || !isEntry {
-			v.breach("%s %s%s reached %s at %v without an entry", a.Method, a.Service, a.Path, a.Instance, a.At)
+			v.addViolation("%s %s%s reached %s at %v without an entry", a.Method, a.Service, a.Path, a.Instance, a.At)
 		}
 	}
 	return v
@@ -153,7 +153,7 @@
 		if at, isGone := gone[a.Instance]; isGone && a.At > at && !a.IsCutOff {
 			v.measure(a.At - at)
 			if a.At > at+becameKnown {
-				v.breach("%s got a request %v after it was known to go", a.Instance, a.At-at)
+				v.addViolation("%s got a request %v after it was known to go", a.Instance, a.At-at)
 			}
 		}
 	}
@@ -173,14 +173,14 @@
 			if m.At > p.End && m.Version < p.Version {
 				v.measure(m.At - p.End)
 				if m.At > p.End+takeEffect {
-					v.breach("%s still told version %d at %v; %d was accepted at %v", m.Door, m.Version, m.At, p.Version, p.End)
+					v.addViolation("%s still told version %d at %v; %d was accepted at %v", m.Admin, m.Version, m.At, p.Version, p.End)
 				}
 			}
 		}
-		if m.Version < newest[m.Door] {
-			v.breach("%s went back from version %d to %d at %v", m.Door, newest[m.Door], m.Version, m.At)
+		if m.Version < newest[m.Admin] {
+			v.addViolation("%s went back from version %d to %d at %v", m.Admin, newest[m.Admin], m.Version, m.At)
 		}
-		newest[m.Door] = max(newest[m.Door], m.Version)
+		newest[m.Admin] = max(newest[m.Admin], m.Version)
 	}
 	for _, p := range puts {
 		v.Count++
@@ -191,7 +191,7 @@
 					isAllowed = isAllowed && entryOf(o, r.Service, r.Path) != nil
 				}
 				if isAllowed {
-					v.breach("send %s was declined as unknown at %v", r.Send, r.At)
+					v.addViolation("send %s was declined as unknown at %v", r.Send, r.At)
 				}
 			}
 		}
@@ -206,23 +206,23 @@
 	for _, o := range h.Operators {
 		if o.What == "put" && o.Status == 200 && o.Base > 0 {
 			if other := bases[o.Base]; other > 0 && other != o.Version {
-				v.breach("versions %d and %d were both accepted on base %d", other, o.Version, o.Base)
+				v.addViolation("versions %d and %d were both accepted on base %d", other, o.Version, o.Base)
 			}
 			bases[o.Base] = o.Version
 		}
 		switch {
 		case o.What == "put" && o.Status == 200:
 			if first, isTwice := seen[o.Version]; isTwice {
-				v.breach("version %d was accepted twice, at %s and %s", o.Version, first, o.Node)
+				v.addViolation("version %d was accepted twice, at %s and %s", o.Version, first, o.Node)
 			}
 			seen[o.Version] = o.Node
 		case o.What == "bad-put" && o.Status == 200:
-			v.breach("an invalid configuration was accepted as version %d", o.Version)
+			v.addViolation("an invalid configuration was accepted as version %d", o.Version)
 		case o.What == "show" && o.Status == 200:
 			v.Count++
 			for _, p := range h.Operators {
 				if p.What == "put" && p.Status == 200 && p.End < o.At && p.Version > o.Version {
-					v.breach("read-back at %v gave version %d after %d was accepted", o.At, o.Version, p.Version)
+					v.addViolation("read-back at %v gave version %d after %d was accepted", o.At, o.Version, p.Version)
 				}
 			}
 		}
@@ -239,7 +239,7 @@
 		v.Count++
 		for _, r := range h.Replies {
 			if r.Proxy == e.Proxy && r.At < e.End && r.End > e.At && (r.Broken == "lost" || r.Broken == "cut" || r.Broken == "dial") {
-				v.breach("send %s broke (%s) at %v in the planned stop of %s at %v", r.Send, r.Broken, r.End, e.Node, e.At)
+				v.addViolation("send %s broke (%s) at %v in the planned stop of %s at %v", r.Send, r.Broken, r.End, e.Node, e.At)
 			}
 		}
 	}
@@ -278,7 +278,7 @@
 				start++
 			}
 			if float64(repeats) > float64(firsts)*repeatShare+repeatExtra {
-				v.breach("service %s had %d repeats beside %d first legs in the 10 s before %v", service, repeats, firsts, m.at)
+				v.addViolation("service %s had %d repeats beside %d first legs in the 10 s before %v", service, repeats, firsts, m.at)
 			}
 		}
 	}
@@ -300,7 +300,7 @@
 		recent[a.Instance] = list
 		v.Count = max(v.Count, len(list))
 		if len(list) > coldBear {
-			v.breach("cold %s got %d requests in the second before %v", a.Instance, len(list), a.At)
+			v.addViolation("cold %s got %d requests in the second before %v", a.Instance, len(list), a.At)
 		}
 	}
 	return v
@@ -319,7 +319,7 @@
 		}
 		v.Count++
 		if isKnown && !isHome {
-			v.breach("%s%s reached %s in %s outside its home regions", a.Service, a.Path, a.Instance, h.Places[a.Instance])
+			v.addViolation("%s%s reached %s in %s outside its home regions", a.Service, a.Path, a.Instance, h.Places[a.Instance])
 		}
 	}
 	return v
@@ -343,13 +343,13 @@
 			if h.Places[a.Instance] == o.Zone && a.At > o.End && a.At < until && !a.IsCutOff {
 				v.measure(a.At - o.End)
 				if a.At > o.End+emptyBound {
-					v.breach("%s in emptied %s got a request %v after acceptance", a.Instance, o.Zone, a.At-o.End)
+					v.addViolation("%s in emptied %s got a request %v after acceptance", a.Instance, o.Zone, a.At-o.End)
 				}
 			}
 		}
 		for _, r := range h.Replies {
 			if r.Zone == o.Zone && r.At > o.End+emptyBound && r.At < until && !r.IsCutOff {
-				v.breach("a caller was sent to a proxy in emptied %s %v after acceptance", o.Zone, r.At-o.End)
+				v.addViolation("a caller was sent to a proxy in emptied %s %v after acceptance", o.Zone, r.At-o.End)
 			}
 		}
 	}
@@ -365,7 +365,7 @@
 		}
 		v.Count++
 		if was := last[a.Service+a.Key]; was != nil && was.Instance != a.Instance && a.At < was.End {
-			v.breach("key %s was served by %s and %s at once at %v", a.Key, was.Instance, a.Instance, a.At)
+			v.addViolation("key %s was served by %s and %s at once at %v", a.Key, was.Instance, a.Instance, a.At)
 		}
 		if was := last[a.Service+a.Key]; was == nil || a.End > was.End {
 			last[a.Service+a.Key] = a
--- a/internal/judge/judge_test.go
+++ b/internal/judge/judge_test.go
@@ -22,17 +22,17 @@
 		h.Arrivals = append(h.Arrivals, a)
 		h.Replies = append(h.Replies, &Reply{At: at, End: a.End, Service: a.Service, Path: a.Path, Attempt: attempt, Send: a.Send, Result: "sealed", Status: 200, Digest: a.Digest, IsUnsafe: a.IsUnsafe, Zone: "north-a", Proxy: "p1"})
 		h.Calls = append(h.Calls, &Call{At: at, End: a.End, Attempt: attempt, IsUnsafe: a.IsUnsafe, Result: "sealed"})
-		h.Matches = append(h.Matches, MatchSeen{At: at, Door: "n1", Version: 1, Status: 200})
+		h.Matches = append(h.Matches, MatchSeen{At: at, Admin: "n1", Version: 1, Status: 200})
 	}
 	h.Operators = append(h.Operators, OperatorEvent{At: 40 * time.Second, End: 40 * time.Second, What: "show", Version: 1, Status: 200})
 	return h
 }
 
-func TestEveryRuleCatchesItsBreach(t *testing.T) {
+func TestEveryRuleCatchesItsViolation(t *testing.T) {
 	for _, c := range []struct {
-		rule   string
-		name   string
-		breach func(h *History)
+		rule      string
+		name      string
+		violation func(h *History)
 	}{
 		{"", "nothing wrong", func(*History) {}},
 		{"", "many requests at a back end that only later comes back cold", func(h *History) {
@@ -118,7 +118,7 @@
 	} {
 		t.Run(c.rule+" "+c.name, func(t *testing.T) {
 			h := good()
-			c.breach(h)
+			c.violation(h)
 			var broken []string
 			for _, v := range Check(h) {
 				if len(v.Broken) > 0 {
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -41,14 +41,14 @@
 }
 
 // Kernel is the table of a process's services.
-type Kernel struct {
+type Supervisor struct {
 	Stack
 	lock     sync.RWMutex
 	services map[string]any
 }
 
 // New makes an empty kernel.
-func New() *Kernel { return &Kernel{services: map[string]any{}} }
+func New() *Supervisor { return &Supervisor{services: map[string]any{}} }
 
 // MissingError says that a service was sought before it was registered.
 type MissingError struct{ Name string }
@@ -65,7 +65,7 @@
 }
 
 // Register puts a service under a name.
-func (k *Kernel) Register(name string, service any) error {
+func (k *Supervisor) Register(name string, service any) error {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	if _, isTaken := k.services[name]; isTaken {
@@ -76,7 +76,7 @@
 }
 
 // Find returns the service of that name and type.
-func Find[T any](k *Kernel, name string) (T, error) {
+func Find[T any](k *Supervisor, name string) (T, error) {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
 	var nothing T
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestKernel(t *testing.T) {
+func TestSupervisor(t *testing.T) {
 	k := New()
 	if err := k.Register("clock", 7); err != nil {
 		t.Fatal(err)
--- a/internal/keys/failing_test.go
+++ b/internal/keys/failing_test.go
@@ -21,8 +21,8 @@
 	turn(true)
 	w.until(1500*ms, func() bool { return !w.has(h.row.Instance) })
 	w.run(time.Second)
-	if w.unheld() > 0 || w.breaches > 0 || w.cold > 0 || w.moved != 16384 {
-		t.Fatalf("%d not held, %d breaches, %d without handover, %d moved", w.unheld(), w.breaches, w.cold, w.moved)
+	if w.unheld() > 0 || w.violations > 0 || w.cold > 0 || w.moved != 16384 {
+		t.Fatalf("%d not held, %d breaches, %d without handover, %d moved", w.unheld(), w.violations, w.cold, w.moved)
 	}
 	w.run(10 * time.Second)
 	if w.has(h.row.Instance) {
@@ -31,7 +31,7 @@
 	turn(false)
 	w.warm(0, buckets-1, 20)
 	w.run(15 * time.Second)
-	if !w.has(h.row.Instance) || w.unheld() > 0 || w.breaches > 0 {
-		t.Fatalf("it holds keys again: %v; %d not held, %d breaches", w.has(h.row.Instance), w.unheld(), w.breaches)
+	if !w.has(h.row.Instance) || w.unheld() > 0 || w.violations > 0 {
+		t.Fatalf("it holds keys again: %v; %d not held, %d breaches", w.has(h.row.Instance), w.unheld(), w.violations)
 	}
 }
--- a/internal/keys/holds_test.go
+++ b/internal/keys/holds_test.go
@@ -33,8 +33,8 @@
 					next = w.now + w.span(3*time.Second)
 				}
 			}
-			if w.breaches > 0 {
-				t.Fatalf("%d times a key had two holders", w.breaches)
+			if w.violations > 0 {
+				t.Fatalf("%d times a key had two holders", w.violations)
 			}
 		})
 	}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -29,7 +29,7 @@
 	// LeaseAt is the latest instant at which a majority certainly still followed this leader.
 	LeaseAt time.Duration
 	// Heat is how many requests each service's back ends work on at once, by equal buckets of keys.
-	Heat map[string][]float64
+	Load map[string][]float64
 	// Dead tells that an instance's process has surely ended.
 	Dead func(instance string) bool
 }
@@ -40,7 +40,7 @@
 // The kinds of calls.
 const (
 	GrantLease Kind = iota + 1
-	Release
+	ReleaseLease
 	// Probe only asks whether the back end can be reached; it gives nothing. After a grant without answer it goes before the next one of
 	// any of its spans, so that a holder that is out of reach is not given its keys longer and longer.
 	Probe
@@ -154,7 +154,7 @@
 	failedAt     map[string]time.Duration
 	downAt       map[string]time.Duration
 	unresponsive map[string]*unresponsiveOwner
-	shunned      map[string]time.Duration
+	excluded     map[string]time.Duration
 	leaving      map[string]departure
 	unevenAt     time.Duration
 	isUneven     bool
@@ -232,7 +232,7 @@
 		m := g.services[name]
 		if m == nil {
 			m = &memory{proposed: map[string]proposal{}, leases: map[identity]*progress{}, releases: map[identity]*progress{},
-				targets: map[uint32]string{}, failedAt: map[string]time.Duration{}, downAt: map[string]time.Duration{}, unresponsive: map[string]*unresponsiveOwner{}, shunned: map[string]time.Duration{}, leaving: map[string]departure{}}
+				targets: map[uint32]string{}, failedAt: map[string]time.Duration{}, downAt: map[string]time.Duration{}, unresponsive: map[string]*unresponsiveOwner{}, excluded: map[string]time.Duration{}, leaving: map[string]departure{}}
 			g.services[name] = m
 		}
 		s := &step{g: g, m: m, f: f, service: service, effects: &effects}
@@ -248,7 +248,7 @@
 		if !strings.Contains(row.Key, "/span/") {
 			return
 		}
-		if span := image.Decode[schema.ShardRange](row); span != nil {
+		if span := image.DecodeRow[schema.ShardRange](row); span != nil {
 			fence := span.Fence
 			if span.Releasing {
 				fence--
@@ -267,7 +267,7 @@
 	delete(g.pending, a.ID)
 	m := g.services[p.call.Service]
 	id := identity{p.call.First, p.call.Last, p.call.Instance, p.call.Fence}
-	if p.call.Kind == Release {
+	if p.call.Kind == ReleaseLease {
 		progress := m.releases[id]
 		progress.isWaiting, progress.next = false, now+constants.KeyRetryPause
 		if a.Result == Done {
@@ -297,7 +297,7 @@
 		progress.isDone, progress.next = true, p.sent+g.hold/constants.KeyRenewParts
 		progress.refusals = 0
 		delete(m.failedAt, p.call.Instance)
-		delete(m.shunned, p.call.Instance)
+		delete(m.excluded, p.call.Instance)
 		return
 	case Refused:
 		progress.refusals++
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -30,8 +30,8 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := rough(t, seed, false)
-			if w.breaches > 0 {
-				t.Fatalf("%d times a key had two holders", w.breaches)
+			if w.violations > 0 {
+				t.Fatalf("%d times a key had two holders", w.violations)
 			}
 			w.isRough = false
 			w.run(12 * time.Second)
@@ -48,8 +48,8 @@
 			if w.moved > 0 {
 				t.Fatalf("%d keys moved in the calm", w.moved)
 			}
-			if count := w.unheld(); count > 0 || w.breaches > 0 {
-				t.Fatalf("%d keys not held, %d with two holders", count, w.breaches)
+			if count := w.unheld(); count > 0 || w.violations > 0 {
+				t.Fatalf("%d keys not held, %d with two holders", count, w.violations)
 			}
 		})
 	}
@@ -58,7 +58,7 @@
 func TestHasteIsFound(t *testing.T) {
 	found := 0
 	for seed := range int64(12) {
-		if w := rough(t, seed, true); w.breaches > 0 {
+		if w := rough(t, seed, true); w.violations > 0 {
 			found++
 		}
 	}
@@ -117,8 +117,8 @@
 			took := w.until(c.most, func() bool { return !w.has(h.row.Instance) })
 			w.run(time.Second)
 			t.Logf("%v, %d grants without handover on %d keys, %d calls", took, w.cold, len(w.cells), w.calls)
-			if w.unheld() > 0 || w.breaches > 0 || w.cold > 0 != c.isSlow || w.moved != c.moved {
-				t.Fatalf("%d not held, %d breaches, %d without handover, %d moved", w.unheld(), w.breaches, w.cold, w.moved)
+			if w.unheld() > 0 || w.violations > 0 || w.cold > 0 != c.isSlow || w.moved != c.moved {
+				t.Fatalf("%d not held, %d breaches, %d without handover, %d moved", w.unheld(), w.violations, w.cold, w.moved)
 			}
 		})
 	}
@@ -133,13 +133,13 @@
 			w.depose()
 			w.run(4 * time.Second)
 		}
-		if w.unheld() > 0 || w.moved > 0 || w.breaches > 0 {
-			t.Fatalf("seed %d: %d not held, %d moved, %d breaches", seed, w.unheld(), w.moved, w.breaches)
+		if w.unheld() > 0 || w.moved > 0 || w.violations > 0 {
+			t.Fatalf("seed %d: %d not held, %d moved, %d breaches", seed, w.unheld(), w.moved, w.violations)
 		}
 	}
 }
 
-func TestHeatMovesLittle(t *testing.T) {
+func TestLoadMovesLittle(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		first, count int
@@ -156,10 +156,10 @@
 			w.warm(c.first, c.count, c.rate)
 			w.cold, w.moved = 0, 0
 			w.run(20 * time.Second)
-			moved, total := w.moved, newHeat(w.heat).total
+			moved, total := w.moved, newKeyLoad(w.keyLoad).total
 			most := slices.Max(slices.Collect(maps.Values(w.loads("a"))))
 			t.Logf("share moved %.4f, most loaded %.2f of the mean, %d spans", float64(moved)/(constants.LastKey+1), most*4/total, len(w.view.Services["a"].Spans))
-			if moved > 0 != c.isMoved || moved > (constants.LastKey+1)/16 || most > constants.KeyHotShare*total/4+constants.KeyHeatUneven || w.cold > 0 || w.unheld() > 0 || w.breaches > 0 {
+			if moved > 0 != c.isMoved || moved > (constants.LastKey+1)/16 || most > constants.KeyHotShare*total/4+constants.KeyLoadUneven || w.cold > 0 || w.unheld() > 0 || w.violations > 0 {
 				t.Fatalf("moved %d, most %.1f of %.1f, %d without handover, %d not held", moved, most, total, w.cold, w.unheld())
 			}
 			w.run(20 * time.Second)
@@ -185,7 +185,7 @@
 	h.row = &schema.Backend{Service: "a", Instance: h.row.Instance, Address: h.row.Address, Zone: "d0", State: schema.BackendState_BACKEND_READY}
 	w.list(h)
 	w.run(15 * time.Second)
-	load, mean := w.loads("a")[h.row.Instance], newHeat(w.heat).total/4
+	load, mean := w.loads("a")[h.row.Instance], newKeyLoad(w.keyLoad).total/4
 	t.Logf("share moved %.4f, load %.2f of the mean", float64(w.moved)/(constants.LastKey+1), load/mean)
 	if load < constants.KeyIdleShare*mean || w.moved > (constants.LastKey+1)/8 || w.unheld() > 0 {
 		t.Fatalf("load %.1f of a mean of %.1f, %d keys moved", load, mean, w.moved)
@@ -257,10 +257,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := image.NewTable()
-			rows := []*schema.Row{image.Put(image.PolicyKey("a"), &schema.ServicePolicy{Service: "a", Keyed: true})}
+			rows := []*schema.Row{image.EncodeRow(image.PolicyKey("a"), &schema.ServicePolicy{Service: "a", Keyed: true})}
 			for _, zone := range []string{"d0", "d1"} {
-				rows = append(rows, image.Put(image.ZoneKey(zone), &schema.Zone{Name: zone, Settling: slices.Contains(c.settling, zone)}),
-					image.Put(image.BackendKey("a", "i-"+zone), &schema.Backend{Service: "a", Instance: "i-" + zone, Address: zone, Zone: zone, State: schema.BackendState_BACKEND_READY}))
+				rows = append(rows, image.EncodeRow(image.ZoneKey(zone), &schema.Zone{Name: zone, Settling: slices.Contains(c.settling, zone)}),
+					image.EncodeRow(image.BackendKey("a", "i-"+zone), &schema.Backend{Service: "a", Instance: "i-" + zone, Address: zone, Zone: zone, State: schema.BackendState_BACKEND_READY}))
 			}
 			if _, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows}, nil); err != nil {
 				t.Fatal(err)
@@ -275,7 +275,7 @@
 			if record == nil {
 				t.Fatal("nothing was laid out")
 			}
-			owner := image.Decode[schema.ShardRange](record.Rows[0]).Instance
+			owner := image.DecodeRow[schema.ShardRange](record.Rows[0]).Instance
 			if owner != "i-"+c.want {
 				t.Errorf("the first keys go to %s, want i-%s", owner, c.want)
 			}
--- a/internal/keys/silence_test.go
+++ b/internal/keys/silence_test.go
@@ -43,8 +43,8 @@
 				t.Errorf("a dark back end was still granted keys %v after the first grant that it left unanswered", last-first)
 			}
 			bound := last - dark + constants.KeyLeaseWait + lapse(w.nodes[w.leader].hold) + constants.KeyArrivalMargin + 500*ms
-			if took > bound || w.breaches > 0 || w.unheld() > 0 {
-				t.Errorf("its keys were free after %v, want %v; %d breaches, %d not held", took, bound, w.breaches, w.unheld())
+			if took > bound || w.violations > 0 || w.unheld() > 0 {
+				t.Errorf("its keys were free after %v, want %v; %d breaches, %d not held", took, bound, w.violations, w.unheld())
 			}
 		})
 	}
--- a/internal/keys/spans_test.go
+++ b/internal/keys/spans_test.go
@@ -17,7 +17,7 @@
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS}
 	for i := range uint32(spans) {
 		first, last := i*(constants.LastKey+1)/uint32(spans), (i+1)*(constants.LastKey+1)/uint32(spans)-1
-		record.Rows = append(record.Rows, image.Put(image.SpanKey("a", first),
+		record.Rows = append(record.Rows, image.EncodeRow(image.ShardRangeKey("a", first),
 			&schema.ShardRange{Service: "a", First: first, Last: last, Instance: w.owners[int(i)%owners].row.Instance, Fence: 1 + uint64(i%3)}))
 	}
 	w.apply(record)
@@ -49,9 +49,9 @@
 			before := slices.Max(slices.Collect(maps.Values(w.loads("a"))))
 			w.run(5 * time.Second)
 			most := slices.Max(slices.Collect(maps.Values(w.loads("a"))))
-			t.Logf("the most loaded has %.1f after %.1f of a mean of %.1f, %d spans", most, before, newHeat(w.heat).total/4, w.spanCount())
-			if most < before-10 != c.isMoved || w.breaches > 0 || w.unheld() > 0 {
-				t.Fatalf("the most loaded has %.1f after %.1f, %d breaches, %d not held", most, before, w.breaches, w.unheld())
+			t.Logf("the most loaded has %.1f after %.1f of a mean of %.1f, %d spans", most, before, newKeyLoad(w.keyLoad).total/4, w.spanCount())
+			if most < before-10 != c.isMoved || w.violations > 0 || w.unheld() > 0 {
+				t.Fatalf("the most loaded has %.1f after %.1f, %d breaches, %d not held", most, before, w.violations, w.unheld())
 			}
 		})
 	}
@@ -85,8 +85,8 @@
 			w.run(c.calm)
 			loads := slices.Collect(maps.Values(w.loads("a")))
 			t.Logf("%d spans, share moved %.3f, loads %.1f to %.1f", w.spanCount(), float64(w.moved)/(constants.LastKey+1), slices.Min(loads), slices.Max(loads))
-			if w.spanCount() > c.most || w.moved > 0 != c.isMoved || w.cold > 0 || w.breaches > 0 || w.unheld() > 0 {
-				t.Fatalf("%d spans, %d keys moved, %d without handover, %d breaches, %d not held", w.spanCount(), w.moved, w.cold, w.breaches, w.unheld())
+			if w.spanCount() > c.most || w.moved > 0 != c.isMoved || w.cold > 0 || w.violations > 0 || w.unheld() > 0 {
+				t.Fatalf("%d spans, %d keys moved, %d without handover, %d breaches, %d not held", w.spanCount(), w.moved, w.cold, w.violations, w.unheld())
 			}
 			if after := w.view.Services["a"].Span(65 * (constants.LastKey + 1) / buckets).Instance; c.rate > 0 && after != before {
 				t.Fatalf("the hot span went from %s to %s", before, after)
@@ -102,8 +102,8 @@
 
 func TestAdjacentRangesOfOneOwnerAreMerged(t *testing.T) {
 	w := striped(t, 3, 1, 30)
-	if w.spanCount() != 1 || w.moved > 0 || w.breaches > 0 {
-		t.Fatalf("%d spans, %d keys moved, %d breaches", w.spanCount(), w.moved, w.breaches)
+	if w.spanCount() != 1 || w.moved > 0 || w.violations > 0 {
+		t.Fatalf("%d spans, %d keys moved, %d breaches", w.spanCount(), w.moved, w.violations)
 	}
 }
 
@@ -111,13 +111,13 @@
 	for _, c := range []struct{ owners, spans, most int }{{1, 1, 100}, {2, 6, 95}, {8, 24, 50}, {16, 48, 30}, {40, 120, 15}} {
 		w := newWorld(t, 5, c.owners, "a")
 		w.run(3 * time.Second)
-		for i := range w.heat {
-			w.heat[i] = 0
+		for i := range w.keyLoad {
+			w.keyLoad[i] = 0
 		}
 		for i := 40; i < 64; i++ {
-			w.heat[i] = 1
+			w.keyLoad[i] = 1
 		}
-		most := slices.Max(slices.Collect(maps.Values(w.loads("a")))) * 100 / newHeat(w.heat).total
+		most := slices.Max(slices.Collect(maps.Values(w.loads("a")))) * 100 / newKeyLoad(w.keyLoad).total
 		t.Logf("%d holders: %d spans, the most loaded has %.0f percent", c.owners, w.spanCount(), most)
 		if w.spanCount() != c.spans || int(most) > c.most || w.unheld() > 0 {
 			t.Errorf("%d holders: %d spans, the most loaded has %.0f percent, %d keys not held", c.owners, w.spanCount(), most, w.unheld())
--- a/internal/keys/step.go
+++ b/internal/keys/step.go
@@ -30,18 +30,18 @@
 	effects  *Effects
 	rows     []row
 	eligible []string
-	heat     heat
+	keyLoad  keyLoad
 	loads    map[string]float64
 	doubted  map[string]bool
 }
 
 func (s *step) run() {
 	s.f.Table.Each(image.ServicePrefix(s.service.Name)+"span/", func(r *schema.Row) {
-		if span := image.Decode[schema.ShardRange](r); span != nil {
+		if span := image.DecodeRow[schema.ShardRange](r); span != nil {
 			s.rows = append(s.rows, row{span, r.Key, r.Index})
 		}
 	})
-	s.heat = newHeat(s.f.Heat[s.service.Name])
+	s.keyLoad = newKeyLoad(s.f.Load[s.service.Name])
 	s.tidy()
 	s.eligible = s.listEligible()
 	if len(s.rows) == 0 {
@@ -50,7 +50,7 @@
 	}
 	s.loads = map[string]float64{}
 	for _, r := range s.rows {
-		s.loads[s.heir(r)] += s.heat.weight(r.First, r.Last)
+		s.loads[s.replacement(r)] += s.keyLoad.weight(r.First, r.Last)
 	}
 	for _, r := range s.rows {
 		backend := s.service.Backend(r.Instance)
@@ -84,7 +84,7 @@
 	isOld := func(id identity, p *progress) bool { return !live[id] && !p.isWaiting }
 	maps.DeleteFunc(s.m.leases, isOld)
 	maps.DeleteFunc(s.m.releases, isOld)
-	maps.DeleteFunc(s.m.shunned, func(_ string, until time.Duration) bool { return until <= s.f.Now })
+	maps.DeleteFunc(s.m.excluded, func(_ string, until time.Duration) bool { return until <= s.f.Now })
 	maps.DeleteFunc(s.m.failedAt, func(instance string, _ time.Duration) bool { return s.service.Backend(instance) == nil })
 	maps.DeleteFunc(s.m.downAt, func(instance string, _ time.Duration) bool {
 		return s.service.Backend(instance) == nil && !slices.ContainsFunc(s.rows, func(r row) bool { return r.Instance == instance })
@@ -97,7 +97,7 @@
 	}
 	for instance, at := range s.m.failedAt {
 		if s.f.Now-at >= constants.KeyUnreachableAfter {
-			s.m.shunned[instance] = s.f.Now + constants.KeyUnreachableKept
+			s.m.excluded[instance] = s.f.Now + constants.KeyUnreachableKept
 			delete(s.m.failedAt, instance)
 		}
 	}
@@ -124,7 +124,7 @@
 }
 
 // isMoot tells that what a call gave is surely held by nobody: its holder has ended, and no other process at its address took the call.
-func (s *step) isMoot(e *outstandingCall) bool {
+func (s *step) isVoid(e *outstandingCall) bool {
 	if !s.f.Dead(e.instance) {
 		return false
 	}
@@ -141,7 +141,7 @@
 		if backend.State != schema.BackendState_BACKEND_READY || backend.Failing || s.f.Dead(backend.Instance) || s.isEmptied(backend) || s.isShared(backend) {
 			continue
 		}
-		if _, isShunned := s.m.shunned[backend.Instance]; isShunned {
+		if _, isExcluded := s.m.excluded[backend.Instance]; isExcluded {
 			continue
 		}
 		all = append(all, backend.Instance)
@@ -174,7 +174,7 @@
 	if !s.m.hasEligible || s.m.eligible != len(s.eligible) {
 		s.m.hasEligible, s.m.eligibleAt, s.m.eligible = true, s.f.Now, len(s.eligible)
 	}
-	key := image.SpanKey(s.service.Name, 0)
+	key := image.ShardRangeKey(s.service.Name, 0)
 	if p, isThere := s.m.proposed[key]; s.f.Now-s.m.eligibleAt < constants.KeyLayoutSettle || isThere && s.f.Now-p.at < constants.KeyProposalPause {
 		return
 	}
@@ -186,7 +186,7 @@
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Guards: []*schema.Guard{{Key: key}}, Reason: "lay out keys"}
 	for i := range count {
 		first, last := i*(constants.LastKey+1)/count, (i+1)*(constants.LastKey+1)/count-1
-		record.Rows = append(record.Rows, image.Put(image.SpanKey(s.service.Name, first),
+		record.Rows = append(record.Rows, image.EncodeRow(image.ShardRangeKey(s.service.Name, first),
 			&schema.ShardRange{Service: s.service.Name, First: first, Last: last, Instance: s.eligible[int(i)%len(s.eligible)], Fence: 1}))
 	}
 	s.m.proposed[key] = proposal{at: s.f.Now}
@@ -194,7 +194,7 @@
 }
 
 // heir is the instance that a span's load counts for.
-func (s *step) heir(r row) string {
+func (s *step) replacement(r row) string {
 	if target, isThere := s.m.targets[r.First]; r.Releasing && isThere {
 		return target
 	}
@@ -214,7 +214,7 @@
 // hasLapsed tells that nobody can hold any of a span's keys.
 func (s *step) hasLapsed(r row) bool {
 	for _, e := range s.g.outstandingCalls {
-		if e.service != s.service.Name || !e.isOpen && e.until <= s.f.Now || s.isMoot(e) {
+		if e.service != s.service.Name || !e.isOpen && e.until <= s.f.Now || s.isVoid(e) {
 			continue
 		}
 		for _, keys := range e.ranges {
@@ -237,16 +237,16 @@
 		width = 0
 	}
 	for _, span := range fresh {
-		key := image.SpanKey(s.service.Name, span.First)
+		key := image.ShardRangeKey(s.service.Name, span.First)
 		has[key] = true
 		if !had[key] {
 			record.Guards = append(record.Guards, &schema.Guard{Key: key})
 		}
-		record.Rows = append(record.Rows, image.Put(key, span))
+		record.Rows = append(record.Rows, image.EncodeRow(key, span))
 	}
 	for _, r := range old {
 		if !has[r.key] {
-			record.Rows = append(record.Rows, image.Gone(r.key))
+			record.Rows = append(record.Rows, image.Tombstone(r.key))
 		}
 	}
 	s.effects.Records = append(s.effects.Records, record)
@@ -272,8 +272,8 @@
 	if !r.Releasing {
 		fence++
 	}
-	weight := s.heat.weight(r.First, r.Last)
-	s.loads[s.heir(r)] -= weight
+	weight := s.keyLoad.weight(r.First, r.Last)
+	s.loads[s.replacement(r)] -= weight
 	count := 1
 	if progress := s.m.releases[r.identity()]; progress != nil && progress.isFreed && r.Releasing {
 		handover = progress.handover
@@ -284,13 +284,13 @@
 	for first, i := r.First, count; i > 0; i-- {
 		last := r.Last
 		if i > 1 {
-			last = s.heat.cut(first, r.Last-uint32(i-1), s.heat.weight(first, r.Last)/float64(i))
+			last = s.keyLoad.cut(first, r.Last-uint32(i-1), s.keyLoad.weight(first, r.Last)/float64(i))
 		}
 		target := s.m.targets[r.First]
 		if count > 1 || !slices.Contains(s.eligible, target) {
 			target = s.lightest("")
 		}
-		s.loads[target] += s.heat.weight(first, last)
+		s.loads[target] += s.keyLoad.weight(first, last)
 		spans = append(spans, &schema.ShardRange{Service: s.service.Name, First: first, Last: last, Instance: target, Fence: fence, Handover: handover})
 		first = last + 1
 	}
@@ -363,7 +363,7 @@
 		return
 	}
 	p.isWaiting = true
-	s.send(Call{Kind: Release, Instance: r.Instance, Address: backend.Address, First: r.First, Last: r.Last, Fence: r.Fence, Wait: constants.KeyReleaseWait}, nil)
+	s.send(Call{Kind: ReleaseLease, Instance: r.Instance, Address: backend.Address, First: r.First, Last: r.Last, Fence: r.Fence, Wait: constants.KeyReleaseWait}, nil)
 }
 
 // free proposes to take a part of a span off its holder.
@@ -391,7 +391,7 @@
 		span := &schema.ShardRange{Service: s.service.Name, First: p.first, Last: p.last, Instance: r.Instance, Fence: r.Fence, Handover: handover}
 		if p.target != "" {
 			span.Releasing, span.Fence, span.Handover = true, r.Fence+1, ""
-			weight := s.heat.weight(p.first, p.last)
+			weight := s.keyLoad.weight(p.first, p.last)
 			s.loads[r.Instance] -= weight
 			s.loads[p.target] += weight
 			s.m.targets[p.first] = p.target
@@ -404,8 +404,8 @@
 
 // mustLeave tells whether a holder is to lose all its keys, and whether a part at a time.
 func (s *step) mustLeave(backend *schema.Backend) (bool, bool) {
-	_, isShunned := s.m.shunned[backend.Instance]
-	return isShunned || backend.Failing || backend.State == schema.BackendState_BACKEND_DRAINING || s.isEmptied(backend) || s.isAbroad(backend), !isShunned
+	_, isExcluded := s.m.excluded[backend.Instance]
+	return isExcluded || backend.Failing || backend.State == schema.BackendState_BACKEND_DRAINING || s.isEmptied(backend) || s.isAbroad(backend), !isExcluded
 }
 
 func (s *step) leave() {
@@ -473,25 +473,25 @@
 	moves := 0
 	loads := map[string]float64{}
 	for _, r := range s.rows {
-		loads[s.heir(r)] += s.heat.sum(r.First, r.Last)
+		loads[s.replacement(r)] += s.keyLoad.sum(r.First, r.Last)
 		if r.Releasing || s.isBusy(r) {
 			moves++
 		}
 	}
-	if s.heat.total < constants.KeyHeatLeast || len(s.eligible) < 2 {
+	if s.keyLoad.total < constants.KeyLoadLeast || len(s.eligible) < 2 {
 		s.m.isUneven = false
 		return
 	}
-	mean := s.heat.total / float64(len(s.eligible))
+	mean := s.keyLoad.total / float64(len(s.eligible))
 	isCrowded := len(s.rows) > s.spansMost()
 	byLoad := func(a, b string) int { return cmp.Or(cmp.Compare(loads[a], loads[b]), cmp.Compare(a, b)) }
 	ends := func() (string, string, bool) {
 		least, most := slices.MinFunc(s.eligible, byLoad), slices.MaxFunc(s.eligible, byLoad)
 		if isCrowded {
-			return least, most, loads[most] > constants.KeyFarShare*mean && loads[most]-mean >= constants.KeyHeatUneven
+			return least, most, loads[most] > constants.KeyFarShare*mean && loads[most]-mean >= constants.KeyLoadUneven
 		}
-		isHot := loads[most] > constants.KeyHotShare*mean && loads[most]-mean >= constants.KeyHeatUneven
-		isIdle := loads[least] < constants.KeyIdleShare*mean && mean-loads[least] >= constants.KeyHeatUneven
+		isHot := loads[most] > constants.KeyHotShare*mean && loads[most]-mean >= constants.KeyLoadUneven
+		isIdle := loads[least] < constants.KeyIdleShare*mean && mean-loads[least] >= constants.KeyLoadUneven
 		return least, most, isHot || isIdle
 	}
 	_, _, isUneven := ends()
@@ -550,41 +550,41 @@
 			if p.target != "" {
 				continue
 			}
-			s.heat.each(p.first, p.last, func(first, last uint32) {
-				seeds = append(seeds, seed{r, at, first, last, s.heat.sum(first, last) / float64(last-first+1)})
+			s.keyLoad.each(p.first, p.last, func(first, last uint32) {
+				seeds = append(seeds, seed{r, at, first, last, s.keyLoad.sum(first, last) / float64(last-first+1)})
 			})
 		}
 	}
 	slices.SortStableFunc(seeds, func(a, b seed) int { return cmp.Compare(b.density, a.density) })
 	for _, hot := range seeds {
 		first, last := hot.first, hot.last
-		for s.heat.sum(first, last) > amount && last > first {
+		for s.keyLoad.sum(first, last) > amount && last > first {
 			last = first + (last-first)/2
 		}
-		if s.heat.sum(first, last) > amount {
+		if s.keyLoad.sum(first, last) > amount {
 			continue
 		}
 		whole := plans[hot.r.First][hot.at]
 		isFitting := func(a, b uint32) bool {
-			part := s.heat.sum(a, b)
-			return part >= constants.KeyMoveDensity*hot.density*float64(b-a+1) && s.heat.sum(first, last)+part <= amount
+			part := s.keyLoad.sum(a, b)
+			return part >= constants.KeyMoveDensity*hot.density*float64(b-a+1) && s.keyLoad.sum(first, last)+part <= amount
 		}
 		if last == hot.last {
 			for hasGrown := true; hasGrown; {
 				hasGrown = false
 				if first > whole.first {
-					if next := max(s.heat.start(first-1), whole.first); isFitting(next, first-1) {
+					if next := max(s.keyLoad.start(first-1), whole.first); isFitting(next, first-1) {
 						first, hasGrown = next, true
 					}
 				}
 				if last < whole.last {
-					if next := min(s.heat.end(last+1), whole.last); isFitting(last+1, next) {
+					if next := min(s.keyLoad.end(last+1), whole.last); isFitting(last+1, next) {
 						last, hasGrown = next, true
 					}
 				}
 			}
 		}
-		moved := s.heat.sum(first, last)
+		moved := s.keyLoad.sum(first, last)
 		if moved < constants.KeyMovePart*mean {
 			continue
 		}
@@ -609,7 +609,7 @@
 	}
 	best, target := -1, ""
 	for i, r := range s.rows {
-		warmth := s.heat.sum(r.First, r.Last)
+		warmth := s.keyLoad.sum(r.First, r.Last)
 		if !s.isSettled(r) || warmth > constants.KeyGatherWarmth*mean || best >= 0 && r.width() >= s.rows[best].width() {
 			continue
 		}
