--- a/internal/keys/world_test.go
+++ b/internal/keys/world_test.go
@@ -54,30 +54,30 @@
 }
 
 type world struct {
-	t         *testing.T
-	random    *rand.Rand
-	now       time.Duration
-	cells     []uint32
-	owners    []*owner
-	nodes     []*LeaseManager
-	leader    int
-	electedAt time.Duration
-	old       *stale
-	table     *image.Table
-	view      *image.View
-	index     uint64
-	commits   []commit
-	events    []event
-	heat      []float64
-	isRough   bool
-	isHasty   bool
-	services  []string
-	breaches  int
-	calls     int
-	moved     uint32
-	cold      int
-	serial    int
-	work      time.Duration
+	t          *testing.T
+	random     *rand.Rand
+	now        time.Duration
+	cells      []uint32
+	owners     []*owner
+	nodes      []*LeaseManager
+	leader     int
+	electedAt  time.Duration
+	old        *stale
+	table      *image.Table
+	view       *image.View
+	index      uint64
+	commits    []commit
+	events     []event
+	keyLoad    []float64
+	isRough    bool
+	isHasty    bool
+	services   []string
+	violations int
+	calls      int
+	moved      uint32
+	cold       int
+	serial     int
+	work       time.Duration
 }
 
 func newWorld(t *testing.T, seed int64, count int, services ...string) *world {
@@ -91,7 +91,7 @@
 		w.nodes = append(w.nodes, New(Options{Most: 10 * time.Second}))
 	}
 	for _, service := range services {
-		w.apply(&schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.Put(image.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: true})}})
+		w.apply(&schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.EncodeRow(image.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: true})}})
 		for i := range count {
 			w.start(service, fmt.Sprintf("%s-%d:80", service, i), fmt.Sprintf("d%d", i%3))
 		}
@@ -99,7 +99,7 @@
 	for i := range 3 {
 		w.empty(fmt.Sprintf("d%d", i), false)
 	}
-	w.heat = make([]float64, buckets)
+	w.keyLoad = make([]float64, buckets)
 	return w
 }
 
@@ -137,17 +137,17 @@
 }
 
 func (w *world) empty(zone string, isEmptied bool) {
-	w.put("", image.Put(image.ZoneKey(zone), &schema.Zone{Name: zone, Emptied: isEmptied}))
+	w.put("", image.EncodeRow(image.ZoneKey(zone), &schema.Zone{Name: zone, Emptied: isEmptied}))
 }
 
 func (w *world) list(h *owner) {
 	h.isListed = true
-	w.put("", image.Put(image.BackendKey(h.row.Service, h.row.Instance), h.row))
+	w.put("", image.EncodeRow(image.BackendKey(h.row.Service, h.row.Instance), h.row))
 }
 
 func (w *world) strike(h *owner) {
 	h.isListed = false
-	w.put("", image.Gone(image.BackendKey(h.row.Service, h.row.Instance)))
+	w.put("", image.Tombstone(image.BackendKey(h.row.Service, h.row.Instance)))
 }
 
 func (w *world) start(service, address, zone string) *owner {
@@ -325,11 +325,11 @@
 }
 
 func (w *world) facts() Facts {
-	heat := map[string][]float64{}
+	keyLoad := map[string][]float64{}
 	for _, service := range w.services {
-		heat[service] = w.heat
+		keyLoad[service] = w.keyLoad
 	}
-	return Facts{Now: w.now, View: w.view, Table: w.table, IsLeading: true, ElectedAt: w.electedAt, LeaseAt: w.now - w.span(120*ms), Heat: heat, Dead: w.isDead}
+	return Facts{Now: w.now, View: w.view, Table: w.table, IsLeading: true, ElectedAt: w.electedAt, LeaseAt: w.now - w.span(120*ms), Load: keyLoad, Dead: w.isDead}
 }
 
 func (w *world) step() {
@@ -386,7 +386,7 @@
 			}
 			for i, until := range h.until {
 				if until > w.now && isHeld[i] {
-					w.breaches++
+					w.violations++
 				}
 				isHeld[i] = isHeld[i] || until > w.now
 			}
@@ -420,17 +420,17 @@
 }
 
 func (w *world) warm(first, count int, rate float64) {
-	for i := range w.heat {
-		w.heat[i] = 0.5
+	for i := range w.keyLoad {
+		w.keyLoad[i] = 0.5
 		if i >= first && i < first+count {
-			w.heat[i] = rate
+			w.keyLoad[i] = rate
 		}
 	}
 }
 
 // loads are the heat of each instance by the written spans.
 func (w *world) loads(service string) map[string]float64 {
-	loads, h := map[string]float64{}, newHeat(w.heat)
+	loads, h := map[string]float64{}, newKeyLoad(w.keyLoad)
 	for _, span := range w.view.Services[service].Spans {
 		loads[span.Instance] += h.sum(span.First, span.Last)
 	}
--- a/internal/neighbours/neighbours.go
+++ b/internal/neighbours/neighbours.go
@@ -42,7 +42,7 @@
 }
 
 // Neighbours is one node's machine.
-type Neighbours struct {
+type Sampler struct {
 	options   Options
 	self      *schema.Node
 	active    map[string]*peer
@@ -54,21 +54,21 @@
 }
 
 // New makes a node that knows only its seeds.
-func New(options Options) *Neighbours {
+func New(options Options) *Sampler {
 	if options.Pace == (Pace{}) {
 		options.Pace = Pace{Probe: constants.ProbeEvery, Wait: constants.ProbeWait, Shuffle: constants.ShuffleEvery}
 	}
-	return &Neighbours{options: options, self: options.Self, active: map[string]*peer{}, passive: map[string]*schema.Node{}, suspects: map[string]time.Duration{}}
+	return &Sampler{options: options, self: options.Self, active: map[string]*peer{}, passive: map[string]*schema.Node{}, suspects: map[string]time.Duration{}}
 }
 
 // Self gives a copy of this node's description as it stands now: frames wait to be written while the description changes.
-func (n *Neighbours) Self() *schema.Node { return proto.Clone(n.self).(*schema.Node) }
+func (n *Sampler) Self() *schema.Node { return proto.Clone(n.self).(*schema.Node) }
 
 // SetSeeds takes other seeds than before.
-func (n *Neighbours) SetSeeds(seeds []string) { n.options.Seeds = seeds }
+func (n *Sampler) SetSeeds(seeds []string) { n.options.Seeds = seeds }
 
 // Learn puts nodes into the passive view.
-func (n *Neighbours) Learn(nodes ...*schema.Node) {
+func (n *Sampler) Learn(nodes ...*schema.Node) {
 	for _, node := range nodes {
 		if node.GetId() == "" || node.Id == n.self.Id || node.Address == "" {
 			if node.GetId() == n.self.Id && node.State == schema.NodeState_NODE_LOST && node.Incarnation >= n.self.Incarnation {
@@ -99,7 +99,7 @@
 }
 
 // Heard tells that a node spoke, so that it is alive.
-func (n *Neighbours) Heard(now time.Duration, id string) {
+func (n *Sampler) Heard(now time.Duration, id string) {
 	if p := n.active[id]; p != nil {
 		p.heard = now
 	}
@@ -107,10 +107,10 @@
 }
 
 // Suspects are the probed nodes that did not answer.
-func (n *Neighbours) Suspects() []string { return slices.Sorted(maps.Keys(n.suspects)) }
+func (n *Sampler) Suspects() []string { return slices.Sorted(maps.Keys(n.suspects)) }
 
 // Known gives every node of both views, in order of ids.
-func (n *Neighbours) Known() []*schema.Node {
+func (n *Sampler) Known() []*schema.Node {
 	var nodes []*schema.Node
 	for _, id := range slices.Sorted(maps.Keys(n.active)) {
 		nodes = append(nodes, n.active[id].node)
@@ -122,10 +122,10 @@
 }
 
 // Size is the count of nodes of both views.
-func (n *Neighbours) Size() int { return len(n.active) + len(n.passive) }
+func (n *Sampler) Size() int { return len(n.active) + len(n.passive) }
 
 // Sample is this node and some that it knows.
-func (n *Neighbours) Sample() []*schema.Node {
+func (n *Sampler) Sample() []*schema.Node {
 	nodes := n.Known()
 	for i := len(nodes) - 1; i > 0; i-- {
 		j := n.options.Draw(int64(i + 1))
@@ -136,7 +136,7 @@
 }
 
 // Tick probes the active view, refills it and shuffles once in a while.
-func (n *Neighbours) Tick(now time.Duration) []Send {
+func (n *Sampler) Tick(now time.Duration) []Send {
 	for _, id := range slices.Sorted(maps.Keys(n.active)) {
 		p := n.active[id]
 		if now-p.heard > n.options.Pace.Wait && now-p.since > n.options.Pace.Wait {
@@ -189,7 +189,7 @@
 }
 
 // candidates are those that may join the active view: of the own region while there are any, and then few of the others.
-func (n *Neighbours) candidates() []string {
+func (n *Sampler) candidates() []string {
 	ids := slices.Sorted(maps.Keys(n.passive))
 	if !n.options.Pace.IsNear {
 		return ids
@@ -204,16 +204,16 @@
 			far++
 		}
 	}
-	if far >= constants.FarNeighbours {
+	if far >= constants.FarPeers {
 		return nil
 	}
 	return ids
 }
 
-func (n *Neighbours) send(to string, frame *schema.Frame) { n.sends = append(n.sends, Send{to, frame}) }
+func (n *Sampler) send(to string, frame *schema.Frame) { n.sends = append(n.sends, Send{to, frame}) }
 
 // Shuffle takes another node's sample and answers with one of its own.
-func (n *Neighbours) Shuffle(from string, shuffle *schema.Shuffle) []Send {
+func (n *Sampler) Shuffle(from string, shuffle *schema.Shuffle) []Send {
 	sample := n.Sample()
 	n.Learn(shuffle.Nodes...)
 	if shuffle.Reply {
--- a/internal/neighbours/neighbours_test.go
+++ b/internal/neighbours/neighbours_test.go
@@ -13,7 +13,7 @@
 func TestViewsStayPartialAndReachAll(t *testing.T) {
 	for seed := range int64(5) {
 		random := rand.New(rand.NewSource(seed))
-		nodes := map[string]*Neighbours{}
+		nodes := map[string]*Sampler{}
 		for i := range 60 {
 			name := fmt.Sprintf("n%02d", i)
 			nodes[name] = New(Options{Self: &schema.Node{Id: name, Address: name}, Seeds: []string{"n00", "n01", "n02"}, Draw: random.Int63n})
--- a/internal/node/earlier_version_test.go
+++ b/internal/node/earlier_version_test.go
@@ -188,7 +188,7 @@
 	view := image.Compile(table)
 	found.Configuration = view.Head.Version
 	found.FleetVersion = view.Fleet
-	if document := image.Decode[schema.CatalogDocument](table.Get(image.DocumentKey)); document != nil {
+	if document := image.DecodeRow[schema.CatalogDocument](table.Get(image.DocumentKey)); document != nil {
 		found.DocumentDigest = fmt.Sprintf("%x", sha256.Sum256(document.Document))
 	}
 	for name, zone := range view.Zones {
@@ -217,7 +217,7 @@
 		routed *core.Routed
 	}{
 		{"entries", nil},
-		{"routes", &core.Routed{HoldMost: time.Second, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}},
+		{"routes", &core.Routed{HoldMost: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := unpackFolder(t, filepath.Join("testdata", "earlier-"+c.name+".tar.gz"))
--- a/internal/node/native.go
+++ b/internal/node/native.go
@@ -31,25 +31,25 @@
 }
 
 // NativeSeam speaks the product's own interface, for a fleet whose settings say that it carries routes.
-func NativeSeam(s *settings.Settings) *Seam {
+func NativePlatform(s *settings.Settings) *Platform {
 	bounds := s.Routes
 	milliseconds := func(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
-	seam := &Seam{Names: gateway.DefaultNames(), Bounds: Bounds{
+	platform := &Platform{Names: gateway.DefaultNames(), Bounds: Bounds{
 		Bounds: gateway.Bounds{RetryRatio: bounds.RetryRatio, RetryWindow: milliseconds(bounds.RetryWindowMS), RetrySlack: bounds.RetrySlack,
 			ColdExcess: bounds.ColdExcess, ColdMargin: bounds.ColdMargin},
 		HoldMost: milliseconds(bounds.HoldMostMS), ListLag: milliseconds(bounds.ListLagMS), ListRate: bounds.ListRate, StopGrace: milliseconds(bounds.StopGraceMS),
 		ResolveMost: milliseconds(bounds.MatchLifeMS)}}
 	caller := newCaller(s.Proxy)
-	seam.GrantLease = caller.grantLease
+	platform.GrantLease = caller.grantLease
 	if s.Platform != "" {
-		seam.List = func(ctx context.Context, turn Turn) ([]roster.Listed, int, error) {
+		platform.List = func(ctx context.Context, turn Turn) ([]roster.Listed, int, error) {
 			return listNative(ctx, caller.lister, s.Platform, turn)
 		}
 	}
-	seam.Serve = func(outside *Outside) map[string]http.Handler {
-		return map[string]http.Handler{s.Proxy: outside.Requests, s.Door: outside.Door}
+	platform.Serve = func(outside *Outside) map[string]http.Handler {
+		return map[string]http.Handler{s.Proxy: outside.Requests, s.Admin: outside.Admin}
 	}
-	return seam
+	return platform
 }
 
 func listNative(ctx context.Context, client *http.Client, list string, turn Turn) ([]roster.Listed, int, error) {
--- a/internal/node/native_seam_test.go
+++ b/internal/node/native_seam_test.go
@@ -45,8 +45,8 @@
 				calls++
 			}))
 			defer server.Close()
-			seam := NativeSeam(&settings.Settings{Proxy: "127.0.0.1:1", Platform: server.URL, Routes: settings.DefaultRoutes()})
-			items, count, err := seam.List(context.Background(), func(context.Context, int, []roster.Listed) error { turns++; return nil })
+			platform := NativePlatform(&settings.Settings{Proxy: "127.0.0.1:1", Platform: server.URL, Routes: settings.DefaultRoutes()})
+			items, count, err := platform.List(context.Background(), func(context.Context, int, []roster.Listed) error { turns++; return nil })
 			var partial *PartialListError
 			if (err != nil) != errors.As(err, &partial) || (err != nil) != (c.want != "") || err != nil && (!strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "; mend")) {
 				t.Errorf("%v, want %q", err, c.want)
@@ -67,7 +67,7 @@
 func TestNativeKeyCalls(t *testing.T) {
 	lease := keys.Call{ID: 7, Kind: keys.GrantLease, Service: "nickel", Instance: "n-1", First: 5, Last: 9, Fence: 3, Hold: 4500 * time.Millisecond, Handover: "h0"}
 	release := lease
-	release.Kind, release.Hold, release.Handover = keys.Release, 0, ""
+	release.Kind, release.Hold, release.Handover = keys.ReleaseLease, 0, ""
 	probe := lease
 	probe.Kind = keys.Probe
 	for _, c := range []struct {
--- a/internal/node/native_test.go
+++ b/internal/node/native_test.go
@@ -86,8 +86,8 @@
 	client   *http.Client
 }
 
-func (m *nativeMachine) door(method, path, body string) (int, http.Header, string) {
-	request, err := http.NewRequest(method, "http://"+m.settings.Door+path, strings.NewReader(body))
+func (m *nativeMachine) admin(method, path, body string) (int, http.Header, string) {
+	request, err := http.NewRequest(method, "http://"+m.settings.Admin+path, strings.NewReader(body))
 	if err != nil {
 		return 0, nil, err.Error()
 	}
@@ -105,7 +105,7 @@
 
 func (m *nativeMachine) read(t *testing.T, path string, into any) {
 	t.Helper()
-	if status, _, text := m.door("GET", path, ""); status != 200 || json.Unmarshal([]byte(text), into) != nil {
+	if status, _, text := m.admin("GET", path, ""); status != 200 || json.Unmarshal([]byte(text), into) != nil {
 		t.Fatalf("%s: %d %s", path, status, text)
 	}
 }
@@ -130,9 +130,9 @@
 	var seeds []string
 	for i := range 4 {
 		ip := fmt.Sprintf("127.0.78.%d", i+1)
-		s := &settings.Settings{Peer: free(t, ip), Proxy: free(t, ip), Door: free(t, ip), Zone: []string{"mu-a", "mu-b", "xi-a", "mu-b"}[i], Region: []string{"mu", "mu", "xi", "mu"}[i], DiskBytes: 16 << 20, Routes: settings.DefaultRoutes()}
+		s := &settings.Settings{Peer: free(t, ip), Proxy: free(t, ip), Admin: free(t, ip), Zone: []string{"mu-a", "mu-b", "xi-a", "mu-b"}[i], Region: []string{"mu", "mu", "xi", "mu"}[i], DiskBytes: 16 << 20, Routes: settings.DefaultRoutes()}
 		s.Routes.ListLagMS, s.Routes.StopGraceMS = 100, 1500
-		s.PeerShown, s.ProxyShow, s.DoorShown = s.Peer, s.Proxy, s.Door
+		s.PeerShown, s.ProxyShow, s.AdminShown = s.Peer, s.Proxy, s.Admin
 		if i < 3 {
 			s.Data, s.Platform = t.TempDir(), platform.URL
 			seeds = append(seeds, s.Peer)
@@ -161,7 +161,7 @@
 			}
 		})
 	}
-	if status, header, text := machines[0].door("GET", "/v1/ready", ""); status != 503 || header.Get("Retry-After") == "" {
+	if status, header, text := machines[0].admin("GET", "/v1/ready", ""); status != 503 || header.Get("Retry-After") == "" {
 		t.Fatalf("ready without a configuration: %d %s", status, text)
 	}
 	route := func(prefix, service string) string {
@@ -169,7 +169,7 @@
 	}
 	document := `{"routes":[` + route("/c/", "copper") + `,` + route("/n/", "nickel") + "],\n \"services\":[{\"service\":\"copper\",\"cold_rate\":17},{\"service\":\"nickel\",\"cold_rate\":17,\"keyed\":true}]}"
 	until(t, "the configuration is taken by the machine without a disk", func() bool {
-		status, _, text := machines[3].door("PUT", "/v1/configuration?base=0", document)
+		status, _, text := machines[3].admin("PUT", "/v1/configuration?base=0", document)
 		return status == 200 && strings.Contains(text, `"version":1`)
 	})
 	for _, c := range []struct {
@@ -191,7 +191,7 @@
 		var status int
 		var text string
 		until(t, c.name+": answered by a leader", func() bool {
-			status, _, text = machines[1].door(c.method, c.path, c.body)
+			status, _, text = machines[1].admin(c.method, c.path, c.body)
 			return status != http.StatusServiceUnavailable
 		})
 		if status != c.status || !strings.Contains(text, c.want) {
@@ -201,10 +201,10 @@
 	for i, m := range machines {
 		until(t, fmt.Sprintf("machine %d serves and is ready", i), func() bool {
 			status, text := m.ask("/c/x", "")
-			ready, _, _ := m.door("GET", "/v1/ready", "")
+			ready, _, _ := m.admin("GET", "/v1/ready", "")
 			return status == 200 && strings.HasSuffix(text, " /c/x work") && ready == 200
 		})
-		if status, header, text := m.door("GET", "/v1/configuration", ""); status != 200 || text != document || header.Get("Topazshed-Version") != "1" {
+		if status, header, text := m.admin("GET", "/v1/configuration", ""); status != 200 || text != document || header.Get("Topazshed-Version") != "1" {
 			t.Errorf("machine %d reads back %d %s", i, status, text)
 		}
 	}
@@ -218,14 +218,14 @@
 	})
 	until(t, "a directory names the machines", func() bool {
 		var match control.Match
-		status, _, text := machines[2].door("GET", "/v1/match?region=mu&district=mu-b", "")
+		status, _, text := machines[2].admin("GET", "/v1/match?region=mu&district=mu-b", "")
 		return status == 200 && json.Unmarshal([]byte(text), &match) == nil && match.LiveMS > 0 && len(match.Proxies) == 2 && strings.Contains(text, machines[1].settings.Proxy) && strings.Contains(text, machines[3].settings.Proxy)
 	})
 
 	// A district is emptied: its back ends get nothing, the standing tells why, and it comes back.
 	var before control.AssignmentsAnswer
 	machines[0].read(t, "/v1/standings/mu?service=copper", &before)
-	if status, _, text := machines[3].door("POST", "/v1/districts/mu-a/empty?reason=new+racks", ""); status != 200 {
+	if status, _, text := machines[3].admin("POST", "/v1/districts/mu-a/empty?reason=new+racks", ""); status != 200 {
 		t.Fatalf("%d %s", status, text)
 	}
 	var after control.AssignmentsAnswer
@@ -259,7 +259,7 @@
 	if status.Configuration != 1 || !status.Fit || status.Disk == nil || len(status.Voters) != 3 || status.Routed.Routes != 2 || len(status.Routed.Services) != 2 || len(status.Changes) == 0 || status.LeaderUnreachable != "" || len(status.Backends) != 3 {
 		t.Errorf("%+v, %+v", status, status.Routed)
 	}
-	if status, _, text := machines[3].door("POST", "/v1/districts/mu-a/restore", ""); status != 200 {
+	if status, _, text := machines[3].admin("POST", "/v1/districts/mu-a/restore", ""); status != 200 {
 		t.Fatalf("%d %s", status, text)
 	}
 	until(t, "the standing is back", func() bool {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,13 +39,13 @@
 
 // Node is one running process.
 type Node struct {
-	*kernel.Kernel
+	*kernel.Supervisor
 	settings *settings.Settings
 	log      *slog.Logger
 	open     func(path string) (Folder, error)
 	begun    time.Time
 	self     *schema.Node
-	core     *core.Core
+	core     *core.Machine
 	commands chan func()
 	local    atomic.Pointer[core.Local]
 	replica  *claim.Replica
@@ -68,7 +68,7 @@
 	servers        []*http.Server
 	callers        *gateway.Callers
 	fatal          chan error
-	seam           *Seam
+	platform       *Platform
 	gateway        *gateway.Gateway
 	refused        map[string]time.Duration
 }
@@ -103,14 +103,14 @@
 // Start brings a process up that speaks the product's own interface; open gives its data folder.
 func Start(s *settings.Settings, log *slog.Logger, open func(path string) (Folder, error)) (*Node, error) {
 	if s.Routes != nil {
-		return StartRouted(s, log, open, NativeSeam(s))
+		return StartRouted(s, log, open, NativePlatform(s))
 	}
 	return StartRouted(s, log, open, nil)
 }
 
 // StartRouted brings up a process of a fleet that carries routes and speaks as the seam says; without a seam it carries entries.
-func StartRouted(s *settings.Settings, log *slog.Logger, open func(path string) (Folder, error), seam *Seam) (*Node, error) {
-	n := &Node{seam: seam, refused: map[string]time.Duration{}, Kernel: kernel.New(), settings: s, log: log, open: open, begun: time.Now(), commands: make(chan func(), 4096), fatal: make(chan error, 1)}
+func StartRouted(s *settings.Settings, log *slog.Logger, open func(path string) (Folder, error), platform *Platform) (*Node, error) {
+	n := &Node{platform: platform, refused: map[string]time.Duration{}, Supervisor: kernel.New(), settings: s, log: log, open: open, begun: time.Now(), commands: make(chan func(), 4096), fatal: make(chan error, 1)}
 	n.context, n.cancel = context.WithCancel(context.Background())
 	n.local.Store(&core.Local{View: image.NewView()})
 	n.disk.Store(&control.Disk{Folder: s.Data})
@@ -126,10 +126,10 @@
 func (n *Node) Now() time.Duration { return time.Since(n.begun) + time.Hour }
 
 func (n *Node) start() error {
-	n.self = &schema.Node{Id: newID(), Address: n.settings.PeerShown, Proxy: n.settings.ProxyShow, Admin: n.settings.DoorShown, Zone: n.settings.Zone,
+	n.self = &schema.Node{Id: newID(), Address: n.settings.PeerShown, Proxy: n.settings.ProxyShow, Admin: n.settings.AdminShown, Zone: n.settings.Zone,
 		Region: n.settings.Region, Disk: n.settings.Data != "", Incarnation: uint64(time.Now().UnixMilli()), State: schema.NodeState_NODE_READY}
 	options := core.Options{Self: n.self, Seeds: n.settings.Seeds, Draw: draw, Log: n.log.With("part", "core"), Rejoin: n.settings.Rejoin, Epoch: n.begun.Add(-time.Hour)}
-	if n.seam != nil {
+	if n.platform != nil {
 		options.Routed = n.routed()
 	}
 	if n.self.Disk {
@@ -148,7 +148,7 @@
 	if err := n.core.Refused(); err != nil {
 		return err
 	}
-	if n.seam != nil {
+	if n.platform != nil {
 		return n.startRouted()
 	}
 	n.replica = claim.NewReplica(n.self.Id, options.Restart)
@@ -158,10 +158,10 @@
 	n.kept = proxy.NewKept()
 	n.executor = proxy.NewExecutor(proxy.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Want: n.want, Call: n.Call, Draw: draw, Pool: n.pool, Loads: n.loads, Kept: n.kept, Log: n.log.With("part", "proxy")})
 	finder := directory.New(directory.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Want: n.want, Draw: draw})
-	door := control.New(control.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Operate: n.operate, Stats: n.executor.Stats, Replica: n.replica.State,
+	admin := control.New(control.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Operate: n.operate, Stats: n.executor.Stats, Replica: n.replica.State,
 		Disk: func() control.Disk { return *n.disk.Load() }, Match: finder})
 	for name, service := range map[string]any{"core": n.core, "keeper": n.replica, "pool": n.pool, "loads": n.loads, "executor": n.executor, "directory": finder,
-		"door": door, "proxy": n.proxyHandler()} {
+		"door": admin, "proxy": n.proxyHandler()} {
 		if err := n.Register(name, service); err != nil {
 			return err
 		}
@@ -169,8 +169,8 @@
 	if err := n.openNetwork(); err != nil {
 		return err
 	}
-	for name, address := range map[string]string{"proxy": n.settings.Proxy, "door": n.settings.Door} {
-		handler, err := kernel.Find[http.Handler](n.Kernel, name)
+	for name, address := range map[string]string{"proxy": n.settings.Proxy, "door": n.settings.Admin} {
+		handler, err := kernel.Find[http.Handler](n.Supervisor, name)
 		if err != nil {
 			return err
 		}
@@ -183,7 +183,7 @@
 		n.tasks.Go(n.watchList)
 	}
 	n.tasks.Go(n.keep)
-	n.log.Info("started", "peer", n.settings.Peer, "proxy", n.settings.Proxy, "door", n.settings.Door, "district", n.settings.Zone, "region", n.settings.Region, "disk", n.self.Disk, "restart", options.Restart)
+	n.log.Info("started", "peer", n.settings.Peer, "proxy", n.settings.Proxy, "door", n.settings.Admin, "district", n.settings.Zone, "region", n.settings.Region, "disk", n.self.Disk, "restart", options.Restart)
 	return nil
 }
 
@@ -292,7 +292,7 @@
 
 func (n *Node) own() {
 	pace := constants.Tick
-	if n.seam != nil {
+	if n.platform != nil {
 		pace = constants.RoutedTick
 	}
 	ticker := time.NewTicker(pace)
@@ -364,7 +364,7 @@
 	local.StaleResponses += n.staleResponses.Load()
 	was := n.local.Load()
 	n.local.Store(local)
-	if n.seam != nil {
+	if n.platform != nil {
 		return
 	}
 	if was.View != local.View {
@@ -384,7 +384,7 @@
 	}
 	number, isMember, isReady, _ := n.replica.State()
 	n.core.SetReservationReplica(number, isMember && isReady)
-	n.core.SetFloor(n.loads.Floor())
+	n.core.SetOldestIndex(n.loads.Floor())
 }
 
 // call is a question to another node that waits for its answer.
@@ -409,7 +409,7 @@
 		return
 	}
 	local := n.local.Load()
-	if n.seam != nil {
+	if n.platform != nil {
 		if f.Body != nil {
 			n.do(func() { n.core.Receive(n.Now(), f) })
 		}
@@ -565,15 +565,15 @@
 }
 
 func (n *Node) watchList() {
-	client := &http.Client{Timeout: constants.RosterCall}
-	pause := constants.RosterEvery
+	client := &http.Client{Timeout: constants.ListCallTimeout}
+	pause := constants.ListReadEvery
 	for {
 		select {
 		case <-n.context.Done():
 			return
 		case <-time.After(pause):
 		}
-		pause = constants.RosterEvery
+		pause = constants.ListReadEvery
 		if n.local.Load().Role != "leader" {
 			continue
 		}
@@ -595,7 +595,7 @@
 		if fault != "" {
 			sweep.IsWhole, sweep.Reason = false, fault
 		}
-		n.do(func() { n.core.SetSweep(n.Now(), sweep) })
+		n.do(func() { n.core.SetListRead(n.Now(), sweep) })
 	}
 }
 
@@ -643,7 +643,7 @@
 	case <-ctx.Done():
 	}
 	n.stopping.Store(true)
-	if n.seam != nil {
+	if n.platform != nil {
 		return n.stopRouted()
 	}
 	n.log.Info("stopping; queries in flight are finished first")
--- a/internal/node/routed.go
+++ b/internal/node/routed.go
@@ -37,7 +37,7 @@
 }
 
 // Seam is how the outside of a routed fleet is spoken to: names, formats and calls; it decides nothing.
-type Seam struct {
+type Platform struct {
 	Names  gateway.Names
 	Bounds Bounds
 	// Districts are the deployment's, each with its region, also those without a machine.
@@ -65,22 +65,22 @@
 	// IsReady tells whether this node may get requests.
 	IsReady func() bool
 	// Door is the product's own door for directory and operators; Insight is the part of it that only reads: status and standings.
-	Door    http.Handler
+	Admin   http.Handler
 	Insight http.Handler
 }
 
 func (n *Node) routed() *core.Routed {
-	bounds := n.seam.Bounds
+	bounds := n.platform.Bounds
 	reckon := gateway.NewLoads(n.Now(), bounds.Bounds)
 	sizes := journal.Sized(n.settings.DiskBytes)
-	return &core.Routed{Fits: sizes.Fits, FitsWhole: sizes.FitsSnapshot, HoldMost: bounds.HoldMost, ListLag: bounds.ListLag, Zones: n.seam.Zones, Quiet: bounds.Quiet, ColdBearable: reckon.ColdBearable,
-		Heat:          func(span time.Duration) []*schema.ShardLoad { return n.gateway.Loads().TakeHeat(span) },
+	return &core.Routed{Fits: sizes.Fits, FitsWhole: sizes.FitsSnapshot, HoldMost: bounds.HoldMost, ListLag: bounds.ListLag, Zones: n.platform.Zones, Quiet: bounds.Quiet, ColdRate: reckon.ColdRate,
+		Load:          func(span time.Duration) []*schema.ShardLoad { return n.gateway.Loads().TakeKeyLoad(span) },
 		HealthReports: func() []*schema.HealthReport { return n.gateway.HealthReports() }}
 }
 
 func (n *Node) startRouted() error {
-	n.gateway = gateway.New(gateway.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Draw: rand.Int64N, Names: n.seam.Names, Bounds: n.seam.Bounds.Bounds,
-		Listen: n.settings.Proxy, Room: gateway.Room(debug.SetMemoryLimit(-1)), Log: n.log.With("part", "gateway")})
+	n.gateway = gateway.New(gateway.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Draw: rand.Int64N, Names: n.platform.Names, Bounds: n.platform.Bounds.Bounds,
+		Listen: n.settings.Proxy, Capacity: gateway.Capacity(debug.SetMemoryLimit(-1)), Log: n.log.With("part", "gateway")})
 	n.Push("gateway", n.gateway.Close)
 	for name, service := range map[string]any{"core": n.core, "gateway": n.gateway} {
 		if err := n.Register(name, service); err != nil {
@@ -93,17 +93,17 @@
 	outside := &Outside{Requests: n.gateway, Operate: n.operate, Resolve: n.resolve, IsReady: n.isReady}
 	options := control.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Operate: n.operate, Stats: n.gateway.Stats, Resting: func() []string { return n.gateway.Loads().Failing(n.Now()) },
 		Disk: func() control.Disk { return *n.disk.Load() }, Routed: &control.Routed{Resolve: n.resolve, IsReady: n.isReady}}
-	outside.Door, outside.Insight = control.New(options), control.NewInsight(options)
-	for address, handler := range n.seam.Serve(outside) {
+	outside.Admin, outside.Insight = control.New(options), control.NewInsight(options)
+	for address, handler := range n.platform.Serve(outside) {
 		if err := n.serve("door", address, handler); err != nil {
 			return err
 		}
 	}
 	n.tasks.Go(n.tend)
-	if n.seam.List != nil {
+	if n.platform.List != nil {
 		n.tasks.Go(n.readList)
 	}
-	n.log.Info("started", "peer", n.settings.Peer, "proxy", n.settings.Proxy, "door", n.settings.Door, "district", n.settings.Zone, "region", n.settings.Region, "disk", n.self.Disk)
+	n.log.Info("started", "peer", n.settings.Peer, "proxy", n.settings.Proxy, "door", n.settings.Admin, "district", n.settings.Zone, "region", n.settings.Region, "disk", n.self.Disk)
 	return nil
 }
 
@@ -130,7 +130,7 @@
 		own = far
 	}
 	slices.Sort(own)
-	return own[:min(len(own), constants.ResolveMost)], min(constants.ResolveTTL, n.seam.Bounds.ResolveMost)
+	return own[:min(len(own), constants.ResolveMost)], min(constants.ResolveTTL, n.platform.Bounds.ResolveMost)
 }
 
 func (n *Node) tend() {
@@ -154,7 +154,7 @@
 
 func (n *Node) readList() {
 	pause := constants.ListEvery
-	pace := roster.NewPace(n.seam.Bounds.ListRate)
+	pace := roster.NewPace(n.platform.Bounds.ListRate)
 	turn := func(ctx context.Context, refusals int, items []roster.Listed) error {
 		if begun, isDue := pace.Part(n.Now(), len(items)); isDue {
 			part := roster.Listing{BegunAt: begun, Items: slices.Clone(items)}
@@ -181,7 +181,7 @@
 			continue
 		}
 		listing := roster.Listing{BegunAt: pace.Begin(n.Now()), IsWhole: true}
-		items, calls, err := n.seam.List(n.context, turn)
+		items, calls, err := n.platform.List(n.context, turn)
 		pause = max(n.listEvery(), n.listPause(calls)-(n.Now()-listing.BegunAt))
 		if err != nil {
 			listing.IsWhole, listing.Reason = false, err.Error()
@@ -193,7 +193,7 @@
 
 // listEvery is the shortest pause between two reads: less where leaving back ends must be known sooner.
 func (n *Node) listEvery() time.Duration {
-	if within := n.seam.Bounds.DrainWithin; within > 0 {
+	if within := n.platform.Bounds.DrainWithin; within > 0 {
 		return min(constants.ListEvery, within/constants.ListDrainParts)
 	}
 	return constants.ListEvery
@@ -202,11 +202,11 @@
 // listPause is how long to wait after a read that took so many calls: a long list is read less often, since calls are paid for and bounded.
 func (n *Node) listPause(calls int) time.Duration {
 	most := constants.ListEveryMost
-	if within := n.seam.Bounds.DrainWithin; within > 0 {
+	if within := n.platform.Bounds.DrainWithin; within > 0 {
 		most = min(most, within-constants.ListRest)
 	}
 	pause := max(n.listEvery(), min(time.Duration(calls)*constants.ListPageEvery, most))
-	if rate := n.seam.Bounds.ListRate; rate > 0 {
+	if rate := n.platform.Bounds.ListRate; rate > 0 {
 		pause = max(pause, time.Duration(float64(calls)/(rate*constants.ListRateShare)*float64(time.Second)))
 	}
 	return pause
@@ -216,7 +216,7 @@
 	n.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(n.context, call.Wait)
 		defer cancel()
-		answer, err := n.seam.GrantLease(ctx, call.Call)
+		answer, err := n.platform.GrantLease(ctx, call.Call)
 		n.do(func() {
 			now := n.Now()
 			if errors.Is(err, syscall.ECONNREFUSED) {
@@ -237,7 +237,7 @@
 	n.log.Info("stopping; requests in flight are finished first")
 	n.do(func() { n.core.Stop(n.Now()) })
 	n.gateway.Stop()
-	grace := time.Duration(float64(n.seam.Bounds.StopGrace) * constants.DrainShare)
+	grace := time.Duration(float64(n.platform.Bounds.StopGrace) * constants.DrainShare)
 	linger := time.NewTimer(grace / 2)
 	defer linger.Stop()
 	select {
--- a/internal/node/routed_test.go
+++ b/internal/node/routed_test.go
@@ -100,7 +100,7 @@
 }
 
 // platform is the stand-in list and the way to the back ends' grants.
-type platform struct {
+type platformSide struct {
 	lock   sync.Mutex
 	items  []roster.Listed
 	owners map[string]*ownerStandIn
@@ -108,7 +108,7 @@
 	leases atomic.Int64
 }
 
-func (p *platform) list(ctx context.Context, turn node.Turn) ([]roster.Listed, int, error) {
+func (p *platformSide) list(ctx context.Context, turn node.Turn) ([]roster.Listed, int, error) {
 	if err := turn(ctx, 0, nil); err != nil {
 		return nil, 0, err
 	}
@@ -118,7 +118,7 @@
 	return append([]roster.Listed(nil), p.items...), 1, nil
 }
 
-func (p *platform) lease(_ context.Context, call keys.Call) (keys.Answer, error) {
+func (p *platformSide) lease(_ context.Context, call keys.Call) (keys.Answer, error) {
 	h := p.owners[call.Instance]
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -163,18 +163,18 @@
 	return listener.Addr().String()
 }
 
-func (p *platform) start(t *testing.T, s *settings.Settings) *machine {
+func (p *platformSide) start(t *testing.T, s *settings.Settings) *machine {
 	t.Helper()
 	m := &machine{settings: s, ended: make(chan error, 1)}
-	seam := &node.Seam{Names: names, GrantLease: p.lease, Serve: func(o *node.Outside) map[string]http.Handler {
+	platform := &node.Platform{Names: names, GrantLease: p.lease, Serve: func(o *node.Outside) map[string]http.Handler {
 		m.outside = o
 		return map[string]http.Handler{s.Proxy: o.Requests}
 	}, Bounds: node.Bounds{Bounds: gateway.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 60, ColdExcess: 1.5, ColdMargin: 5},
 		HoldMost: 10 * time.Second, ListLag: 100 * time.Millisecond, StopGrace: 1500 * time.Millisecond, ResolveMost: 5 * time.Second}}
 	if s.Data != "" {
-		seam.List = p.list
+		platform.List = p.list
 	}
-	n, err := node.StartRouted(s, slog.New(slog.DiscardHandler), node.OpenFolder, seam)
+	n, err := node.StartRouted(s, slog.New(slog.DiscardHandler), node.OpenFolder, platform)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,7 +224,7 @@
 
 func TestRoutedFleet(t *testing.T) {
 	copper, nickel1, nickel2 := newOwner(t, "c-1", false), newOwner(t, "n-1", true), newOwner(t, "n-2", true)
-	p := &platform{owners: map[string]*ownerStandIn{"c-1": copper, "n-1": nickel1, "n-2": nickel2}, items: []roster.Listed{
+	p := &platformSide{owners: map[string]*ownerStandIn{"c-1": copper, "n-1": nickel1, "n-2": nickel2}, items: []roster.Listed{
 		{Service: "copper", Instance: "c-1", Address: copper.address(), Zone: "mu-a", Slots: 6},
 		{Service: "nickel", Instance: "n-1", Address: nickel1.address(), Zone: "mu-a", Slots: 6},
 		{Service: "nickel", Instance: "n-2", Address: nickel2.address(), Zone: "mu-b", Slots: 6}}}
@@ -233,8 +233,8 @@
 	var seeds []string
 	for i := range 4 {
 		ip := fmt.Sprintf("127.0.77.%d", i+1)
-		s := &settings.Settings{Peer: free(t, ip), Proxy: free(t, ip), Door: ip + ":1", Zone: []string{"mu-a", "mu-b", "xi-a", "mu-a"}[i], Region: []string{"mu", "mu", "xi", "mu"}[i], DiskBytes: 16 << 20}
-		s.PeerShown, s.ProxyShow, s.DoorShown = s.Peer, s.Proxy, s.Door
+		s := &settings.Settings{Peer: free(t, ip), Proxy: free(t, ip), Admin: ip + ":1", Zone: []string{"mu-a", "mu-b", "xi-a", "mu-a"}[i], Region: []string{"mu", "mu", "xi", "mu"}[i], DiskBytes: 16 << 20}
+		s.PeerShown, s.ProxyShow, s.AdminShown = s.Peer, s.Proxy, s.Admin
 		if i < 3 {
 			s.Data = t.TempDir()
 			seeds = append(seeds, s.Peer)
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -117,7 +117,7 @@
 }
 
 // MayBegin holds a cold back end to this proxy's part of a rising rate and counts the leg where it may begin; the part is asked for only then.
-func (l *Loads) MayBegin(now time.Duration, backend *schema.Backend, ask func() Part, bearable uint32) bool {
+func (l *Loads) MayBegin(now time.Duration, backend *schema.Backend, ask func() Part, coldRate uint32) bool {
 	s, free := l.in(backend.Instance)
 	defer free()
 	at, isBack := s.back[backend.Instance]
@@ -139,7 +139,7 @@
 	for len(r.begun) > 0 && now-r.begun[0] >= time.Second+constants.ColdMargin {
 		r.begun = r.begun[1:]
 	}
-	rate := float64(bearable) * (1 + float64(age)/float64(constants.ColdRamp))
+	rate := float64(coldRate) * (1 + float64(age)/float64(constants.ColdRamp))
 	part := ask()
 	allowed := part.Share(int(rate))
 	if share := rate / float64(max(1, part.Of)); share < 1 {
--- a/internal/proxy/course_test.go
+++ b/internal/proxy/course_test.go
@@ -128,10 +128,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := base(backend("l-1", "north-a"))
-			w.put("", image.Put(image.EntryKey("ledger", "/keyed"), &schema.Entry{Service: "ledger", Path: "/keyed", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, Keyed: true, ResponseLimit: 4096, ColdRate: 6}))
-			w.put("", image.Put(image.AssignmentKey("ledger", "/keyed", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/keyed", Region: "north", Number: 100}))
-			w.put("", image.Put(image.EntityKey("ledger", "/keyed"), &schema.Entity{Service: "ledger", Path: "/keyed", Region: "north", Number: 101}))
-			w.put("", image.Put(image.SlotKey("ledger", Slot("k")), &schema.ShardSlot{Service: "ledger", Slot: Slot("k"), Instance: "l-1", Number: 1}))
+			w.put("", image.EncodeRow(image.EntryKey("ledger", "/keyed"), &schema.Entry{Service: "ledger", Path: "/keyed", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, Keyed: true, ResponseLimit: 4096, ColdRate: 6}))
+			w.put("", image.EncodeRow(image.AssignmentKey("ledger", "/keyed", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/keyed", Region: "north", Number: 100}))
+			w.put("", image.EncodeRow(image.EntityKey("ledger", "/keyed"), &schema.Entity{Service: "ledger", Path: "/keyed", Region: "north", Number: 101}))
+			w.put("", image.EncodeRow(image.ShardSlotKey("ledger", Slot("k")), &schema.ShardSlot{Service: "ledger", Slot: Slot("k"), Instance: "l-1", Number: 1}))
 			now := noon
 			loads, kept := NewLoads(func() time.Duration { return now }), NewKept()
 			local := fresh(w.view())
--- a/internal/proxy/decider.go
+++ b/internal/proxy/decider.go
@@ -46,7 +46,7 @@
 type Load interface {
 	InFlight(instance string) int
 	IsBad(instance string) bool
-	MayBegin(now time.Duration, backend *schema.Backend, part func() Part, bearable uint32) bool
+	MayBegin(now time.Duration, backend *schema.Backend, part func() Part, coldRate uint32) bool
 	KeyInFlight(service, key string) (ofKey, ofAll int)
 }
 
@@ -90,7 +90,7 @@
 		}
 		return nil, park("unready", "this proxy has no fresh state; ask the directory for another", "")
 	}
-	if !local.IsFull && !local.Held[image.ServicePrefix(service)] {
+	if !local.IsFull && !local.HeldPrefixes[image.ServicePrefix(service)] {
 		return nil, park("unready", "the service's state is not here yet; send again", service)
 	}
 	known := local.View.Services[service]
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -34,22 +34,22 @@
 func base(backends ...*schema.Backend) *world {
 	w := &world{}
 	for i, name := range []string{"north", "south"} {
-		w.put("", image.Put(image.RegionKey(name), &schema.Region{Name: name, Residue: uint32(2*i + 1)}))
+		w.put("", image.EncodeRow(image.RegionKey(name), &schema.Region{Name: name, Residue: uint32(2*i + 1)}))
 	}
 	for i, name := range []string{"north-a", "north-b", "south-a"} {
 		region, _, _ := strings.Cut(name, "-")
-		w.put("", image.Put(image.ZoneKey(name), &schema.Zone{Name: name, Region: region, Residue: uint32(2 * i)}))
-		w.put("", image.Put(image.NodeKey("n"+name), &schema.Node{Id: "n" + name, Zone: name, Region: region, Proxy: name + ":1", State: schema.NodeState_NODE_READY}))
-	}
-	w.put("", image.Put(image.EntryKey("ledger", "/balances"), &schema.Entry{Service: "ledger", Path: "/balances", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, BodyLimit: 64, ResponseLimit: 4096, ColdRate: 6}))
-	w.put("", image.Put(image.EntryKey("ledger", "/pay"), &schema.Entry{Service: "ledger", Path: "/pay", Methods: []string{"POST"}, BodyLimit: 64, ResponseLimit: 4096, ColdRate: 6}))
-	w.put("", image.Put(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 100}))
-	w.put("", image.Put(image.AssignmentKey("ledger", "/balances", "south"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "south", Number: 101}))
-	w.put("", image.Put(image.AssignmentKey("ledger", "/pay", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/pay", Region: "north", Number: 100}))
-	w.put("", image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 101}))
-	w.put("", image.Put(image.ReplicaSetKey("north"), &schema.ReplicaSet{Region: "north", Number: 1, Members: []*schema.Member{{Id: "k1", Address: "k1"}, {Id: "k2", Address: "k2"}, {Id: "k3", Address: "k3"}}}))
+		w.put("", image.EncodeRow(image.ZoneKey(name), &schema.Zone{Name: name, Region: region, Residue: uint32(2 * i)}))
+		w.put("", image.EncodeRow(image.NodeKey("n"+name), &schema.Node{Id: "n" + name, Zone: name, Region: region, Proxy: name + ":1", State: schema.NodeState_NODE_READY}))
+	}
+	w.put("", image.EncodeRow(image.EntryKey("ledger", "/balances"), &schema.Entry{Service: "ledger", Path: "/balances", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, BodyLimit: 64, ResponseLimit: 4096, ColdRate: 6}))
+	w.put("", image.EncodeRow(image.EntryKey("ledger", "/pay"), &schema.Entry{Service: "ledger", Path: "/pay", Methods: []string{"POST"}, BodyLimit: 64, ResponseLimit: 4096, ColdRate: 6}))
+	w.put("", image.EncodeRow(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 100}))
+	w.put("", image.EncodeRow(image.AssignmentKey("ledger", "/balances", "south"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "south", Number: 101}))
+	w.put("", image.EncodeRow(image.AssignmentKey("ledger", "/pay", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/pay", Region: "north", Number: 100}))
+	w.put("", image.EncodeRow(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 101}))
+	w.put("", image.EncodeRow(image.ReplicaSetKey("north"), &schema.ReplicaSet{Region: "north", Number: 1, Members: []*schema.Member{{Id: "k1", Address: "k1"}, {Id: "k2", Address: "k2"}, {Id: "k3", Address: "k3"}}}))
 	for _, b := range backends {
-		w.put("", image.Put(image.BackendKey(b.Service, b.Instance), b))
+		w.put("", image.EncodeRow(image.BackendKey(b.Service, b.Instance), b))
 	}
 	return w
 }
@@ -112,12 +112,12 @@
 		{"another group's query is forwarded", base(all...), func(s *Situation) { s.Request.Origin.Region = "south" }, safe(), TurnAttempt, "", "l-1"},
 		{"to the group that the number names", func() *world {
 			w := base(all...)
-			w.put("", image.Put(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
+			w.put("", image.EncodeRow(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 			return w
 		}(), nil, safe(), TurnForward, "", ""},
 		{"but a forwarded one is never forwarded again", func() *world {
 			w := base(all...)
-			w.put("", image.Put(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
+			w.put("", image.EncodeRow(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 			return w
 		}(), func(s *Situation) { s.Request.Forwarded = standing.Trail{100}; s.Parked = constants.ParkMost }, safe(), TurnRefuse, "moved", ""},
 		{"a higher forwarded number waits for the image", base(all...), func(s *Situation) { s.Request.Forwarded = standing.Trail{200} }, safe(), TurnPark, "", ""},
@@ -126,19 +126,19 @@
 		{"it needs a live grant", base(all...), func(s *Situation) { s.Local.LeaseUntil = noon; s.IsReserved = true }, unsafe(), TurnPark, "", ""},
 		{"and an open fence", func() *world {
 			w := base(all...)
-			w.put("", image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Fenced: true}))
+			w.put("", image.EncodeRow(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Fenced: true}))
 			return w
 		}(), func(s *Situation) { s.IsReserved = true }, unsafe(), TurnPark, "", ""},
 		{"an old fence is told at once, with when to come back", func() *world {
 			w := base(all...)
-			w.put("", image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Fenced: true}))
+			w.put("", image.EncodeRow(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Fenced: true}))
 			return w
 		}(), func(s *Situation) {
 			s.Local.Fences = map[string]time.Duration{image.EntityKey("ledger", "/pay"): noon - 2*time.Second}
 		}, unsafe(), TurnRefuse, "fenced", ""},
 		{"an id that is older than its entry's move is doubtful", func() *world {
 			w := base(all...)
-			w.put("", image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Far: true}))
+			w.put("", image.EncodeRow(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Far: true}))
 			return w
 		}(), func(s *Situation) {
 			s.FirstSent = noon - time.Minute
@@ -146,7 +146,7 @@
 		}, unsafe(), TurnRefuse, "attempt-old", ""},
 		{"a younger one is claimed", func() *world {
 			w := base(all...)
-			w.put("", image.Put(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Far: true}))
+			w.put("", image.EncodeRow(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Far: true}))
 			return w
 		}(), func(s *Situation) {
 			s.FirstSent = noon - time.Second
@@ -155,7 +155,7 @@
 		{"a region's origin does not fit a bound entry", base(all...), func(s *Situation) { s.Request.Origin = standing.Origin{Region: "north"} }, unsafe(), TurnRefuse, "bad-origin", ""},
 		{"an emptied district serves nothing", func() *world {
 			w := base(all...)
-			w.put("", image.Put(image.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Emptied: true}))
+			w.put("", image.EncodeRow(image.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Emptied: true}))
 			return w
 		}(), nil, safe(), TurnPark, "", ""},
 		{"a draining back end gets nothing", base(func() *schema.Backend {
@@ -500,8 +500,8 @@
 	defer server.Close()
 	x := executor(t)
 	w := base()
-	w.put("", image.Put(image.NodeKey("nnorth-b"), &schema.Node{Id: "nnorth-b", Zone: "north-b", Region: "north", Proxy: strings.TrimPrefix(server.URL, "http://"), State: schema.NodeState_NODE_READY}))
-	w.put("", image.Put(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
+	w.put("", image.EncodeRow(image.NodeKey("nnorth-b"), &schema.Node{Id: "nnorth-b", Zone: "north-b", Region: "north", Proxy: strings.TrimPrefix(server.URL, "http://"), State: schema.NodeState_NODE_READY}))
+	w.put("", image.EncodeRow(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 	view, now := w.view(), x.options.Now
 	x.options.Local = func() *core.Local {
 		l := fresh(view)
--- a/internal/quorum/election.go
+++ b/internal/quorum/election.go
@@ -9,7 +9,7 @@
 // Elections: pre-votes, votes, and the lead handed to another member.
 
 // Handover asks the best follower to lead instead.
-func (q *Quorum) Handover(now time.Duration) bool {
+func (q *Node) Handover(now time.Duration) bool {
 	q.now = now
 	if q.role != Leader || q.passing != "" {
 		return q.passing != ""
@@ -29,7 +29,7 @@
 	return true
 }
 
-func (q *Quorum) campaign(isPre, isHandover bool) {
+func (q *Node) campaign(isPre, isHandover bool) {
 	q.leader = ""
 	q.become(Candidate)
 	q.isPre = isPre
@@ -49,7 +49,7 @@
 	q.count()
 }
 
-func (q *Quorum) count() {
+func (q *Node) count() {
 	yes := 0
 	voters := q.Members().Voters
 	for _, m := range voters {
@@ -67,7 +67,7 @@
 	q.become(Leader)
 }
 
-func (q *Quorum) isNewEnough(m *schema.Raft) bool {
+func (q *Node) isNewEnough(m *schema.Raft) bool {
 	term, _ := q.termAt(q.last())
 	return m.LogTerm > term || m.LogTerm == term && m.Index >= q.last()
 }
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -69,7 +69,7 @@
 }
 
 // Quorum is one member's machine.
-type Quorum struct {
+type Node struct {
 	options     Options
 	id          string
 	term        uint64
@@ -107,11 +107,11 @@
 }
 
 // New restores a member from what its journal held.
-func New(now time.Duration, options Options) *Quorum {
+func New(now time.Duration, options Options) *Node {
 	if options.Pace == (Pace{}) {
 		options.Pace = Pace{constants.RaftHeartbeat, constants.RaftElectionLeast, constants.RaftElectionSpread}
 	}
-	q := &Quorum{options: options, id: options.ID, base: &schema.Members{}, others: map[string]*progress{}, sentAt: map[uint64]time.Duration{}, now: now}
+	q := &Node{options: options, id: options.ID, base: &schema.Members{}, others: map[string]*progress{}, sentAt: map[uint64]time.Duration{}, now: now}
 	if options.Hard != nil {
 		q.term, q.vote = options.Hard.Term, options.Hard.Vote
 	}
@@ -131,22 +131,22 @@
 }
 
 // Found makes the first member the only voter of a new system.
-func (q *Quorum) Found(now time.Duration, record *schema.Record) {
+func (q *Node) Found(now time.Duration, record *schema.Record) {
 	q.now = now
 	q.term, q.vote = 1, q.id
 	q.append(record)
 	q.become(Leader)
 }
 
-func (q *Quorum) hard() *schema.HardState { return &schema.HardState{Term: q.term, Vote: q.vote} }
+func (q *Node) hard() *schema.HardState { return &schema.HardState{Term: q.term, Vote: q.vote} }
 
-func (q *Quorum) reset(now time.Duration) {
+func (q *Node) reset(now time.Duration) {
 	q.deadline = now + q.options.Pace.ElectionLeast + time.Duration(q.options.Draw(int64(q.options.Pace.ElectionSpread)))
 }
 
-func (q *Quorum) last() uint64 { return q.first + uint64(len(q.items)) }
+func (q *Node) last() uint64 { return q.first + uint64(len(q.items)) }
 
-func (q *Quorum) termAt(index uint64) (uint64, bool) {
+func (q *Node) termAt(index uint64) (uint64, bool) {
 	switch {
 	case index == q.first:
 		return q.firstTerm, true
@@ -157,12 +157,12 @@
 }
 
 // Members are the newest in the log, committed or not.
-func (q *Quorum) Members() *schema.Members {
+func (q *Node) Members() *schema.Members {
 	members, _ := q.membersAt()
 	return members
 }
 
-func (q *Quorum) membersAt() (*schema.Members, uint64) {
+func (q *Node) membersAt() (*schema.Members, uint64) {
 	for i := len(q.items) - 1; i >= 0; i-- {
 		if q.items[i].Record.Kind == schema.RecordKind_RECORD_MEMBERS {
 			return q.items[i].Record.Members, q.items[i].Index
@@ -172,36 +172,36 @@
 }
 
 // MembersIndex is where in the log the newest members stand; 0 or the snapshot's index where no record of the log tells them.
-func (q *Quorum) MembersIndex() uint64 {
+func (q *Node) MembersIndex() uint64 {
 	_, at := q.membersAt()
 	return at
 }
 
 // IsVoter tells whether an id may vote.
-func (q *Quorum) IsVoter(id string) bool { return holds(q.Members().Voters, id) }
+func (q *Node) IsVoter(id string) bool { return holds(q.Members().Voters, id) }
 
 func holds(members []*schema.Member, id string) bool {
 	return slices.ContainsFunc(members, func(m *schema.Member) bool { return m.Id == id })
 }
 
 // Role, leader, term and progress of this member.
-func (q *Quorum) Role() Role       { return q.role }
-func (q *Quorum) LeaderID() string { return q.leader }
-func (q *Quorum) Term() uint64     { return q.term }
-func (q *Quorum) Commit() uint64   { return q.commit }
-func (q *Quorum) Last() uint64     { return q.last() }
+func (q *Node) Role() Role       { return q.role }
+func (q *Node) LeaderID() string { return q.leader }
+func (q *Node) Term() uint64     { return q.term }
+func (q *Node) Commit() uint64   { return q.commit }
+func (q *Node) Last() uint64     { return q.last() }
 
 // LogBytes is the size of the log in memory.
-func (q *Quorum) LogBytes() int { return q.logBytes }
+func (q *Node) LogBytes() int { return q.logBytes }
 
 // First is the index of the image below the log in memory.
-func (q *Quorum) First() uint64 { return q.first }
+func (q *Node) First() uint64 { return q.first }
 
 // ElectedAt is when this leader was elected.
-func (q *Quorum) ElectedAt() time.Duration { return q.electedAt }
+func (q *Node) ElectedAt() time.Duration { return q.electedAt }
 
 // Heard is when a member last answered this leader.
-func (q *Quorum) Heard(id string) time.Duration {
+func (q *Node) Heard(id string) time.Duration {
 	if p := q.others[id]; p != nil {
 		return p.heard
 	}
@@ -209,7 +209,7 @@
 }
 
 // Match is how far a member's disk is known to be.
-func (q *Quorum) Match(id string) uint64 {
+func (q *Node) Match(id string) uint64 {
 	if p := q.others[id]; p != nil {
 		return p.match
 	}
@@ -217,17 +217,17 @@
 }
 
 // Settled tells whether this leader has committed an item of its own term.
-func (q *Quorum) Settled() bool {
+func (q *Node) Settled() bool {
 	term, _ := q.termAt(q.commit)
 	return q.role == Leader && term == q.term
 }
 
-func (q *Quorum) send(m *schema.Raft) {
+func (q *Node) send(m *schema.Raft) {
 	m.From, m.Term = q.id, max(m.Term, q.term)
 	q.ready.Messages = append(q.ready.Messages, m)
 }
 
-func (q *Quorum) peers() []*schema.Member {
+func (q *Node) peers() []*schema.Member {
 	members := q.Members()
 	var peers []*schema.Member
 	for _, m := range slices.Concat(members.Voters, members.Learners) {
@@ -238,7 +238,7 @@
 	return peers
 }
 
-func (q *Quorum) become(role Role) {
+func (q *Node) become(role Role) {
 	if q.role == Leader && role != Leader {
 		for _, r := range q.reads {
 			q.ready.LostReads = append(q.ready.LostReads, r.ticket)
@@ -261,7 +261,7 @@
 	}
 }
 
-func (q *Quorum) step(term uint64, leader string) {
+func (q *Node) step(term uint64, leader string) {
 	if term > q.term {
 		q.term, q.vote = term, ""
 	}
@@ -284,7 +284,7 @@
 }
 
 // Tick tells the machine the time.
-func (q *Quorum) Tick(now time.Duration) {
+func (q *Node) Tick(now time.Duration) {
 	q.now = now
 	if q.role == Leader {
 		if now-q.heartbeatAt >= q.options.Pace.Heartbeat {
@@ -315,7 +315,7 @@
 }
 
 // Receive takes a message from another member.
-func (q *Quorum) Receive(now time.Duration, m *schema.Raft) {
+func (q *Node) Receive(now time.Duration, m *schema.Raft) {
 	q.now = now
 	if m.To != q.id {
 		return
@@ -382,7 +382,7 @@
 }
 
 // Describe fills index, term and members of an image taken at the applied index.
-func (q *Quorum) Describe(snapshot *schema.Snapshot) {
+func (q *Node) Describe(snapshot *schema.Snapshot) {
 	snapshot.Index = q.handed
 	snapshot.Term, _ = q.termAt(q.handed)
 	snapshot.Members = q.base
@@ -394,7 +394,7 @@
 }
 
 // Take gives the work that is due; the shell calls Synced once its disk has it.
-func (q *Quorum) Take() Ready {
+func (q *Node) Take() Ready {
 	ready := q.ready
 	q.ready = Ready{}
 	if hard := q.hard(); !proto.Equal(hard, q.synced) {
@@ -412,7 +412,7 @@
 }
 
 // Synced tells that everything of a Ready is on disk.
-func (q *Quorum) Synced(now time.Duration, ready Ready) {
+func (q *Node) Synced(now time.Duration, ready Ready) {
 	q.now = now
 	if ready.Hard != nil {
 		q.synced = &schema.HardState{Term: ready.Hard.Term, Vote: ready.Hard.Vote}
@@ -431,7 +431,7 @@
 
 // Committed gives the items to apply next. They are on the disks of a majority, though perhaps not on this one yet;
 // none follow an image that is still to be installed.
-func (q *Quorum) Committed() []*schema.LogItem {
+func (q *Node) Committed() []*schema.LogItem {
 	until := q.commit
 	if until <= q.handed || q.isBehind {
 		return nil
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -17,13 +17,13 @@
 	return items
 }
 
-func member(id string, hard *schema.HardState, items []*schema.LogItem) *Quorum {
+func member(id string, hard *schema.HardState, items []*schema.LogItem) *Node {
 	q := New(time.Hour, Options{ID: id, Hard: hard, Items: items, Draw: func(int64) int64 { return 0 }, Whole: func() *schema.Snapshot { return &schema.Snapshot{} }})
 	q.Synced(time.Hour, q.Take())
 	return q
 }
 
-func last(q *Quorum) *schema.Raft {
+func last(q *Node) *schema.Raft {
 	ready := q.Take()
 	q.Synced(q.now, ready)
 	if len(ready.Messages) == 0 {
@@ -112,7 +112,7 @@
 	}
 }
 
-func elect(t *testing.T) *Quorum {
+func elect(t *testing.T) *Node {
 	t.Helper()
 	q := member("a", &schema.HardState{Term: 2}, log(1, 2))
 	q.Tick(time.Hour + constants.RaftElectionLeast)
@@ -127,7 +127,7 @@
 	return q
 }
 
-func ack(q *Quorum, from string, index, round uint64) {
+func ack(q *Node, from string, index, round uint64) {
 	q.Receive(q.now, &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, From: from, To: "a", Term: 3, Index: index, Round: round})
 	last(q)
 }
--- a/internal/quorum/read.go
+++ b/internal/quorum/read.go
@@ -8,7 +8,7 @@
 // Reads: a majority confirms that this member still leads, so that its state is the newest.
 
 // Contact is the latest instant at which a majority certainly still followed this leader.
-func (q *Quorum) Contact() time.Duration {
+func (q *Node) Contact() time.Duration {
 	if q.role != Leader {
 		return 0
 	}
@@ -23,7 +23,7 @@
 	return 0
 }
 
-func (q *Quorum) majority(measure func(*progress) uint64, own uint64) uint64 {
+func (q *Node) majority(measure func(*progress) uint64, own uint64) uint64 {
 	var values []uint64
 	for _, m := range q.Members().Voters {
 		if m.Id == q.id {
@@ -42,7 +42,7 @@
 }
 
 // Read asks for a moment at which this leader's state is certainly the newest.
-func (q *Quorum) Read(now time.Duration, ticket uint64) error {
+func (q *Node) Read(now time.Duration, ticket uint64) error {
 	q.now = now
 	if !q.Settled() {
 		return &NotLeaderError{q.leader}
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (q *Quorum) confirm() {
+func (q *Node) confirm() {
 	round := q.majority(func(p *progress) uint64 { return p.ackRound }, q.round)
 	rest := q.reads[:0]
 	for _, r := range q.reads {
--- a/internal/quorum/replication.go
+++ b/internal/quorum/replication.go
@@ -11,7 +11,7 @@
 
 // Replication: the leader sends its log, followers take it, and what a majority has on disk is committed.
 
-func (q *Quorum) append(record *schema.Record) uint64 {
+func (q *Node) append(record *schema.Record) uint64 {
 	item := &schema.LogItem{Index: q.last() + 1, Term: q.term, Record: record}
 	q.items = append(q.items, item)
 	q.logBytes += proto.Size(item)
@@ -20,7 +20,7 @@
 }
 
 // Propose appends a record at the leader and tells its index and term.
-func (q *Quorum) Propose(now time.Duration, record *schema.Record) (uint64, uint64, error) {
+func (q *Node) Propose(now time.Duration, record *schema.Record) (uint64, uint64, error) {
 	q.now = now
 	if q.role != Leader || q.passing != "" {
 		return 0, 0, &NotLeaderError{q.leader}
@@ -36,7 +36,7 @@
 	return index, q.term, nil
 }
 
-func (q *Quorum) broadcast() {
+func (q *Node) broadcast() {
 	q.round++
 	q.heartbeatAt = q.now
 	q.sentAt[q.round] = q.now
@@ -46,7 +46,7 @@
 	}
 }
 
-func (q *Quorum) replicate(id string) {
+func (q *Node) replicate(id string) {
 	p := q.others[id]
 	if p == nil {
 		p = &progress{next: q.last() + 1, heard: q.now, isProbing: true}
@@ -77,7 +77,7 @@
 	q.send(m)
 }
 
-func (q *Quorum) advance() {
+func (q *Node) advance() {
 	if q.role != Leader {
 		return
 	}
@@ -93,7 +93,7 @@
 	}
 }
 
-func (q *Quorum) follow(m *schema.Raft) {
+func (q *Node) follow(m *schema.Raft) {
 	if q.role != Follower {
 		q.become(Follower)
 	}
@@ -101,7 +101,7 @@
 	q.reset(q.now)
 }
 
-func (q *Quorum) accept(m *schema.Raft) {
+func (q *Node) accept(m *schema.Raft) {
 	response := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round}
 	items := m.Items
 	index, logTerm := m.Index, m.LogTerm
@@ -151,7 +151,7 @@
 	q.send(response)
 }
 
-func (q *Quorum) install(m *schema.Raft) {
+func (q *Node) install(m *schema.Raft) {
 	response := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round, Index: m.Snapshot.Index}
 	if m.Snapshot.Index <= q.commit {
 		response.Index = q.commit
@@ -166,7 +166,7 @@
 	q.send(response)
 }
 
-func (q *Quorum) acknowledge(m *schema.Raft) {
+func (q *Node) acknowledge(m *schema.Raft) {
 	p := q.others[m.From]
 	if q.role != Leader || p == nil {
 		return
--- a/internal/quorum/snapshot.go
+++ b/internal/quorum/snapshot.go
@@ -38,7 +38,7 @@
 }
 
 // encode gives the snapshot to send: the one that others are being sent, as long as the log goes on from it.
-func (q *Quorum) encode() *encodedSnapshot {
+func (q *Node) encode() *encodedSnapshot {
 	if q.encoded != nil && q.encoded.index >= q.first {
 		return q.encoded
 	}
@@ -52,7 +52,7 @@
 }
 
 // sendSnapshot sends the next parts to a follower whose next item the log has no more.
-func (q *Quorum) sendSnapshot(id string, p *progress) {
+func (q *Node) sendSnapshot(id string, p *progress) {
 	if !p.takesParts {
 		q.sendWhole(id, p)
 		return
@@ -78,7 +78,7 @@
 }
 
 // sendWhole sends a snapshot in one message, to members of a program that knows no parts.
-func (q *Quorum) sendWhole(id string, p *progress) {
+func (q *Node) sendWhole(id string, p *progress) {
 	if q.now-p.snapshotAt < q.options.Pace.ElectionLeast && p.snapshotAt > 0 {
 		return
 	}
@@ -87,7 +87,7 @@
 }
 
 // confirmPart takes a follower's word of how much of a snapshot it has. One that was started again has less than it had confirmed.
-func (q *Quorum) confirmPart(m *schema.Raft) {
+func (q *Node) confirmPart(m *schema.Raft) {
 	p := q.others[m.From]
 	if q.role != Leader || p == nil {
 		return
@@ -106,7 +106,7 @@
 }
 
 // endTransfers forgets what no follower needs any more.
-func (q *Quorum) endTransfers() {
+func (q *Node) endTransfers() {
 	isNeeded := false
 	for _, p := range q.others {
 		if p.transfer != nil && p.next > q.first {
@@ -120,7 +120,7 @@
 }
 
 // takePart adds a part to the snapshot that is being received, and installs it once it is whole.
-func (q *Quorum) takePart(m *schema.Raft) {
+func (q *Node) takePart(m *schema.Raft) {
 	part := m.GetPart()
 	if part == nil || part.Size > constants.SnapshotBytesMost || part.Offset+uint64(len(part.Payload)) > part.Size {
 		return
@@ -152,7 +152,7 @@
 
 // keepFrom is the lowest item to keep when the log is dropped up to an index: some behind it, by count and by bytes, and all that a follower needs
 // to go on from the snapshot that it is being sent.
-func (q *Quorum) keepFrom(index uint64) uint64 {
+func (q *Node) keepFrom(index uint64) uint64 {
 	keep := index
 	for bytes := 0; keep > q.first && index-keep < constants.RaftKeepItems; keep-- {
 		if bytes += proto.Size(q.items[keep-q.first-1]); bytes > constants.RaftKeepBytes {
@@ -167,7 +167,7 @@
 	return keep
 }
 
-func (q *Quorum) bytesFrom(index uint64) int {
+func (q *Node) bytesFrom(index uint64) int {
 	bytes := 0
 	for _, item := range q.items[max(index, q.first)-q.first:] {
 		bytes += proto.Size(item)
@@ -176,7 +176,7 @@
 }
 
 // Compact drops the log that a snapshot on disk covers up to an index, but for what followers may still need.
-func (q *Quorum) Compact(index uint64) {
+func (q *Node) Compact(index uint64) {
 	if index > q.handed {
 		return
 	}
--- a/internal/quorum/walk_test.go
+++ b/internal/quorum/walk_test.go
@@ -40,7 +40,7 @@
 // walker is one member with its disk and what it is writing.
 type walker struct {
 	name     string
-	quorum   *Quorum
+	quorum   *Node
 	rate     float64
 	isUp     bool
 	hard     *schema.HardState
@@ -284,7 +284,7 @@
 }
 
 // dropTo drops the log up to an index, also the records that Compact would keep for followers that are a little behind.
-func dropTo(q *Quorum, index uint64) {
+func dropTo(q *Node, index uint64) {
 	term, _ := q.termAt(index)
 	members := q.base
 	for _, item := range q.items[:index-q.first] {
--- a/internal/roster/jury.go
+++ b/internal/roster/jury.go
@@ -35,16 +35,18 @@
 
 // Jury decides for a routed fleet which back ends are failing, by what nodes tell of their own attempts. A node that meets one seldom so gains by the others' losses.
 // It is a pure state machine of the leader; a new leader's takes over the rows that it finds.
-type Jury struct {
+type OutlierQuorum struct {
 	votes  map[string]map[string]vote
 	trials map[string]*trial
 }
 
 // NewJury makes one without votes.
-func NewJury() *Jury { return &Jury{votes: map[string]map[string]vote{}, trials: map[string]*trial{}} }
+func NewOutlierQuorum() *OutlierQuorum {
+	return &OutlierQuorum{votes: map[string]map[string]vote{}, trials: map[string]*trial{}}
+}
 
 // Report takes what a node tells of the back ends that failed it, or that served it although they are failing, since it last told.
-func (j *Jury) Report(now time.Duration, node, zone string, healthReports []*schema.HealthReport) {
+func (j *OutlierQuorum) Report(now time.Duration, node, zone string, healthReports []*schema.HealthReport) {
 	for _, healthReport := range healthReports {
 		id := healthReport.Instance
 		if !healthReport.Failing {
@@ -61,7 +63,7 @@
 }
 
 // Plan gives the record that brings the rows in line with the verdicts, or nil.
-func (j *Jury) Plan(now time.Duration, view *image.View, table *image.Table) *schema.Record {
+func (j *OutlierQuorum) Plan(now time.Duration, view *image.View, table *image.Table) *schema.Record {
 	if len(j.votes) == 0 && len(j.trials) == 0 && !hasFailing(view) {
 		return nil
 	}
@@ -88,15 +90,15 @@
 				doubted++
 			}
 		}
-		needed := min(constants.JuryVotes, max(1, count(ready)/2))
-		if doubted*100 > open*constants.JuryFloor {
+		needed := min(constants.EjectionVotes, max(1, count(ready)/2))
+		if doubted*100 > open*constants.OutlierQuorumFloor {
 			needed *= 2
 		}
 		for _, backend := range service.Backends {
 			if backend.State != schema.BackendState_BACKEND_READY || backend.Cold {
 				continue
 			}
-			t := j.step(now, backend, service.Policy.GetKeyed(), ready, needed, failing*100 < open*constants.JuryFloor)
+			t := j.step(now, backend, service.Policy.GetKeyed(), ready, needed, failing*100 < open*constants.OutlierQuorumFloor)
 			if t == nil {
 				continue
 			}
@@ -115,13 +117,13 @@
 			if !proto.Equal(backend, fresh) {
 				key := image.BackendKey(name, backend.Instance)
 				record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: table.Get(key).GetIndex()})
-				record.Rows = append(record.Rows, image.Put(key, fresh))
+				record.Rows = append(record.Rows, image.EncodeRow(key, fresh))
 			}
 		}
 	}
 	maps.DeleteFunc(j.votes, func(id string, votes map[string]vote) bool { return !known[id] || len(votes) == 0 })
 	maps.DeleteFunc(j.trials, func(id string, t *trial) bool {
-		return !known[id] || t.stage == stageClear && now-t.since > constants.JuryForgiven
+		return !known[id] || t.stage == stageClear && now-t.since > constants.OutlierQuorumForgiven
 	})
 	return whole(record)
 }
@@ -135,18 +137,18 @@
 	return false
 }
 
-func (j *Jury) recent(now time.Duration, id string, since time.Duration) map[string]vote {
+func (j *OutlierQuorum) recent(now time.Duration, id string, since time.Duration) map[string]vote {
 	votes := j.votes[id]
-	maps.DeleteFunc(votes, func(_ string, v vote) bool { return now-v.at > constants.JuryWindow || v.at < since })
+	maps.DeleteFunc(votes, func(_ string, v vote) bool { return now-v.at > constants.EjectionVoteWindow || v.at < since })
 	return votes
 }
 
 // step moves one back end's case on; nil is none.
-func (j *Jury) step(now time.Duration, backend *schema.Backend, isKeyed bool, ready map[string][]string, needed int, hasRoom bool) *trial {
+func (j *OutlierQuorum) step(now time.Duration, backend *schema.Backend, isKeyed bool, ready map[string][]string, needed int, hasRoom bool) *trial {
 	id := backend.Instance
 	t := j.trials[id]
 	if t == nil && backend.Failing {
-		t = &trial{stage: stageOut, since: now, until: now + constants.JuryOut, strikes: 1}
+		t = &trial{stage: stageOut, since: now, until: now + constants.EjectionTime, strikes: 1}
 		j.trials[id] = t
 	}
 	since := time.Duration(0)
@@ -159,15 +161,15 @@
 			t = &trial{}
 			j.trials[id] = t
 		}
-		if t.stage == stageClear && now-t.since > constants.JuryForgiven {
+		if t.stage == stageClear && now-t.since > constants.OutlierQuorumForgiven {
 			t.strikes = 0
 		}
 		t.stage, t.since, t.goods = stageOut, now, 0
-		first := constants.JuryOut
+		first := constants.EjectionTime
 		if isKeyed {
 			first = constants.EjectionTimeOwner
 		}
-		t.until = now + min(constants.JuryOutMost, first<<min(t.strikes, 8))
+		t.until = now + min(constants.MaxEjectionTime, first<<min(t.strikes, 8))
 		t.strikes++
 		delete(j.votes, id)
 	}
@@ -187,7 +189,7 @@
 		}
 	case len(votes) > 0:
 		out()
-	case t.goods >= constants.JuryGoods || now-t.since >= constants.JuryTrial:
+	case t.goods >= constants.OutlierQuorumGoods || now-t.since >= constants.EjectionTrial:
 		clear()
 	}
 	return t
--- a/internal/roster/jury_test.go
+++ b/internal/roster/jury_test.go
@@ -13,40 +13,40 @@
 )
 
 // juried is a fleet of six nodes in kol-a and kol-b with back ends i-0 to i-9 in kol-a; copper is free, zinc is divided by key.
-type juried struct {
-	t     *testing.T
-	table *image.Table
-	jury  *Jury
-	now   time.Duration
+type judged struct {
+	t             *testing.T
+	table         *image.Table
+	outlierQuorum *OutlierQuorum
+	now           time.Duration
 }
 
-func newJuried(t *testing.T, service string) *juried {
-	j := &juried{t: t, table: image.NewTable(), jury: NewJury(), now: time.Hour}
-	rows := []*schema.Row{image.Put(image.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: service == "zinc"})}
+func newJuried(t *testing.T, service string) *judged {
+	j := &judged{t: t, table: image.NewTable(), outlierQuorum: NewOutlierQuorum(), now: time.Hour}
+	rows := []*schema.Row{image.EncodeRow(image.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: service == "zinc"})}
 	for i, name := range []string{"kol-a", "kol-b"} {
-		rows = append(rows, image.Put(image.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
+		rows = append(rows, image.EncodeRow(image.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
 	}
 	for i := range 6 {
 		id := fmt.Sprint("n", i)
-		rows = append(rows, image.Put(image.NodeKey(id), &schema.Node{Id: id, Zone: []string{"kol-a", "kol-b"}[i/3], Region: "kol", State: schema.NodeState_NODE_READY}))
+		rows = append(rows, image.EncodeRow(image.NodeKey(id), &schema.Node{Id: id, Zone: []string{"kol-a", "kol-b"}[i/3], Region: "kol", State: schema.NodeState_NODE_READY}))
 	}
 	for i := range 10 {
 		id := fmt.Sprint("i-", i)
-		rows = append(rows, image.Put(image.BackendKey(service, id), &schema.Backend{Service: service, Instance: id, Address: id, Zone: "kol-a", State: schema.BackendState_BACKEND_READY}))
+		rows = append(rows, image.EncodeRow(image.BackendKey(service, id), &schema.Backend{Service: service, Instance: id, Address: id, Zone: "kol-a", State: schema.BackendState_BACKEND_READY}))
 	}
 	j.apply(rows)
 	return j
 }
 
-func (j *juried) apply(rows []*schema.Row) {
+func (j *judged) apply(rows []*schema.Row) {
 	j.t.Helper()
 	if _, err := j.table.Apply(j.table.Version()+1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows}, nil); err != nil {
 		j.t.Fatal(err)
 	}
 }
 
-func (j *juried) plan() {
-	if record := j.jury.Plan(j.now, image.Compile(j.table), j.table); record != nil {
+func (j *judged) plan() {
+	if record := j.outlierQuorum.Plan(j.now, image.Compile(j.table), j.table); record != nil {
 		if _, err := j.table.Apply(j.table.Version()+1, record, nil); err != nil {
 			j.t.Fatal(err)
 		}
@@ -54,7 +54,7 @@
 }
 
 // failing tells the failing back ends; those on trial with their sponsors.
-func (j *juried) failing() string {
+func (j *judged) failing() string {
 	var seen []string
 	for _, service := range image.Compile(j.table).Services {
 		for _, b := range service.Backends {
@@ -70,7 +70,7 @@
 	return strings.Join(seen, " ")
 }
 
-func TestJury(t *testing.T) {
+func TestOutlierQuorum(t *testing.T) {
 	// A step is NODES:BACKENDS for votes, NODES+BACKENDS for trials that went well, or a time to wait; a plan follows each.
 	for _, c := range []struct {
 		name, service, steps, want string
@@ -106,7 +106,7 @@
 					for _, b := range backends {
 						healthReports = append(healthReports, &schema.HealthReport{Instance: "i-" + string(b), Failing: isFailing})
 					}
-					j.jury.Report(j.now, "n"+string(n), map[bool]string{true: "kol-a", false: "kol-b"}[n < '3'], healthReports)
+					j.outlierQuorum.Report(j.now, "n"+string(n), map[bool]string{true: "kol-a", false: "kol-b"}[n < '3'], healthReports)
 				}
 			}
 			for _, step := range strings.Fields(c.steps) {
@@ -128,20 +128,20 @@
 			if got := j.failing(); got != c.want {
 				t.Fatalf("failing %q, want %q", got, c.want)
 			}
-			if constants.JuryOut != 2500*time.Millisecond || constants.EjectionTimeOwner != 10*time.Second || constants.JuryWindow != 2*time.Second || constants.JuryVotes != 3 {
+			if constants.EjectionTime != 2500*time.Millisecond || constants.EjectionTimeOwner != 10*time.Second || constants.EjectionVoteWindow != 2*time.Second || constants.EjectionVotes != 3 {
 				t.Fatal("the steps are written for other constants")
 			}
 		})
 	}
 }
 
-func TestANewLeadersJuryTakesOver(t *testing.T) {
+func TestANewLeadersOutlierQuorumTakesOver(t *testing.T) {
 	j := newJuried(t, "copper")
 	for n := range 3 {
-		j.jury.Report(j.now, fmt.Sprint("n", n), "kol-a", []*schema.HealthReport{{Instance: "i-1", Failing: true}})
+		j.outlierQuorum.Report(j.now, fmt.Sprint("n", n), "kol-a", []*schema.HealthReport{{Instance: "i-1", Failing: true}})
 	}
 	j.plan()
-	j.jury = NewJury()
+	j.outlierQuorum = NewOutlierQuorum()
 	for range 12 {
 		j.plan()
 		if got := j.failing(); got != "i-1" {
@@ -160,7 +160,7 @@
 	w.plan(whole1(item("i-1")))
 	b := w.backend("i-1")
 	b.Failing, b.SlowStartSenders = true, []string{"node-00"}
-	w.put(image.Put(image.BackendKey("copper", "i-1"), b))
+	w.put(image.EncodeRow(image.BackendKey("copper", "i-1"), b))
 	if record := w.plan(whole1(item("i-1"))); record != nil {
 		t.Fatalf("a read of the list changes %v", record)
 	}
@@ -172,20 +172,20 @@
 	}
 }
 
-func BenchmarkACalmJury(b *testing.B) {
+func BenchmarkACalmOutlierQuorum(b *testing.B) {
 	table := image.NewTable()
 	var rows []*schema.Row
 	for i := range 20000 {
 		id := fmt.Sprintf("i-%05d", i)
 		service := fmt.Sprintf("s-%03d", i%200)
-		rows = append(rows, image.Put(image.BackendKey(service, id), &schema.Backend{Service: service, Instance: id, Address: id, Zone: "kol-a", State: schema.BackendState_BACKEND_READY}))
+		rows = append(rows, image.EncodeRow(image.BackendKey(service, id), &schema.Backend{Service: service, Instance: id, Address: id, Zone: "kol-a", State: schema.BackendState_BACKEND_READY}))
 	}
 	if _, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows}, nil); err != nil {
 		b.Fatal(err)
 	}
-	view, jury := image.Compile(table), NewJury()
+	view, outlierQuorum := image.Compile(table), NewOutlierQuorum()
 	for b.Loop() {
-		if jury.Plan(time.Hour, view, table) != nil {
+		if outlierQuorum.Plan(time.Hour, view, table) != nil {
 			b.Fatal("a verdict without a word")
 		}
 	}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -45,65 +45,65 @@
 }
 
 // Sweep is a whole read of the list.
-type Sweep struct {
+type ListRead struct {
 	Items   []Item
 	IsWhole bool
 	Reason  string
 }
 
 // Join checks the pages of one sweep; missing, repeated or differing ones make it partial.
-func Join(pages []Page) Sweep {
-	sweep := Sweep{}
+func Join(pages []Page) ListRead {
+	listRead := ListRead{}
 	seen := map[int]bool{}
 	instances := map[string]bool{}
 	for _, page := range pages {
 		if seen[page.Page] {
-			sweep.Reason = fmt.Sprintf("page %d came twice", page.Page)
+			listRead.Reason = fmt.Sprintf("page %d came twice", page.Page)
 		}
 		seen[page.Page] = true
 		if page.Pages != pages[0].Pages || page.Revision != pages[0].Revision || page.Total != pages[0].Total {
-			sweep.Reason = "the list changed between its pages"
+			listRead.Reason = "the list changed between its pages"
 		}
 		for _, item := range page.Backends {
 			if item.Service == "" || item.Instance == "" || item.Address == "" || strings.Contains(item.Service+item.Instance, "/") {
-				sweep.Reason = "an item lacks service, instance or address"
+				listRead.Reason = "an item lacks service, instance or address"
 				continue
 			}
 			if instances[item.Service+"/"+item.Instance] {
 				continue
 			}
 			instances[item.Service+"/"+item.Instance] = true
-			sweep.Items = append(sweep.Items, item)
+			listRead.Items = append(listRead.Items, item)
 		}
 	}
-	if sweep.Reason == "" {
+	if listRead.Reason == "" {
 		switch {
 		case len(pages) == 0 || len(seen) != pages[0].Pages:
-			sweep.Reason = "pages are missing"
-		case len(sweep.Items) != pages[0].Total:
-			sweep.Reason = fmt.Sprintf("%d of %d back ends came", len(sweep.Items), pages[0].Total)
-		case len(sweep.Items) == 0:
-			sweep.Reason = "the list is empty"
+			listRead.Reason = "pages are missing"
+		case len(listRead.Items) != pages[0].Total:
+			listRead.Reason = fmt.Sprintf("%d of %d back ends came", len(listRead.Items), pages[0].Total)
+		case len(listRead.Items) == 0:
+			listRead.Reason = "the list is empty"
 		}
 	}
-	sweep.IsWhole = sweep.Reason == ""
-	return sweep
+	listRead.IsWhole = listRead.Reason == ""
+	return listRead
 }
 
 // Roster remembers at the leader how long a back end has been missing and who finds it failing.
-type Roster struct {
+type Endpoints struct {
 	missing       map[string]int
 	healthReports map[string]map[string]bool
 	coldAt        map[string]time.Duration
 }
 
 // New makes an empty roster.
-func New() *Roster {
-	return &Roster{missing: map[string]int{}, healthReports: map[string]map[string]bool{}, coldAt: map[string]time.Duration{}}
+func New() *Endpoints {
+	return &Endpoints{missing: map[string]int{}, healthReports: map[string]map[string]bool{}, coldAt: map[string]time.Duration{}}
 }
 
 // Report takes one node's probes.
-func (r *Roster) Report(node string, healthReports []*schema.HealthReport) {
+func (r *Endpoints) Report(node string, healthReports []*schema.HealthReport) {
 	fresh := map[string]bool{}
 	for _, healthReport := range healthReports {
 		fresh[healthReport.Instance] = healthReport.Failing
@@ -112,9 +112,9 @@
 }
 
 // Drop forgets a lost node's probes.
-func (r *Roster) Drop(node string) { delete(r.healthReports, node) }
+func (r *Endpoints) Drop(node string) { delete(r.healthReports, node) }
 
-func (r *Roster) isFailing(instance string) bool {
+func (r *Endpoints) isFailing(instance string) bool {
 	bad, good := 0, 0
 	for _, healthReports := range r.healthReports {
 		if isBad, isSeen := healthReports[instance]; isSeen && isBad {
@@ -127,7 +127,7 @@
 }
 
 // Plan gives the record that brings the rows in line with a sweep and the probes; sweep may be nil.
-func (r *Roster) Plan(now time.Duration, view *image.View, table *image.Table, sweep *Sweep) *schema.Record {
+func (r *Endpoints) Plan(now time.Duration, view *image.View, table *image.Table, listRead *ListRead) *schema.Record {
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "back ends"}
 	put := func(b *schema.Backend) {
 		key := image.BackendKey(b.Service, b.Instance)
@@ -136,7 +136,7 @@
 			guard.Index = row.Index
 		}
 		record.Guards = append(record.Guards, guard)
-		record.Rows = append(record.Rows, image.Put(key, b))
+		record.Rows = append(record.Rows, image.EncodeRow(key, b))
 	}
 	known := map[string]*schema.Backend{}
 	count := map[string]int{}
@@ -147,8 +147,8 @@
 		}
 	}
 	listed := map[string]bool{}
-	if sweep != nil {
-		for _, item := range sweep.Items {
+	if listRead != nil {
+		for _, item := range listRead.Items {
 			name := item.Service + "/" + item.Instance
 			listed[name] = true
 			delete(r.missing, name)
@@ -177,9 +177,9 @@
 		if backend == nil {
 			continue
 		}
-		if sweep != nil && sweep.IsWhole && !listed[name] {
+		if listRead != nil && listRead.IsWhole && !listed[name] {
 			r.missing[name]++
-			if r.missing[name] >= constants.RosterMissing {
+			if r.missing[name] >= constants.EndpointMissingReads {
 				lost[backend.Service]++
 			}
 		}
@@ -190,12 +190,12 @@
 			continue
 		}
 		isFailing := r.isFailing(backend.Instance)
-		if r.missing[name] >= constants.RosterMissing && sweep != nil && sweep.IsWhole && !listed[name] {
-			isTooMany := lost[backend.Service]*100 > count[backend.Service]*constants.RosterFloor
+		if r.missing[name] >= constants.EndpointMissingReads && listRead != nil && listRead.IsWhole && !listed[name] {
+			isTooMany := lost[backend.Service]*100 > count[backend.Service]*constants.EndpointFloor
 			if !isTooMany || isFailing {
 				key := image.BackendKey(backend.Service, backend.Instance)
 				record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: table.Get(key).GetIndex()})
-				record.Rows = append(record.Rows, image.Gone(key))
+				record.Rows = append(record.Rows, image.Tombstone(key))
 				delete(r.missing, name)
 				continue
 			}
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -45,9 +45,9 @@
 		{"an item without address", []Page{{0, 1, 1, 1, []Item{{Service: "s", Instance: "i"}}}}, "lacks"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			sweep := Join(c.pages)
-			if sweep.IsWhole != (c.want == "") || !strings.Contains(sweep.Reason, c.want) {
-				t.Fatalf("whole %v, reason %q; want %q", sweep.IsWhole, sweep.Reason, c.want)
+			listRead := Join(c.pages)
+			if listRead.IsWhole != (c.want == "") || !strings.Contains(listRead.Reason, c.want) {
+				t.Fatalf("whole %v, reason %q; want %q", listRead.IsWhole, listRead.Reason, c.want)
 			}
 		})
 	}
@@ -57,26 +57,26 @@
 	all := []string{"l-1", "l-2", "l-3", "l-4"}
 	for _, c := range []struct {
 		name    string
-		sweeps  []Sweep
+		sweeps  []ListRead
 		failing []string
 		want    string
 	}{
-		{"nothing new", []Sweep{Join(pages(all...))}, nil, "l-1 l-2 l-3 l-4"},
-		{"one missing once stays", []Sweep{Join(pages("l-1", "l-2", "l-3"))}, nil, "l-1 l-2 l-3 l-4"},
-		{"one missing twice goes", []Sweep{Join(pages("l-1", "l-2", "l-3")), Join(pages("l-1", "l-2", "l-3"))}, nil, "l-1 l-2 l-3"},
-		{"most missing stay without the probes' word", []Sweep{Join(pages("l-1")), Join(pages("l-1")), Join(pages("l-1"))}, nil, "l-1 l-2 l-3 l-4"},
-		{"and go with it", []Sweep{Join(pages("l-1")), Join(pages("l-1"))}, []string{"l-2", "l-3", "l-4"}, "l-1"},
-		{"a draining mark counts at once, also on a partial sweep", []Sweep{{Items: []Item{{"ledger", "l-2", "l-2:1", "a", "draining"}}}}, nil, "l-1 l-2! l-3 l-4"},
-		{"an empty list empties nothing", []Sweep{Join([]Page{{0, 1, 0, 1, nil}}), Join([]Page{{0, 1, 0, 1, nil}}), Join([]Page{{0, 1, 0, 1, nil}})}, nil, "l-1 l-2 l-3 l-4"},
-		{"a new one is cold", []Sweep{Join(pages(append(slices.Clone(all), "l-5")...))}, nil, "l-1 l-2 l-3 l-4 l-5*"},
-		{"a failing one is marked", []Sweep{Join(pages(all...))}, []string{"l-3"}, "l-1 l-2 l-3? l-4"},
+		{"nothing new", []ListRead{Join(pages(all...))}, nil, "l-1 l-2 l-3 l-4"},
+		{"one missing once stays", []ListRead{Join(pages("l-1", "l-2", "l-3"))}, nil, "l-1 l-2 l-3 l-4"},
+		{"one missing twice goes", []ListRead{Join(pages("l-1", "l-2", "l-3")), Join(pages("l-1", "l-2", "l-3"))}, nil, "l-1 l-2 l-3"},
+		{"most missing stay without the probes' word", []ListRead{Join(pages("l-1")), Join(pages("l-1")), Join(pages("l-1"))}, nil, "l-1 l-2 l-3 l-4"},
+		{"and go with it", []ListRead{Join(pages("l-1")), Join(pages("l-1"))}, []string{"l-2", "l-3", "l-4"}, "l-1"},
+		{"a draining mark counts at once, also on a partial sweep", []ListRead{{Items: []Item{{"ledger", "l-2", "l-2:1", "a", "draining"}}}}, nil, "l-1 l-2! l-3 l-4"},
+		{"an empty list empties nothing", []ListRead{Join([]Page{{0, 1, 0, 1, nil}}), Join([]Page{{0, 1, 0, 1, nil}}), Join([]Page{{0, 1, 0, 1, nil}})}, nil, "l-1 l-2 l-3 l-4"},
+		{"a new one is cold", []ListRead{Join(pages(append(slices.Clone(all), "l-5")...))}, nil, "l-1 l-2 l-3 l-4 l-5*"},
+		{"a failing one is marked", []ListRead{Join(pages(all...))}, []string{"l-3"}, "l-1 l-2 l-3? l-4"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, table := New(), image.NewTable()
 			now := time.Minute
-			step := func(sweep *Sweep) {
-				now += constants.RosterEvery
-				if record := r.Plan(now, image.Compile(table), table, sweep); record != nil {
+			step := func(listRead *ListRead) {
+				now += constants.ListReadEvery
+				if record := r.Plan(now, image.Compile(table), table, listRead); record != nil {
 					if _, err := table.Apply(table.Version()+1, record, nil); err != nil {
 						t.Fatal(err)
 					}
@@ -119,12 +119,12 @@
 	r, table := New(), image.NewTable()
 	now := time.Minute
 	state := func(isFailing bool) *schema.Backend {
-		now += constants.RosterEvery
+		now += constants.ListReadEvery
 		for _, node := range []string{"n1", "n2"} {
 			r.Report(node, []*schema.HealthReport{{Instance: "l-1", Failing: isFailing}, {Instance: "l-2"}})
 		}
-		sweep := Join(pages("l-1", "l-2"))
-		if record := r.Plan(now, image.Compile(table), table, &sweep); record != nil {
+		listRead := Join(pages("l-1", "l-2"))
+		if record := r.Plan(now, image.Compile(table), table, &listRead); record != nil {
 			if _, err := table.Apply(table.Version()+1, record, nil); err != nil {
 				t.Fatal(err)
 			}
@@ -154,9 +154,9 @@
 		if i == 3 {
 			now += constants.ColdRamp
 		}
-		now += constants.RosterEvery
-		sweep := Join(pages(list...))
-		if record := r.Plan(now, image.Compile(table), table, &sweep); record != nil {
+		now += constants.ListReadEvery
+		listRead := Join(pages(list...))
+		if record := r.Plan(now, image.Compile(table), table, &listRead); record != nil {
 			if _, err := table.Apply(table.Version()+1, record, nil); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/roster/watch.go
+++ b/internal/roster/watch.go
@@ -33,11 +33,11 @@
 
 // WatchFacts is what a Watch plans on; Listing is nil if nothing new was read.
 type WatchFacts struct {
-	Now          time.Duration
-	View         *image.View
-	Table        *image.Table
-	Listing      *Listing
-	ColdBearable func(*schema.ServicePolicy) int
+	Now      time.Duration
+	View     *image.View
+	Table    *image.Table
+	Listing  *Listing
+	ColdRate func(*schema.ServicePolicy) int
 }
 
 // Watch brings the rows of a routed fleet's back ends in line with the list.
@@ -69,7 +69,7 @@
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "back ends"}
 	put := func(key string, message proto.Message) {
 		record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: f.Table.Get(key).GetIndex()})
-		record.Rows = append(record.Rows, image.Put(key, message))
+		record.Rows = append(record.Rows, image.EncodeRow(key, message))
 	}
 	listed := map[string]bool{}
 	for _, item := range f.Listing.Items {
@@ -125,20 +125,20 @@
 			if !isCounted {
 				w.missing[name]++
 			}
-			if w.missing[name] >= constants.RosterMissing {
+			if w.missing[name] >= constants.EndpointMissingReads {
 				gone[service.Name] = append(gone[service.Name], backend.Instance)
 			}
 		}
 	}
 	for name, instances := range gone {
-		if service := f.View.Services[name]; len(instances)*100 > len(service.Backends)*constants.RosterFloor && !slices.ContainsFunc(f.Listing.Items, func(i Listed) bool { return i.Service == name }) {
+		if service := f.View.Services[name]; len(instances)*100 > len(service.Backends)*constants.EndpointFloor && !slices.ContainsFunc(f.Listing.Items, func(i Listed) bool { return i.Service == name }) {
 			continue
 		}
 		slices.Sort(instances)
 		for _, instance := range instances {
 			key := image.BackendKey(name, instance)
 			record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: f.Table.Get(key).GetIndex()})
-			record.Rows = append(record.Rows, image.Gone(key))
+			record.Rows = append(record.Rows, image.Tombstone(key))
 		}
 	}
 	for name, at := range w.settledAt {
@@ -159,9 +159,9 @@
 }
 
 func (w *Watch) slowStartSenders(f WatchFacts, backend *schema.Backend, service *image.Service) []string {
-	bearable := 1
+	coldRate := 1
 	if service != nil && service.Policy != nil {
-		bearable = f.ColdBearable(service.Policy)
+		coldRate = f.ColdRate(service.Policy)
 	}
 	var near, far []string
 	region := f.View.Zones[backend.Zone].GetRegion()
@@ -178,5 +178,5 @@
 		near = far
 	}
 	slices.Sort(near)
-	return near[:min(len(near), max(1, min(bearable, constants.SlowStartSendersMost)))]
+	return near[:min(len(near), max(1, min(coldRate, constants.SlowStartSendersMost)))]
 }
--- a/internal/roster/watch_test.go
+++ b/internal/roster/watch_test.go
@@ -17,19 +17,19 @@
 	t        *testing.T
 	table    *image.Table
 	watch    *Watch
-	bearable int
+	coldRate int
 	now      time.Duration
 }
 
 func newWatched(t *testing.T, nodes int) *watched {
-	w := &watched{t: t, table: image.NewTable(), watch: NewWatch(lag), bearable: 30, now: time.Hour}
-	rows := []*schema.Row{image.Put(image.RegionKey("kol"), &schema.Region{Name: "kol", Residue: 1}), image.Put(image.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 17})}
+	w := &watched{t: t, table: image.NewTable(), watch: NewWatch(lag), coldRate: 30, now: time.Hour}
+	rows := []*schema.Row{image.EncodeRow(image.RegionKey("kol"), &schema.Region{Name: "kol", Residue: 1}), image.EncodeRow(image.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 17})}
 	for i, name := range []string{"kol-a", "kol-b"} {
-		rows = append(rows, image.Put(image.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
+		rows = append(rows, image.EncodeRow(image.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
 	}
 	for i := range nodes {
 		id := fmt.Sprintf("node-%02d", i)
-		rows = append(rows, image.Put(image.NodeKey(id), &schema.Node{Id: id, Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}))
+		rows = append(rows, image.EncodeRow(image.NodeKey(id), &schema.Node{Id: id, Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}))
 	}
 	w.put(rows...)
 	return w
@@ -52,7 +52,7 @@
 	if listing != nil && listing.BegunAt == 0 {
 		listing.BegunAt = w.now - 50*time.Millisecond
 	}
-	record := w.watch.Plan(WatchFacts{Now: w.now, View: image.Compile(w.table), Table: w.table, Listing: listing, ColdBearable: func(*schema.ServicePolicy) int { return w.bearable }})
+	record := w.watch.Plan(WatchFacts{Now: w.now, View: image.Compile(w.table), Table: w.table, Listing: listing, ColdRate: func(*schema.ServicePolicy) int { return w.coldRate }})
 	if record != nil {
 		w.apply(record)
 	}
@@ -60,13 +60,13 @@
 }
 
 func (w *watched) backend(instance string) *schema.Backend {
-	return image.Decode[schema.Backend](w.table.Get(image.BackendKey("copper", instance)))
+	return image.DecodeRow[schema.Backend](w.table.Get(image.BackendKey("copper", instance)))
 }
 
 func (w *watched) state() string {
 	text := ""
 	w.table.Each("s/copper/backend/", func(row *schema.Row) {
-		b := image.Decode[schema.Backend](row)
+		b := image.DecodeRow[schema.Backend](row)
 		mark := ""
 		if b.State == schema.BackendState_BACKEND_DRAINING {
 			mark = "!"
@@ -159,9 +159,9 @@
 	w := newWatched(t, 3)
 	listing := whole1(item("a"))
 	listing.BegunAt = w.now
-	facts := WatchFacts{Now: w.now, View: image.Compile(w.table), Table: w.table, Listing: listing, ColdBearable: func(*schema.ServicePolicy) int { return 1 }}
+	facts := WatchFacts{Now: w.now, View: image.Compile(w.table), Table: w.table, Listing: listing, ColdRate: func(*schema.ServicePolicy) int { return 1 }}
 	record := w.watch.Plan(facts)
-	w.put(image.Put(image.BackendKey("copper", "a"), &schema.Backend{Service: "copper", Instance: "a", State: schema.BackendState_BACKEND_DRAINING}))
+	w.put(image.EncodeRow(image.BackendKey("copper", "a"), &schema.Backend{Service: "copper", Instance: "a", State: schema.BackendState_BACKEND_DRAINING}))
 	if _, err := w.table.Apply(w.table.Version()+1, record, nil); err == nil {
 		t.Fatal("a plan on old rows was taken")
 	}
@@ -170,7 +170,7 @@
 func TestWatchSlowStartSenders(t *testing.T) {
 	for _, c := range []struct {
 		name            string
-		nodes, bearable int
+		nodes, coldRate int
 		turn            func(*watched)
 		want            []string
 	}{
@@ -179,25 +179,25 @@
 		{"never more than what is bearable", 9, 3, nil, []string{"node-00", "node-01", "node-02"}},
 		{"one bears nothing to divide", 9, 1, nil, []string{"node-00"}},
 		{"ready ones alone", 3, 30, func(w *watched) {
-			w.put(image.Put(image.NodeKey("node-01"), &schema.Node{Id: "node-01", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_STOPPING}),
-				image.Put(image.NodeKey("node-02"), &schema.Node{Id: "node-02", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_LOST}))
+			w.put(image.EncodeRow(image.NodeKey("node-01"), &schema.Node{Id: "node-01", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_STOPPING}),
+				image.EncodeRow(image.NodeKey("node-02"), &schema.Node{Id: "node-02", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_LOST}))
 		}, []string{"node-00"}},
 		{"the region's, if the district has none", 2, 30, func(w *watched) {
 			for i := range 2 {
 				id := fmt.Sprintf("node-%02d", i)
-				w.put(image.Put(image.NodeKey(id), &schema.Node{Id: id, Zone: "kol-b", Region: "kol", State: schema.NodeState_NODE_READY}))
+				w.put(image.EncodeRow(image.NodeKey(id), &schema.Node{Id: id, Zone: "kol-b", Region: "kol", State: schema.NodeState_NODE_READY}))
 			}
 		}, []string{"node-00", "node-01"}},
 		{"none of another region", 2, 30, func(w *watched) {
 			for i := range 2 {
 				id := fmt.Sprintf("node-%02d", i)
-				w.put(image.Put(image.NodeKey(id), &schema.Node{Id: id, Zone: "hal-a", Region: "hal", State: schema.NodeState_NODE_READY}))
+				w.put(image.EncodeRow(image.NodeKey(id), &schema.Node{Id: id, Zone: "hal-a", Region: "hal", State: schema.NodeState_NODE_READY}))
 			}
 		}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWatched(t, c.nodes)
-			w.bearable = c.bearable
+			w.coldRate = c.coldRate
 			if c.turn != nil {
 				c.turn(w)
 			}
@@ -205,8 +205,8 @@
 			if got := w.backend("b").SlowStartSenders; !slices.Equal(got, c.want) {
 				t.Fatalf("sponsors %v, want %v", got, c.want)
 			}
-			if sum := len(w.backend("b").SlowStartSenders) * (c.bearable / max(1, len(w.backend("b").SlowStartSenders))); sum > c.bearable {
-				t.Fatalf("sponsors may send %d a second together, bearable are %d", sum, c.bearable)
+			if sum := len(w.backend("b").SlowStartSenders) * (c.coldRate / max(1, len(w.backend("b").SlowStartSenders))); sum > c.coldRate {
+				t.Fatalf("sponsors may send %d a second together, bearable are %d", sum, c.coldRate)
 			}
 		})
 	}
@@ -216,7 +216,7 @@
 	w := newWatched(t, 2)
 	w.plan(whole1(cold("b", 3*time.Second)))
 	was := w.backend("b").SlowStartSenders
-	w.put(image.Put(image.NodeKey("node-"), &schema.Node{Id: "node-", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}))
+	w.put(image.EncodeRow(image.NodeKey("node-"), &schema.Node{Id: "node-", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}))
 	w.plan(whole1(cold("b", 2*time.Second)))
 	if got := w.backend("b").SlowStartSenders; !slices.Equal(got, was) {
 		t.Fatalf("sponsors %v became %v while it was cold: two sets could send its whole part in one second", was, got)
@@ -248,12 +248,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newWatched(t, 1)
 			w.plan(whole1(item("a")))
-			w.put(image.Put(image.ZoneKey("kol-a"), &schema.Zone{Name: "kol-a", Region: "kol", Settling: true}))
+			w.put(image.EncodeRow(image.ZoneKey("kol-a"), &schema.Zone{Name: "kol-a", Region: "kol", Settling: true}))
 			w.plan(nil)
 			at := w.now
 			w.now += 5 * time.Second
 			w.plan(&Listing{Items: []Listed{item("a")}, IsWhole: c.whole, BegunAt: at + c.begun})
-			zone := image.Decode[schema.Zone](w.table.Get(image.ZoneKey("kol-a")))
+			zone := image.DecodeRow[schema.Zone](w.table.Get(image.ZoneKey("kol-a")))
 			if zone.Settling != c.want || zone.Region != "kol" {
 				t.Fatalf("settling %v, want %v", zone.Settling, c.want)
 			}
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -76,13 +76,13 @@
 // Plan makes the one record that replaces the newest configuration: it holds what changes, guarded against any other put.
 func Plan(table *image.Table, config *schema.RouteConfig, digest []byte) *schema.Record {
 	row := table.Get(image.HeadKey)
-	head := image.Decode[schema.CatalogHead](row)
+	head := image.DecodeRow[schema.CatalogHead](row)
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: fmt.Sprintf("configuration %d", config.Version),
 		Guards: []*schema.Guard{{Key: image.HeadKey, Index: row.GetIndex()}}}
 	kept := map[string]bool{}
 	put := func(key string, message proto.Message) {
 		kept[key] = true
-		fresh := image.Put(key, message)
+		fresh := image.EncodeRow(key, message)
 		if old := table.Get(key); old == nil || string(old.Value) != string(fresh.Value) {
 			record.Rows = append(record.Rows, fresh)
 		}
@@ -100,7 +100,7 @@
 	put(image.LimitsKey, limits)
 	drop := func(row *schema.Row) {
 		if !kept[row.Key] {
-			record.Rows = append(record.Rows, image.Gone(row.Key))
+			record.Rows = append(record.Rows, image.Tombstone(row.Key))
 		}
 	}
 	table.Each("route/", drop)
@@ -111,8 +111,8 @@
 	})
 	remember(table, record, head, &schema.AcceptedConfig{Version: config.Version, Digest: digest})
 	recent := append([]*schema.AcceptedConfig{{Version: config.Version, Digest: digest}}, head.GetRecent()...)
-	record.Rows = append(record.Rows, image.Put(image.HeadKey, &schema.CatalogHead{Version: config.Version, Recent: recent[:min(len(recent), constants.RecentConfigs)]}),
-		image.Put(image.DocumentKey, &schema.CatalogDocument{Version: config.Version, Document: config.Document}))
+	record.Rows = append(record.Rows, image.EncodeRow(image.HeadKey, &schema.CatalogHead{Version: config.Version, Recent: recent[:min(len(recent), constants.RecentConfigs)]}),
+		image.EncodeRow(image.DocumentKey, &schema.CatalogDocument{Version: config.Version, Document: config.Document}))
 	return record
 }
 
@@ -131,8 +131,8 @@
 	isSame := func(known *schema.AcceptedConfig) bool {
 		return known.GetVersion() == config.GetVersion() && bytes.Equal(known.GetDigest(), digest)
 	}
-	head := image.Decode[schema.CatalogHead](table.Get(image.HeadKey))
-	known := image.Decode[schema.AcceptedConfig](table.Get(image.AcceptedKey(config.GetVersion())))
+	head := image.DecodeRow[schema.CatalogHead](table.Get(image.HeadKey))
+	known := image.DecodeRow[schema.AcceptedConfig](table.Get(image.AcceptedKey(config.GetVersion())))
 	if isSame(known) || slices.ContainsFunc(head.GetRecent(), isSame) {
 		return Accepted
 	}
@@ -159,10 +159,10 @@
 func remember(table *image.Table, record *schema.Record, head *schema.CatalogHead, config *schema.AcceptedConfig) {
 	for _, known := range append([]*schema.AcceptedConfig{config}, head.GetRecent()...) {
 		if key := image.AcceptedKey(known.Version); table.Get(key) == nil {
-			record.Rows = append(record.Rows, image.Put(key, known))
+			record.Rows = append(record.Rows, image.EncodeRow(key, known))
 		}
 	}
 	if count, oldest := accepted(table); count >= constants.AcceptedConfigs {
-		record.Rows = append(record.Rows, image.Gone(oldest))
+		record.Rows = append(record.Rows, image.Tombstone(oldest))
 	}
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -81,7 +81,7 @@
 func TestCheckKnowsServicesFromTheList(t *testing.T) {
 	table := image.NewTable()
 	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
-		image.Put(image.BackendKey("zinc", "z-1"), &schema.Backend{Service: "zinc", Instance: "z-1", State: schema.BackendState_BACKEND_READY})}})
+		image.EncodeRow(image.BackendKey("zinc", "z-1"), &schema.Backend{Service: "zinc", Instance: "z-1", State: schema.BackendState_BACKEND_READY})}})
 	config := good()
 	config.Routes[0].Targets[0].Service = "zinc"
 	if faults := Check(config, 7, image.Compile(table)); len(faults) > 0 {
@@ -113,8 +113,8 @@
 	t.Helper()
 	table := image.NewTable()
 	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
-		image.Put(image.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1", State: schema.BackendState_BACKEND_READY}),
-		image.Put(image.SpanKey("nickel", 0), &schema.ShardRange{Service: "nickel", Last: 65535, Instance: "n-1"})}})
+		image.EncodeRow(image.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1", State: schema.BackendState_BACKEND_READY}),
+		image.EncodeRow(image.ShardRangeKey("nickel", 0), &schema.ShardRange{Service: "nickel", Last: 65535, Instance: "n-1"})}})
 	config := good()
 	apply(t, table, 2, Plan(table, config, []byte("d8")))
 	return table, config
@@ -186,7 +186,7 @@
 	for i := range uint64(64) {
 		head.Recent = append(head.Recent, &schema.AcceptedConfig{Version: 64 - i, Digest: fmt.Append(nil, "digest ", 64-i)})
 	}
-	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.Put(image.HeadKey, head)}})
+	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.EncodeRow(image.HeadKey, head)}})
 	for next := uint64(65); next < 90; next++ {
 		for version := uint64(1); version < next; version++ {
 			if got := Recall(table, &schema.RouteConfig{Version: version}, fmt.Append(nil, "digest ", version)); got != Accepted {
@@ -206,7 +206,7 @@
 	for i := range uint64(constants.AcceptedConfigs + extra) {
 		apply(t, table, i+1, Plan(table, number(i), fmt.Append(nil, "digest ", i)))
 	}
-	head := image.Decode[schema.CatalogHead](table.Get(image.HeadKey))
+	head := image.DecodeRow[schema.CatalogHead](table.Get(image.HeadKey))
 	if len(head.Recent) != constants.RecentConfigs {
 		t.Fatalf("every node is told of %d", len(head.Recent))
 	}
@@ -231,7 +231,7 @@
 	if got := Recall(table, onNewest, []byte("old version")); got != NeverAccepted {
 		t.Errorf("an old version on top of the newest is recalled as %d; it can't have been accepted", got)
 	}
-	document := image.Decode[schema.CatalogDocument](table.Get(image.DocumentKey))
+	document := image.DecodeRow[schema.CatalogDocument](table.Get(image.DocumentKey))
 	if want := fmt.Appendf(nil, "document %d", head.Version-1); document.Version != head.Version || !bytes.Equal(document.Document, want) {
 		t.Fatalf("document %d %q, want %q", document.Version, document.Document, want)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,18 +15,18 @@
 
 // Settings is a process's place in the fleet.
 type Settings struct {
-	Peer      string   `json:"peer"`
-	PeerShown string   `json:"peer_shown"`
-	Proxy     string   `json:"proxy"`
-	ProxyShow string   `json:"proxy_shown"`
-	Door      string   `json:"door"`
-	DoorShown string   `json:"door_shown"`
-	Zone      string   `json:"district"`
-	Region    string   `json:"region"`
-	Seeds     []string `json:"seeds"`
-	Data      string   `json:"data"`
-	Platform  string   `json:"platform"`
-	LogLevel  string   `json:"log_level"`
+	Peer       string   `json:"peer"`
+	PeerShown  string   `json:"peer_shown"`
+	Proxy      string   `json:"proxy"`
+	ProxyShow  string   `json:"proxy_shown"`
+	Admin      string   `json:"door"`
+	AdminShown string   `json:"door_shown"`
+	Zone       string   `json:"district"`
+	Region     string   `json:"region"`
+	Seeds      []string `json:"seeds"`
+	Data       string   `json:"data"`
+	Platform   string   `json:"platform"`
+	LogLevel   string   `json:"log_level"`
 	// DiskBytes bounds the data folder; 0 is no bound.
 	DiskBytes int64 `json:"disk_bytes"`
 	// Rejoin says that the system was founded before: a machine without state joins it and never founds another.
@@ -58,8 +58,8 @@
 	flags.StringVar(&given.PeerShown, "peer-shown", "", "IP:port others reach the peer address by (default: peer)")
 	flags.StringVar(&given.Proxy, "proxy", "", "IP:port for callers' queries")
 	flags.StringVar(&given.ProxyShow, "proxy-shown", "", "IP:port others reach the proxy address by (default: proxy)")
-	flags.StringVar(&given.Door, "door", "", "IP:port for directory and operators")
-	flags.StringVar(&given.DoorShown, "door-shown", "", "IP:port others reach the door by (default: door)")
+	flags.StringVar(&given.Admin, "door", "", "IP:port for directory and operators")
+	flags.StringVar(&given.AdminShown, "door-shown", "", "IP:port others reach the door by (default: door)")
 	flags.StringVar(&given.Zone, "district", "", "district (zone) of this machine")
 	flags.StringVar(&given.Region, "region", "", "region of the district")
 	flags.StringVar(&given.Data, "data", "", "data folder; only on machines with a disk")
@@ -84,7 +84,7 @@
 			to   *string
 		}{
 			{given.Peer, &settings.Peer}, {given.PeerShown, &settings.PeerShown}, {given.Proxy, &settings.Proxy},
-			{given.ProxyShow, &settings.ProxyShow}, {given.Door, &settings.Door}, {given.DoorShown, &settings.DoorShown},
+			{given.ProxyShow, &settings.ProxyShow}, {given.Admin, &settings.Admin}, {given.AdminShown, &settings.AdminShown},
 			{given.Zone, &settings.Zone}, {given.Region, &settings.Region}, {given.Data, &settings.Data},
 			{given.Platform, &settings.Platform}, {given.LogLevel, &settings.LogLevel},
 		} {
@@ -122,20 +122,20 @@
 			add(field, "%q names no exact address; others must be able to reach it", text)
 		}
 	}
-	for _, pair := range []struct{ shown, real *string }{{&s.PeerShown, &s.Peer}, {&s.ProxyShow, &s.Proxy}, {&s.DoorShown, &s.Door}} {
+	for _, pair := range []struct{ shown, real *string }{{&s.PeerShown, &s.Peer}, {&s.ProxyShow, &s.Proxy}, {&s.AdminShown, &s.Admin}} {
 		if *pair.shown == "" {
 			*pair.shown = *pair.real
 		}
 	}
 	checkAddress("peer", s.Peer)
 	checkAddress("proxy", s.Proxy)
-	checkAddress("door", s.Door)
-	for _, pair := range [][3]string{{"peer_shown", s.PeerShown, s.Peer}, {"proxy_shown", s.ProxyShow, s.Proxy}, {"door_shown", s.DoorShown, s.Door}} {
+	checkAddress("door", s.Admin)
+	for _, pair := range [][3]string{{"peer_shown", s.PeerShown, s.Peer}, {"proxy_shown", s.ProxyShow, s.Proxy}, {"door_shown", s.AdminShown, s.Admin}} {
 		if pair[1] != pair[2] {
 			checkAddress(pair[0], pair[1])
 		}
 	}
-	if s.Peer != "" && (s.Peer == s.Proxy || s.Peer == s.Door) || s.Proxy != "" && s.Proxy == s.Door {
+	if s.Peer != "" && (s.Peer == s.Proxy || s.Peer == s.Admin) || s.Proxy != "" && s.Proxy == s.Admin {
 		add("peer, proxy, door", "must differ; give each its own port")
 	}
 	if !compileNameForm().MatchString(s.Zone) {
--- a/internal/sim/failover.go
+++ b/internal/sim/failover.go
@@ -46,8 +46,8 @@
 				}
 			}
 		}
-		if !isServed || len(f.Breaches) > 0 {
-			return result, fmt.Errorf("%s%s: served %v, breaches %v", kind.service, kind.path, isServed, f.Breaches)
+		if !isServed || len(f.Violations) > 0 {
+			return result, fmt.Errorf("%s%s: served %v, breaches %v", kind.service, kind.path, isServed, f.Violations)
 		}
 		*kind.into = f.Now - at
 	}
--- a/internal/sim/scenarios.go
+++ b/internal/sim/scenarios.go
@@ -423,7 +423,7 @@
 				}
 			}
 			if wins > 1 {
-				f.breach("%d racing puts on base %d were accepted", wins, base)
+				f.addViolation("%d racing puts on base %d were accepted", wins, base)
 			}
 			f.RunFor(4 * time.Second)
 			if o := f.Show(n); o != nil && o.Refusal == schema.RefusalKind_REFUSAL_NONE {
@@ -694,10 +694,10 @@
 }
 
 // Breach is a protection that can be switched off, the scenario that then shows it, and the rule or invariant whose check must fail.
-type Breach struct{ Name, About, Scenario, Caught string }
+type Fault struct{ Name, About, Scenario, Caught string }
 
 // Breaches are the deliberate ones, at least one for each rule.
-var Breaches = []Breach{
+var Faults = []Fault{
 	{"claims", "keepers take every claim", "calm", "rule once"},
 	{"grants", "proxies act as if they always held a grant", "region-cut", "began under"},
 	{"grants", "proxies act as if they always held a grant", "region-cut", "rule once"},
@@ -718,9 +718,9 @@
 }
 
 // Play runs one scenario with one seed under load and gives the fleet with its breaches.
-func Play(s Scenario, seed int64, breach string) (*Fleet, error) {
+func Play(s Scenario, seed int64, violation string) (*Fleet, error) {
 	shape := s.Shape
-	shape.Seed, shape.Breach = seed, breach
+	shape.Seed, shape.Fault = seed, violation
 	f := New(shape)
 	if err := f.Begin(); err != nil {
 		return f, err
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -41,7 +41,7 @@
 	ClockError   float64
 	Log          io.Writer
 	Document     string
-	Breach       string
+	Fault        string
 }
 
 // Node is one simulated machine.
@@ -55,7 +55,7 @@
 	address   string
 	ident     string
 	disk      *Disk
-	core      *core.Core
+	core      *core.Machine
 	driver    *core.Driver
 	replica   *claim.Replica
 	loads     *proxy.Loads
@@ -104,7 +104,7 @@
 	Backends      []*Backend
 	History       *judge.History
 	Verdicts      []*judge.Verdict
-	Breaches      []string
+	Violations    []string
 	Counts        map[string]int
 	Lost          map[string]int
 	Back          map[string]time.Duration
@@ -197,9 +197,9 @@
 // RunFor works for a span of virtual time.
 func (f *Fleet) RunFor(d time.Duration) { f.Run(f.Now + d) }
 
-func (f *Fleet) breach(form string, args ...any) {
-	if len(f.Breaches) < 50 {
-		f.Breaches = append(f.Breaches, fmt.Sprintf("%v: ", f.Now)+fmt.Sprintf(form, args...))
+func (f *Fleet) addViolation(form string, args ...any) {
+	if len(f.Violations) < 50 {
+		f.Violations = append(f.Violations, fmt.Sprintf("%v: ", f.Now)+fmt.Sprintf(form, args...))
 	}
 }
 
@@ -245,7 +245,7 @@
 			f.Counts["identity given up"]++
 			n.disk = NewDisk()
 			if opened, state, err = journal.Open(n.disk, sizes); err != nil {
-				f.breach("%s can't open an empty disk: %v", n.Name, err)
+				f.addViolation("%s can't open an empty disk: %v", n.Name, err)
 				return
 			}
 		}
@@ -279,8 +279,8 @@
 			}
 			number, isMember, isReady, _ := n.replica.State()
 			n.core.SetReservationReplica(number, isMember && isReady)
-			if f.Options.Breach != "keys" {
-				n.core.SetFloor(n.loads.Floor())
+			if f.Options.Fault != "keys" {
+				n.core.SetOldestIndex(n.loads.Floor())
 			}
 		}}
 	f.tick(n, boot)
@@ -314,7 +314,7 @@
 
 func (f *Fleet) write(n *Node, boot int, work func() error, done func(error)) {
 	disk := n.disk
-	disk.isHeld = n.syncPause > 0 || f.Options.Breach == "unsynced"
+	disk.isHeld = n.syncPause > 0 || f.Options.Fault == "unsynced"
 	err := work()
 	disk.isHeld = false
 	if n.syncPause == 0 {
@@ -405,9 +405,9 @@
 			if f.listFault == "" {
 				f.show(page)
 			}
-			n.core.SetSweep(f.clock(n), roster.Join(pages))
+			n.core.SetListRead(f.clock(n), roster.Join(pages))
 		}
-		f.after(constants.RosterEvery, func() { f.list(n, boot) })
+		f.after(constants.ListReadEvery, func() { f.list(n, boot) })
 	})
 }
 
@@ -439,7 +439,7 @@
 	if raft := frame.GetRaft(); raft != nil && raft.Kind == schema.RaftKind_RAFT_VOTE_RESPONSE && !raft.Rejected {
 		ballot := fmt.Sprintf("%s in term %d", from.ident, raft.Term)
 		if other, isGiven := f.votes[ballot]; isGiven && other != raft.To {
-			f.breach("%s gave its vote twice: to %s and %s", ballot, other, raft.To)
+			f.addViolation("%s gave its vote twice: to %s and %s", ballot, other, raft.To)
 		}
 		f.votes[ballot] = raft.To
 	}
@@ -484,11 +484,11 @@
 }
 
 func (f *Fleet) take(n *Node, c *schema.ReservationRequest) *schema.ReservationResponse {
-	if f.Options.Breach == "claims" {
+	if f.Options.Fault == "claims" {
 		return &schema.ReservationResponse{State: schema.ReservationState_RESERVATION_TAKEN, Owner: c.Owner, ReplicaSet: c.ReplicaSet}
 	}
 	now := f.clock(n)
-	return n.replica.Take(now, c, now < n.core.Local().LeaseUntil || f.Options.Breach == "grants")
+	return n.replica.Take(now, c, now < n.core.Local().LeaseUntil || f.Options.Fault == "grants")
 }
 
 func (f *Fleet) call(n *Node, to string, frame *schema.Frame, take func(*schema.Frame)) {
@@ -564,7 +564,7 @@
 // Operate sends an operator's query to a machine and keeps what was told.
 func (f *Fleet) Operate(n *Node, request *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
 	at := f.Now
-	if f.Options.Breach == "race" && request.Kind == schema.OperatorKind_OPERATOR_PUT {
+	if f.Options.Fault == "race" && request.Kind == schema.OperatorKind_OPERATOR_PUT {
 		request = proto.Clone(request).(*schema.OperatorRequest)
 		f.after(time.Duration(f.random.Intn(1500))*time.Millisecond, func() { f.operate(n, at, request, take) })
 		return
@@ -574,7 +574,7 @@
 
 func (f *Fleet) operate(n *Node, at time.Duration, request *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
 	base := request.Base
-	if f.Options.Breach == "race" {
+	if f.Options.Fault == "race" {
 		request.Base = n.core.Local().View.Head.Version
 		at = f.Now
 	}
@@ -582,7 +582,7 @@
 		n.serial++
 		n.calls[n.serial] = func(frame *schema.Frame) {
 			o := frame.GetOperatorResponse()
-			if f.Options.Breach == "read-back" && o.Version > 1 && request.Kind == schema.OperatorKind_OPERATOR_SHOW {
+			if f.Options.Fault == "read-back" && o.Version > 1 && request.Kind == schema.OperatorKind_OPERATOR_SHOW {
 				o.Version--
 			}
 			f.notified(n, at, base, request, o)
@@ -708,15 +708,15 @@
 	local := n.core.Local()
 	if local.Role == "leader" {
 		if other, isThere := f.leaders[local.Term]; isThere && other != n.ident {
-			f.breach("two leaders in term %d: %s and %s", local.Term, other, n.ident)
+			f.addViolation("two leaders in term %d: %s and %s", local.Term, other, n.ident)
 		}
 		f.leaders[local.Term] = n.ident
 	}
 	if local.View.Version < n.lastSeen {
-		f.breach("%s went back from index %d to %d", n.Name, n.lastSeen, local.View.Version)
+		f.addViolation("%s went back from index %d to %d", n.Name, n.lastSeen, local.View.Version)
 	}
 	if local.View.Head.Version < n.lastHead {
-		f.breach("%s went back from configuration %d to %d", n.Name, n.lastHead, local.View.Head.Version)
+		f.addViolation("%s went back from configuration %d to %d", n.Name, n.lastHead, local.View.Head.Version)
 	}
 	if local.View.Version == n.lastSeen {
 		return
@@ -733,7 +733,7 @@
 	var digest [32]byte
 	sum.Sum(digest[:0])
 	if other, isThere := f.applied[whole.Index]; isThere && other != digest {
-		f.breach("%s differs from another full copy at index %d", n.Name, whole.Index)
+		f.addViolation("%s differs from another full copy at index %d", n.Name, whole.Index)
 	}
 	f.applied[whole.Index] = digest
 	for _, service := range local.View.Services {
@@ -743,7 +743,7 @@
 				if residue := row.Number % constants.Increment; residue%2 == 0 {
 					for _, d := range local.View.Zones {
 						if uint64(d.Residue) == residue && d.Region != region {
-							f.breach("region %s of %s%s has group %s of another region", region, service.Name, path, d.Name)
+							f.addViolation("region %s of %s%s has group %s of another region", region, service.Name, path, d.Name)
 						}
 					}
 				}
@@ -759,7 +759,7 @@
 	at := f.numbers[name+"#"]
 	if index >= at {
 		if number < f.numbers[name] {
-			f.breach("%s fell from %d to %d", name, f.numbers[name], number)
+			f.addViolation("%s fell from %d to %d", name, f.numbers[name], number)
 		}
 		f.numbers[name], f.numbers[name+"#"] = number, index
 	}
@@ -782,7 +782,7 @@
 			f.Effect = append(f.Effect, f.Now-at)
 			delete(f.accepts, version)
 		} else if f.Now-at > 2500*time.Millisecond {
-			f.breach("configuration %d is not everywhere %v after its acceptance", version, f.Now-at)
+			f.addViolation("configuration %d is not everywhere %v after its acceptance", version, f.Now-at)
 			delete(f.accepts, version)
 		}
 	}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -17,8 +17,8 @@
 
 func verify(t *testing.T, f *Fleet) {
 	t.Helper()
-	for _, breach := range f.Breaches {
-		t.Error(breach)
+	for _, violation := range f.Violations {
+		t.Error(violation)
 	}
 }
 
@@ -61,8 +61,8 @@
 				if err != nil {
 					t.Errorf("seed %d: %v", seed, err)
 				}
-				for _, breach := range f.Breaches {
-					t.Errorf("seed %d: %s", seed, breach)
+				for _, violation := range f.Violations {
+					t.Errorf("seed %d: %s", seed, violation)
 				}
 				if f.Counts["safe sealed"] == 0 || f.Counts["unsafe sealed"] == 0 {
 					t.Errorf("seed %d served nothing: %v", seed, f.Counts)
@@ -72,19 +72,19 @@
 	}
 }
 
-func TestChecksCatchABreach(t *testing.T) {
-	for _, b := range Breaches {
+func TestChecksCatchInjectedFaults(t *testing.T) {
+	for _, b := range Faults {
 		t.Run(b.Name+" in "+b.Scenario, func(t *testing.T) {
 			t.Parallel()
 			var seen []string
 			for seed := int64(1); seed <= 8; seed++ {
 				f, _ := Play(*Find(b.Scenario), seed, b.Name)
-				for _, text := range f.Breaches {
+				for _, text := range f.Violations {
 					if strings.Contains(text, b.Caught) {
 						return
 					}
 				}
-				seen = append(seen, f.Breaches...)
+				seen = append(seen, f.Violations...)
 			}
 			t.Fatalf("with %s, %q was not told; seen: %.3000q", b.About, b.Caught, seen)
 		})
--- a/internal/sim/traffic.go
+++ b/internal/sim/traffic.go
@@ -62,7 +62,7 @@
 
 func (f *Fleet) local(n *Node) *core.Local {
 	local := n.core.Local()
-	switch f.Options.Breach {
+	switch f.Options.Fault {
 	case "grants":
 		local.LeaseUntil = f.clock(n) + time.Hour
 	case "stale":
@@ -79,8 +79,8 @@
 			copied := *service
 			copied.Backends = nil
 			for _, b := range service.Backends {
-				row := &schema.Backend{Service: b.Service, Instance: b.Instance, Address: b.Address, Zone: b.Zone, State: b.State, Failing: b.Failing, Cold: b.Cold && f.Options.Breach != "cold"}
-				if f.Options.Breach == "home" {
+				row := &schema.Backend{Service: b.Service, Instance: b.Instance, Address: b.Address, Zone: b.Zone, State: b.State, Failing: b.Failing, Cold: b.Cold && f.Options.Fault != "cold"}
+				if f.Options.Fault == "home" {
 					row.Zone = n.Zone
 				}
 				copied.Backends = append(copied.Backends, row)
@@ -127,10 +127,10 @@
 		if c.isOver || step != c.step {
 			return
 		}
-		if f.Options.Breach == "touched" {
+		if f.Options.Fault == "touched" {
 			e.IsTouched = false
 		}
-		if f.Options.Breach == "budget" {
+		if f.Options.Fault == "budget" {
 			for range 20 {
 				n.loads.First(f.clock(n), c.request.Service)
 			}
@@ -228,7 +228,7 @@
 		tell(span, err)
 	case f.cuts[[2]string{n.Name, b.Instance}] || f.Now < b.frozen:
 		tell(order.For, fmt.Errorf("connect to %s: no answer", order.Address))
-	case (b.Service != order.Who.Service || b.Instance != order.Who.Instance) && f.Options.Breach != "identity":
+	case (b.Service != order.Who.Service || b.Instance != order.Who.Instance) && f.Options.Fault != "identity":
 		tell(time.Millisecond, &proxy.IdentityError{Want: order.Who, Got: proxy.Identity{Service: b.Service, Instance: b.Instance}})
 	default:
 		c.backend = b
@@ -272,7 +272,7 @@
 		}
 		target, err := url.Parse("http://" + peer.Name + order.Path)
 		if err != nil {
-			f.breach("a forward has path %q", order.Path)
+			f.addViolation("a forward has path %q", order.Path)
 			return
 		}
 		f.carry(peer, &http.Request{Method: c.request.Method, URL: target, Header: order.Header.Clone()}, func(o *proxy.Result, broken string) {
@@ -295,7 +295,7 @@
 	}
 	trail, err := standing.ParseTrail(number)
 	if name := q.Service + q.Path; err != nil || f.trails[name].IsNewer(trail) {
-		f.breach("an unsafe leg of %s began under %q after one under %v", name, number, f.trails[name])
+		f.addViolation("an unsafe leg of %s began under %q after one under %v", name, number, f.trails[name])
 	} else {
 		f.trails[name] = trail
 	}
@@ -320,7 +320,7 @@
 		f.perform(n)
 	})
 	linger := constants.StopLinger
-	if f.Options.Breach == "stop" {
+	if f.Options.Fault == "stop" {
 		linger = 0
 	}
 	f.after(linger, func() {
@@ -333,7 +333,7 @@
 	if !n.IsUp || n.Boot != boot {
 		return
 	}
-	if len(n.flying) > 0 && f.Now < until && f.Options.Breach != "stop" {
+	if len(n.flying) > 0 && f.Now < until && f.Options.Fault != "stop" {
 		f.after(10*time.Millisecond, func() { f.finish(n, boot, at, until) })
 		return
 	}
@@ -409,7 +409,7 @@
 				return
 			}
 			isOver = true
-			seen := judge.MatchSeen{At: f.Now, Door: n.Name, Service: a.Service, Path: a.Path, Status: http.StatusOK, Boot: boot, IsCutOff: f.isOutOfReach(n)}
+			seen := judge.MatchSeen{At: f.Now, Admin: n.Name, Service: a.Service, Path: a.Path, Status: http.StatusOK, Boot: boot, IsCutOff: f.isOutOfReach(n)}
 			f.after(f.far(a.Region, n), func() {
 				if fault != nil {
 					seen.Status = fault.Status
@@ -465,7 +465,7 @@
 	f.after(limit, func() { end(nil, "late") })
 	target, err := url.Parse("http://" + n.Name + "/" + a.Service + a.Path)
 	if err != nil {
-		f.breach("a caller has path %q", a.Path)
+		f.addViolation("a caller has path %q", a.Path)
 		return
 	}
 	request := &http.Request{Method: a.Method, URL: target, Header: http.Header{}}
@@ -617,7 +617,7 @@
 	verdicts := judge.Check(f.History)
 	for _, v := range verdicts {
 		for _, text := range v.Broken[:min(5, len(v.Broken))] {
-			f.breach("rule %s: %s", v.Rule, text)
+			f.addViolation("rule %s: %s", v.Rule, text)
 		}
 	}
 	return verdicts
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -82,7 +82,7 @@
 }
 
 func (f *Fleet) refused(address string) error {
-	if f.Options.Breach == "cold" {
+	if f.Options.Fault == "cold" {
 		return fmt.Errorf("connect to %s: refused, but not told so", address)
 	}
 	return fmt.Errorf("connect to %s: %w", address, syscall.ECONNREFUSED)
@@ -191,7 +191,7 @@
 			e = proxy.Event{Kind: proxy.EventAnswered, Err: fmt.Errorf("connection reset"), IsTouched: true}
 		case ModeCut:
 			e = proxy.Event{Kind: proxy.EventAnswered, Err: fmt.Errorf("outcome cut short"), IsTouched: true}
-			if f.Options.Breach == "seal" {
+			if f.Options.Fault == "seal" {
 				e = proxy.Event{Kind: proxy.EventAnswered, Result: o, IsTouched: true}
 				o.Body = o.Body[:len(o.Body)/2]
 			}
@@ -202,7 +202,7 @@
 			o.Header.Set(proxy.HeaderAttempt, "someone-elses")
 			o.Header.Set(proxy.HeaderDigest, proxy.Seal(o.Body))
 		}
-		if f.Options.Breach == "seal" && e.Result != nil {
+		if f.Options.Fault == "seal" && e.Result != nil {
 			o.Header.Set(proxy.HeaderAttempt, a.Attempt)
 			o.Header.Set(proxy.HeaderDigest, proxy.Seal(o.Body))
 		}
@@ -220,7 +220,7 @@
 	if a.Key != "" {
 		left, err := strconv.Atoi(h.Get(proxy.HeaderWait))
 		if err != nil {
-			f.breach("a keyed leg told %s no wait", b.Instance)
+			f.addViolation("a keyed leg told %s no wait", b.Instance)
 		}
 		holds = f.Now + time.Duration(left)*time.Millisecond
 	}
--- a/internal/standing/groups_test.go
+++ b/internal/standing/groups_test.go
@@ -12,13 +12,13 @@
 	table := image.NewTable()
 	var rows []*schema.Row
 	for i, region := range []string{"east", "west"} {
-		rows = append(rows, image.Put(image.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)}))
+		rows = append(rows, image.EncodeRow(image.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)}))
 		for _, zone := range []string{"a", "b"} {
 			name := region + zone
-			rows = append(rows, image.Put(image.ZoneKey(name), &schema.Zone{Name: name, Region: region}))
+			rows = append(rows, image.EncodeRow(image.ZoneKey(name), &schema.Zone{Name: name, Region: region}))
 			for s := range 3 {
 				service := fmt.Sprintf("s%d", s)
-				rows = append(rows, image.Put(image.BackendKey(service, name+service), &schema.Backend{Service: service, Instance: name + service, Zone: name, State: schema.BackendState_BACKEND_READY}))
+				rows = append(rows, image.EncodeRow(image.BackendKey(service, name+service), &schema.Backend{Service: service, Instance: name + service, Zone: name, State: schema.BackendState_BACKEND_READY}))
 			}
 		}
 	}
--- a/internal/standing/place.go
+++ b/internal/standing/place.go
@@ -165,7 +165,7 @@
 		}
 		made[name] = fresh
 		groups.Guards = append(groups.Guards, &schema.Guard{Key: image.GroupKey(name), Index: table.Get(image.GroupKey(name)).GetIndex()})
-		groups.Rows = append(groups.Rows, image.Put(image.GroupKey(name), fresh))
+		groups.Rows = append(groups.Rows, image.EncodeRow(image.GroupKey(name), fresh))
 		return fresh.Residue, true
 	}
 	fit := func(service *image.Service, region string) bool {
@@ -193,7 +193,7 @@
 		row.Number, row.Reason = nextOf(was, to), reason
 		records = append(records, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "standing of " + row.Service + " in " + row.Region,
 			Evidence: evidence(view, of, row.Region, all[row.Region], open[row.Region]),
-			Guards:   []*schema.Guard{{Key: key, Index: table.Get(key).GetIndex()}}, Rows: []*schema.Row{image.Put(key, row)}})
+			Guards:   []*schema.Guard{{Key: key, Index: table.Get(key).GetIndex()}}, Rows: []*schema.Row{image.EncodeRow(key, row)}})
 	}
 	for _, region := range regions {
 		to, reason, isThere := target(nil, region)
@@ -247,7 +247,7 @@
 	old := table.Get(row.Key)
 	switch {
 	case strings.HasPrefix(row.Key, "group/"):
-		fresh, before := image.Decode[schema.Group](row), image.Decode[schema.Group](old)
+		fresh, before := image.DecodeRow[schema.Group](row), image.DecodeRow[schema.Group](old)
 		if fresh.Residue%2 != 0 || fresh.Residue >= constants.GroupIncrement {
 			return true, fmt.Errorf("group %s has residue %d; groups take even ones below the increment", fresh.Name, fresh.Residue)
 		}
@@ -256,7 +256,7 @@
 		}
 		return true, nil
 	case strings.HasPrefix(row.Key, "standing/"):
-		was, is := image.Decode[schema.FailoverAssignment](old).GetNumber(), image.Decode[schema.FailoverAssignment](row).GetNumber()
+		was, is := image.DecodeRow[schema.FailoverAssignment](old).GetNumber(), image.DecodeRow[schema.FailoverAssignment](row).GetNumber()
 		if is <= was {
 			return true, fmt.Errorf("number of %s would go from %d to %d; numbers only rise", row.Key, was, is)
 		}
--- a/internal/standing/standing.go
+++ b/internal/standing/standing.go
@@ -198,35 +198,35 @@
 	var was, is uint64
 	switch {
 	case strings.HasPrefix(row.Key, "district/"):
-		fresh := image.Decode[schema.Zone](row)
+		fresh := image.DecodeRow[schema.Zone](row)
 		if fresh.Residue%2 != 0 || fresh.Residue >= constants.Increment {
 			return fmt.Errorf("district %s has residue %d; groups take even ones below the increment", fresh.Name, fresh.Residue)
 		}
-		if before := image.Decode[schema.Zone](old); before != nil && (before.Residue != fresh.Residue || before.Region != fresh.Region) {
+		if before := image.DecodeRow[schema.Zone](old); before != nil && (before.Residue != fresh.Residue || before.Region != fresh.Region) {
 			return fmt.Errorf("district %s would be renumbered; name a new district instead", fresh.Name)
 		}
 		return nil
 	case strings.HasPrefix(row.Key, "region/"):
-		fresh := image.Decode[schema.Region](row)
+		fresh := image.DecodeRow[schema.Region](row)
 		if fresh.Residue%2 != 1 || fresh.Residue >= constants.Increment {
 			return fmt.Errorf("region %s has residue %d; regions take odd ones below the increment", fresh.Name, fresh.Residue)
 		}
-		if before := image.Decode[schema.Region](old); before != nil && before.Residue != fresh.Residue {
+		if before := image.DecodeRow[schema.Region](old); before != nil && before.Residue != fresh.Residue {
 			return fmt.Errorf("region %s would be renumbered; name a new region instead", fresh.Name)
 		}
 		return nil
 	case strings.Contains(row.Key, "/standing/"):
-		is = image.Decode[schema.FailoverAssignment](row).GetNumber()
-		was = image.Decode[schema.FailoverAssignment](old).GetNumber()
+		is = image.DecodeRow[schema.FailoverAssignment](row).GetNumber()
+		was = image.DecodeRow[schema.FailoverAssignment](old).GetNumber()
 	case strings.Contains(row.Key, "/entity/"):
-		is = image.Decode[schema.Entity](row).GetNumber()
-		was = image.Decode[schema.Entity](old).GetNumber()
+		is = image.DecodeRow[schema.Entity](row).GetNumber()
+		was = image.DecodeRow[schema.Entity](old).GetNumber()
 	case strings.HasPrefix(row.Key, "keepers/"):
-		is = image.Decode[schema.ReplicaSet](row).GetNumber()
-		was = image.Decode[schema.ReplicaSet](old).GetNumber()
+		is = image.DecodeRow[schema.ReplicaSet](row).GetNumber()
+		was = image.DecodeRow[schema.ReplicaSet](old).GetNumber()
 	case row.Key == image.HeadKey:
-		is = image.Decode[schema.CatalogHead](row).GetVersion()
-		was = image.Decode[schema.CatalogHead](old).GetVersion()
+		is = image.DecodeRow[schema.CatalogHead](row).GetVersion()
+		was = image.DecodeRow[schema.CatalogHead](old).GetVersion()
 	default:
 		return nil
 	}
@@ -324,7 +324,7 @@
 		return nil
 	}
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "service has no entry left"}
-	table.Each(image.ServicePrefix(service.Name)+"slot/", func(row *schema.Row) { record.Rows = append(record.Rows, image.Gone(row.Key)) })
+	table.Each(image.ServicePrefix(service.Name)+"slot/", func(row *schema.Row) { record.Rows = append(record.Rows, image.Tombstone(row.Key)) })
 	if len(record.Rows) == 0 {
 		return nil
 	}
@@ -391,12 +391,12 @@
 			guard(key)
 			fresh := &schema.FailoverAssignment{Service: entry.Service, Path: entry.Path, Region: region, Reason: reason, Fenced: row != nil, Far: isFar || row.GetFenced() && row.GetFar()}
 			fresh.Number = Next(row.GetNumber(), residue)
-			record.Rows = append(record.Rows, image.Put(key, fresh))
+			record.Rows = append(record.Rows, image.EncodeRow(key, fresh))
 		case row.GetFenced():
 			if at := table.Get(key); at != nil && clear(at.Index, row.Far) {
 				guard(key)
 				fresh := &schema.FailoverAssignment{Service: row.Service, Path: row.Path, Region: row.Region, Number: row.Number, Reason: row.Reason}
-				record.Rows = append(record.Rows, image.Put(key, fresh))
+				record.Rows = append(record.Rows, image.EncodeRow(key, fresh))
 			}
 		}
 	}
@@ -424,7 +424,7 @@
 		if row.GetFenced() {
 			if at := table.Get(key); at != nil && clear(at.Index, true) {
 				guard(key)
-				record.Rows = append(record.Rows, image.Put(key, &schema.Entity{Service: row.Service, Path: row.Path, Region: row.Region, Number: row.Number, Reason: row.Reason, Far: row.Far}))
+				record.Rows = append(record.Rows, image.EncodeRow(key, &schema.Entity{Service: row.Service, Path: row.Path, Region: row.Region, Number: row.Number, Reason: row.Reason, Far: row.Far}))
 			}
 		}
 		return
@@ -435,7 +435,7 @@
 		reason = "region " + current + " has no usable group"
 	}
 	guard(key)
-	record.Rows = append(record.Rows, image.Put(key, &schema.Entity{Service: entry.Service, Path: entry.Path, Region: next,
+	record.Rows = append(record.Rows, image.EncodeRow(key, &schema.Entity{Service: entry.Service, Path: entry.Path, Region: next,
 		Number: Next(row.GetNumber(), view.Regions[next].Residue), Reason: reason, Fenced: row != nil, Far: row != nil}))
 }
 
