--- a/cmd/rig/caller.go
+++ b/cmd/testfleet/caller.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"topazshed/internal/judge"
+	"topazshed/internal/checker"
 )
 
 // Kind is one kind of call of a deployment.
@@ -70,7 +70,7 @@
 
 // Callers make the load.
 type Callers struct {
-	history    *judge.History
+	history    *checker.History
 	fleet      *Fleet
 	deployment Deployment
 	clients    []*http.Client
@@ -82,7 +82,7 @@
 	group      sync.WaitGroup
 }
 
-func newCallers(h *judge.History, f *Fleet, d Deployment, seed int64) *Callers {
+func newCallers(h *checker.History, f *Fleet, d Deployment, seed int64) *Callers {
 	c := &Callers{history: h, fleet: f, deployment: d, matches: map[string]*matched{}, random: rand.New(rand.NewSource(seed))}
 	for zone := range places {
 		dialer := &net.Dialer{Timeout: 700 * time.Millisecond, LocalAddr: &net.TCPAddr{IP: net.ParseIP(fmt.Sprintf("127.30.%d.1", zone))}}
@@ -137,9 +137,9 @@
 }
 
 // Do carries one attempt to its end as an honest caller would.
-func (c *Callers) Do(kind Kind, path, key, attempt string, zone int, wait time.Duration) *judge.Call {
+func (c *Callers) Do(kind Kind, path, key, attempt string, zone int, wait time.Duration) *checker.Call {
 	h := c.history
-	call := &judge.Call{At: h.Now(), Service: kind.Service, Path: path, Attempt: attempt, IsUnsafe: kind.Method != "GET"}
+	call := &checker.Call{At: h.Now(), Service: kind.Service, Path: path, Attempt: attempt, IsUnsafe: kind.Method != "GET"}
 	until := time.Now().Add(wait)
 	isDoubtful := false
 	var origin string
@@ -164,7 +164,7 @@
 			age = h.Now() - call.At
 		}
 		reply := c.send(kind, path, key, attempt, zone, m, left, age, call.Sends)
-		judge.Record(h, &h.Replies, reply)
+		checker.Record(h, &h.Replies, reply)
 		call.Last = reply.Kind + " " + reply.Broken
 		switch {
 		case reply.Result == "sealed":
@@ -199,7 +199,7 @@
 		call.Result = "doubtful"
 	}
 	call.End = h.Now()
-	judge.Record(h, &h.Calls, call)
+	checker.Record(h, &h.Calls, call)
 	return call
 }
 
@@ -244,16 +244,16 @@
 			continue
 		}
 		m := &matched{at: time.Now()}
-		seen := judge.MatchSeen{At: at, Admin: machine.name, Service: kind.Service, Path: kind.Path, Status: response.StatusCode, Boot: machine.boot}
+		seen := checker.MatchSeen{At: at, Admin: machine.name, Service: kind.Service, Path: kind.Path, Status: response.StatusCode, Boot: machine.boot}
 		if response.StatusCode == http.StatusOK && json.Unmarshal(text, m) == nil && len(m.Proxies) > 0 {
 			seen.Version, seen.Zone = m.Version, m.Proxies[0].Zone
-			judge.Record(c.history, &c.history.Matches, seen)
+			checker.Record(c.history, &c.history.Matches, seen)
 			c.lock.Lock()
 			c.matches[name] = m
 			c.lock.Unlock()
 			return m, 0
 		}
-		judge.Record(c.history, &c.history.Matches, seen)
+		checker.Record(c.history, &c.history.Matches, seen)
 		if later, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
 			return nil, time.Duration(later) * time.Second
 		}
@@ -261,9 +261,9 @@
 	return nil, 300 * time.Millisecond
 }
 
-func (c *Callers) send(kind Kind, path, key, attempt string, zone int, m *matched, left, age time.Duration, serial int) *judge.Reply {
+func (c *Callers) send(kind Kind, path, key, attempt string, zone int, m *matched, left, age time.Duration, serial int) *checker.Reply {
 	proxy := m.Proxies[c.draw(len(m.Proxies))]
-	r := &judge.Reply{At: c.history.Now(), Service: kind.Service, Path: path, Method: kind.Method, Attempt: attempt, Send: fmt.Sprintf("%s/%d", attempt, serial), Zone: proxy.Zone, Proxy: proxy.Address, IsUnsafe: kind.Method != "GET", IsProper: true}
+	r := &checker.Reply{At: c.history.Now(), Service: kind.Service, Path: path, Method: kind.Method, Attempt: attempt, Send: fmt.Sprintf("%s/%d", attempt, serial), Zone: proxy.Zone, Proxy: proxy.Address, IsUnsafe: kind.Method != "GET", IsProper: true}
 	limit := left
 	if !r.IsUnsafe {
 		limit = min(left, 2*time.Second)
--- a/cmd/rig/fleet.go
+++ b/cmd/testfleet/fleet.go
@@ -18,7 +18,7 @@
 	"syscall"
 	"time"
 
-	"topazshed/internal/judge"
+	"topazshed/internal/checker"
 )
 
 type place struct{ zone, region string }
@@ -74,7 +74,7 @@
 	program  string
 	folder   string
 	links    *Links
-	history  *judge.History
+	history  *checker.History
 	machines []*Machine
 	platform string
 	faulty   string
@@ -106,7 +106,7 @@
 	return name[:strings.LastIndex(name, "-")]
 }
 
-func newFleet(program, folder, platform, level string, h *judge.History) (*Fleet, error) {
+func newFleet(program, folder, platform, level string, h *checker.History) (*Fleet, error) {
 	f := &Fleet{program: program, folder: folder, platform: platform, level: level, history: h}
 	f.links = newLinks(func(from, to string) time.Duration { return delayBetween(zoneOfPlace(from), zoneOfPlace(to)) })
 	for zone, p := range places {
@@ -230,7 +230,7 @@
 func (f *Fleet) kill(m *Machine) {
 	f.signal(m, syscall.SIGKILL)
 	f.await(m, 5*time.Second)
-	judge.Record(f.history, &f.history.Fleet, judge.FleetEvent{At: f.history.Now(), What: "kill", Node: m.name, Proxy: m.shown(7002)})
+	checker.Record(f.history, &f.history.Fleet, checker.FleetEvent{At: f.history.Now(), What: "kill", Node: m.name, Proxy: m.shown(7002)})
 }
 
 func (f *Fleet) await(m *Machine, limit time.Duration) error {
@@ -255,7 +255,7 @@
 		return err
 	}
 	err := f.await(m, 30*time.Second)
-	judge.Record(f.history, &f.history.Fleet, judge.FleetEvent{At: at, End: f.history.Now(), What: "stop", Node: m.name, Proxy: m.shown(7002)})
+	checker.Record(f.history, &f.history.Fleet, checker.FleetEvent{At: at, End: f.history.Now(), What: "stop", Node: m.name, Proxy: m.shown(7002)})
 	return err
 }
 
--- a/cmd/rig/main.go
+++ b/cmd/testfleet/main.go
@@ -16,7 +16,7 @@
 
 	"github.com/google/subcommands"
 
-	"topazshed/internal/judge"
+	"topazshed/internal/checker"
 )
 
 type runCommand struct {
@@ -55,20 +55,20 @@
 
 // Report is the outcome of a run.
 type Report struct {
-	Deployment string            `json:"deployment"`
-	Seed       int64             `json:"seed"`
-	Calls      int               `json:"calls"`
-	Results    map[string]int    `json:"outcomes"`
-	Reasons    map[string]int    `json:"reasons"`
-	Spans      map[string][2]int `json:"spans_ms"`
-	Latency    map[string][]int  `json:"latency_ms_p50_p90_p99_max"`
-	Gap        int               `json:"longest_gap_ms"`
-	UnsafeGap  int               `json:"longest_unsafe_gap_ms"`
-	Verdicts   []*judge.Verdict  `json:"verdicts"`
-	Faults     []string          `json:"faults"`
-	ReadyMs    int64             `json:"ready_ms"`
-	Timeline   []string          `json:"timeline"`
-	UnsafeMs   int64             `json:"unsafe_ready_ms"`
+	Deployment string             `json:"deployment"`
+	Seed       int64              `json:"seed"`
+	Calls      int                `json:"calls"`
+	Results    map[string]int     `json:"outcomes"`
+	Reasons    map[string]int     `json:"reasons"`
+	Spans      map[string][2]int  `json:"spans_ms"`
+	Latency    map[string][]int   `json:"latency_ms_p50_p90_p99_max"`
+	Gap        int                `json:"longest_gap_ms"`
+	UnsafeGap  int                `json:"longest_unsafe_gap_ms"`
+	Verdicts   []*checker.Verdict `json:"verdicts"`
+	Faults     []string           `json:"faults"`
+	ReadyMs    int64              `json:"ready_ms"`
+	Timeline   []string           `json:"timeline"`
+	UnsafeMs   int64              `json:"unsafe_ready_ms"`
 }
 
 func (c *runCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -264,11 +264,11 @@
 		report.Faults = append(report.Faults, fmt.Sprintf("read-back at the end gave status %d version %d, not %d", status, version, runner.base))
 	}
 	c.summarise(report, history, loadStart)
-	report.Verdicts = judge.Check(history)
+	report.Verdicts = checker.Check(history)
 	return report, nil
 }
 
-func (c *runCommand) summarise(report *Report, h *judge.History, since time.Duration) {
+func (c *runCommand) summarise(report *Report, h *checker.History, since time.Duration) {
 	h.Lock()
 	defer h.Unlock()
 	latencies := map[string][]int{}
--- a/cmd/rig/scenario.go
+++ b/cmd/testfleet/scenario.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"topazshed/internal/judge"
+	"topazshed/internal/checker"
 )
 
 // Step is one thing that a scenario does at a time.
@@ -104,14 +104,14 @@
 	fleet   *Fleet
 	world   *World
 	callers *Callers
-	history *judge.History
+	history *checker.History
 	dep     Deployment
 	base    uint64
 	extra   int
 	leader  *Machine
 }
 
-func (r *Runner) operator(what, method, path string, query url.Values, body []byte, entries []judge.EntrySeen, zone string) (int, uint64) {
+func (r *Runner) operator(what, method, path string, query url.Values, body []byte, entries []checker.EntrySeen, zone string) (int, uint64) {
 	for range 40 {
 		m := r.fleet.machines[r.callers.draw(len(r.fleet.machines))]
 		at := r.history.Now()
@@ -125,13 +125,13 @@
 		if version, err := strconv.ParseUint(header.Get("Topazshed-Version"), 10, 64); err == nil {
 			reply.Version = version
 		}
-		judge.Record(r.history, &r.history.Operators, judge.OperatorEvent{At: at, End: r.history.Now(), What: what, Zone: zone, Version: reply.Version, Status: status, Entries: entries, Node: m.name})
+		checker.Record(r.history, &r.history.Operators, checker.OperatorEvent{At: at, End: r.history.Now(), What: what, Zone: zone, Version: reply.Version, Status: status, Entries: entries, Node: m.name})
 		return status, reply.Version
 	}
 	return 0, 0
 }
 
-func (r *Runner) document() ([]byte, []judge.EntrySeen) {
+func (r *Runner) document() ([]byte, []checker.EntrySeen) {
 	var document struct {
 		Entries []map[string]any `json:"entries"`
 	}
@@ -150,9 +150,9 @@
 		} `json:"entries"`
 	}
 	json.Unmarshal(text, &seen)
-	var entries []judge.EntrySeen
+	var entries []checker.EntrySeen
 	for _, e := range seen.Entries {
-		entries = append(entries, judge.EntrySeen{Service: e.Service, Path: e.Path, Methods: e.Methods, Safe: e.Safe, Homes: e.Homes})
+		entries = append(entries, checker.EntrySeen{Service: e.Service, Path: e.Path, Methods: e.Methods, Safe: e.Safe, Homes: e.Homes})
 	}
 	return text, entries
 }
--- a/cmd/rig/world.go
+++ b/cmd/testfleet/world.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"topazshed/internal/judge"
+	"topazshed/internal/checker"
 )
 
 // Mode is a stand-in back end's present fault.
@@ -97,9 +97,9 @@
 	mode := b.mode
 	b.lock.Unlock()
 	h := b.world.history
-	a := &judge.Arrival{At: h.Now(), Service: b.service, Instance: b.instance, Path: r.URL.Path, Method: r.Method, Attempt: r.Header.Get("Topazshed-Attempt"),
+	a := &checker.Arrival{At: h.Now(), Service: b.service, Instance: b.instance, Path: r.URL.Path, Method: r.Method, Attempt: r.Header.Get("Topazshed-Attempt"),
 		Send: r.Header.Get("X-Send"), Key: r.Header.Get("Topazshed-Key"), IsUnsafe: r.Method != http.MethodGet && r.Method != http.MethodHead}
-	judge.Record(h, &h.Arrivals, a)
+	checker.Record(h, &h.Arrivals, a)
 	if want := r.Header.Get("Topazshed-Service"); want != b.service || r.Header.Get("Topazshed-Instance") != b.instance {
 		http.Error(w, "not me", http.StatusMisdirectedRequest)
 		return
@@ -146,7 +146,7 @@
 	return time.Duration(left) * time.Millisecond
 }
 
-func (b *Backend) answer(w http.ResponseWriter, a *judge.Arrival, status int, text []byte, mode Mode) {
+func (b *Backend) answer(w http.ResponseWriter, a *checker.Arrival, status int, text []byte, mode Mode) {
 	h := b.world.history
 	digest := seal(text)
 	h.Lock()
@@ -184,7 +184,7 @@
 
 // World is the platform with its back ends.
 type World struct {
-	history  *judge.History
+	history  *checker.History
 	lock     sync.Mutex
 	backends []*Backend
 	shown    []*Backend
@@ -209,7 +209,7 @@
 	instance string
 }
 
-func newWorld(h *judge.History, seed int64, address string) (*World, error) {
+func newWorld(h *checker.History, seed int64, address string) (*World, error) {
 	w := &World{history: h, states: map[string]string{}, known: map[string]string{}, lag: 300 * time.Millisecond, pageSize: 10, limit: 20, address: address,
 		held: map[string]owner{}, random: rand.New(rand.NewSource(seed))}
 	listener, err := net.Listen("tcp", address)
@@ -355,12 +355,12 @@
 	if w.fault == "" && page == pages-1 {
 		for instance, state := range seen {
 			if w.known[instance] != state {
-				judge.Record(w.history, &w.history.Platform, judge.PlatformEvent{At: w.history.Now(), Instance: instance, What: state})
+				checker.Record(w.history, &w.history.Platform, checker.PlatformEvent{At: w.history.Now(), Instance: instance, What: state})
 			}
 		}
 		for instance := range w.known {
 			if _, isThere := seen[instance]; !isThere {
-				judge.Record(w.history, &w.history.Platform, judge.PlatformEvent{At: w.history.Now(), Instance: instance, What: "gone"})
+				checker.Record(w.history, &w.history.Platform, checker.PlatformEvent{At: w.history.Now(), Instance: instance, What: "gone"})
 			}
 		}
 		w.known = seen
@@ -379,7 +379,7 @@
 	return errors.Join(w.server.Close())
 }
 
-func newHistory() *judge.History {
+func newHistory() *checker.History {
 	begun := time.Now()
-	return judge.NewHistory(func() time.Duration { return time.Since(begun) }, regionOf)
+	return checker.NewHistory(func() time.Duration { return time.Since(begun) }, regionOf)
 }
--- a/cmd/topazshed/commands.go
+++ b/cmd/topazshed/commands.go
@@ -21,7 +21,7 @@
 
 	"github.com/google/subcommands"
 
-	"topazshed/internal/control"
+	"topazshed/internal/adminapi"
 	"topazshed/internal/node"
 	"topazshed/internal/settings"
 )
@@ -134,7 +134,7 @@
 	if status == http.StatusOK {
 		return subcommands.ExitSuccess
 	}
-	var reply control.Reply
+	var reply adminapi.Reply
 	if json.Unmarshal(text, &reply) == nil && reply.Kind != "" {
 		fmt.Fprintf(os.Stderr, "declined (%s): %s\n", reply.Kind, reply.Message)
 		for _, fault := range reply.Faults {
@@ -197,7 +197,7 @@
 	status, _, text, err := c.call(http.MethodPut, "/v1/configuration", url.Values{"base": {strconv.FormatInt(c.base, 10)}}, http.Header{"Topazshed-Operator-Key": {c.key}}, document)
 	code := report(status, text, err)
 	if code == subcommands.ExitSuccess {
-		var reply control.Reply
+		var reply adminapi.Reply
 		json.Unmarshal(text, &reply)
 		fmt.Printf("accepted as version %d\n", reply.Version)
 		tellUnconfirmed(reply.Unconfirmed)
@@ -253,7 +253,7 @@
 	status, _, text, err := c.call(http.MethodPost, "/v1/districts/"+flags.Arg(0)+"/"+c.Name(), url.Values{"reason": {c.reason}}, nil, nil)
 	code := report(status, text, err)
 	if code == subcommands.ExitSuccess {
-		var reply control.Reply
+		var reply adminapi.Reply
 		json.Unmarshal(text, &reply)
 		fmt.Println("accepted")
 		tellUnconfirmed(reply.Unconfirmed)
@@ -285,7 +285,7 @@
 		os.Stdout.Write(text)
 		return code
 	}
-	var s control.Status
+	var s adminapi.Status
 	if err := json.Unmarshal(text, &s); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
--- a/cmd/topazshed/doctor.go
+++ b/cmd/topazshed/doctor.go
@@ -17,8 +17,8 @@
 
 	"github.com/google/subcommands"
 
+	"topazshed/internal/adminapi"
 	"topazshed/internal/constants"
-	"topazshed/internal/control"
 	"topazshed/internal/journal"
 	"topazshed/internal/settings"
 )
@@ -154,14 +154,14 @@
 	return findings
 }
 
-func statusOf(admin string) (*control.Status, error) {
+func statusOf(admin string) (*adminapi.Status, error) {
 	client := http.Client{Timeout: 3 * time.Second}
 	response, err := client.Get("http://" + admin + "/v1/status")
 	if err != nil {
 		return nil, err
 	}
 	defer response.Body.Close()
-	s := &control.Status{}
+	s := &adminapi.Status{}
 	return s, json.NewDecoder(response.Body).Decode(s)
 }
 
@@ -169,7 +169,7 @@
 
 type reading struct{ mine, theirs, blur time.Duration }
 
-func examineClocks(admin string, first *control.Status, span time.Duration) []Finding {
+func examineClocks(admin string, first *adminapi.Status, span time.Duration) []Finding {
 	if span <= 0 {
 		return nil
 	}
@@ -219,7 +219,7 @@
 	}
 	var findings []Finding
 	add := func(kind, message, remedy string) { findings = append(findings, Finding{kind, message, remedy}) }
-	all := []*control.Status{first}
+	all := []*adminapi.Status{first}
 	for _, node := range first.Nodes {
 		if node.ID == first.Node {
 			continue
@@ -235,7 +235,7 @@
 		}
 		all = append(all, s)
 	}
-	var leader *control.Status
+	var leader *adminapi.Status
 	newest := uint64(0)
 	for _, s := range all {
 		newest = max(newest, s.Configuration)
--- a/cmd/topazshed/doctor_routed.go
+++ b/cmd/topazshed/doctor_routed.go
@@ -5,11 +5,11 @@
 	"maps"
 	"slices"
 
-	"topazshed/internal/control"
+	"topazshed/internal/adminapi"
 )
 
 // judgeRouted finds the faults of a fleet that carries routes, by the statuses of the machines that answered; first is the leader's if one leads.
-func judgeRouted(first *control.Status, all []*control.Status) []Finding {
+func judgeRouted(first *adminapi.Status, all []*adminapi.Status) []Finding {
 	if first.Routed == nil {
 		return nil
 	}
--- a/cmd/topazshed/doctor_test.go
+++ b/cmd/topazshed/doctor_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"topazshed/internal/control"
+	"topazshed/internal/adminapi"
 	"topazshed/internal/journal"
 	"topazshed/internal/schema"
 )
@@ -35,32 +35,32 @@
 func TestDoctorOnALiveFleet(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(leader, reader *control.Status)
+		change func(leader, reader *adminapi.Status)
 		want   string
 	}{
 		{"healthy", nil, ""},
-		{"nobody leads", func(l, _ *control.Status) { l.Role = "follower" }, "no-quorum"},
-		{"too few voters", func(l, _ *control.Status) {
+		{"nobody leads", func(l, _ *adminapi.Status) { l.Role = "follower" }, "no-quorum"},
+		{"too few voters", func(l, _ *adminapi.Status) {
 			l.Voters, l.LossesBorne, l.UnresponsiveVoters = []string{"a", "x", "y"}, 0, []string{"x", "y"}
-			l.Nodes = append(l.Nodes, control.NodeStatus{ID: "x", State: "lost"}, control.NodeStatus{ID: "y", State: "lost"})
+			l.Nodes = append(l.Nodes, adminapi.NodeStatus{ID: "x", State: "lost"}, adminapi.NodeStatus{ID: "y", State: "lost"})
 		}, "lost-node thin-quorum"},
-		{"an older configuration", func(_, r *control.Status) { r.Configuration = 2 }, "differing-versions"},
-		{"a stale list", func(l, _ *control.Status) { l.ListMs = 60000 }, "stale-list"},
-		{"a list never read", func(l, _ *control.Status) { l.ListMs = -1 }, "stale-list"},
-		{"a failing disk", func(l, _ *control.Status) { l.Disk = &control.Disk{Fault: "input/output error"} }, "failing-disk"},
-		{"a slow disk", func(l, _ *control.Status) { l.Disk = &control.Disk{WorstMs: 5000} }, "slow-disk"},
-		{"a node without fresh state", func(_, r *control.Status) { r.Fit = false }, "unfit-node"},
-		{"an entry without a back end", func(l, _ *control.Status) { l.Entries = append(l.Entries, "gates/windows") }, "entry-without-back-end"},
-		{"a node that is not reached", func(l, _ *control.Status) {
-			l.Nodes = append(l.Nodes, control.NodeStatus{ID: "c", State: "ready", Admin: "127.0.0.1:1"})
+		{"an older configuration", func(_, r *adminapi.Status) { r.Configuration = 2 }, "differing-versions"},
+		{"a stale list", func(l, _ *adminapi.Status) { l.ListMs = 60000 }, "stale-list"},
+		{"a list never read", func(l, _ *adminapi.Status) { l.ListMs = -1 }, "stale-list"},
+		{"a failing disk", func(l, _ *adminapi.Status) { l.Disk = &adminapi.Disk{Fault: "input/output error"} }, "failing-disk"},
+		{"a slow disk", func(l, _ *adminapi.Status) { l.Disk = &adminapi.Disk{WorstMs: 5000} }, "slow-disk"},
+		{"a node without fresh state", func(_, r *adminapi.Status) { r.Fit = false }, "unfit-node"},
+		{"an entry without a back end", func(l, _ *adminapi.Status) { l.Entries = append(l.Entries, "gates/windows") }, "entry-without-back-end"},
+		{"a node that is not reached", func(l, _ *adminapi.Status) {
+			l.Nodes = append(l.Nodes, adminapi.NodeStatus{ID: "c", State: "ready", Admin: "127.0.0.1:1"})
 		}, "unreachable-node"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			leader := &control.Status{Node: "a", Role: "leader", Term: 3, Fit: true, Configuration: 3, Voters: []string{"a", "p", "q"}, LossesBorne: 1, Entries: []string{"ledger/balances"},
-				Backends: []control.BackendStatus{{Service: "ledger", State: "ready"}}}
-			reader := &control.Status{Node: "b", Role: "reader", Fit: true, Configuration: 3}
-			serve := func(s *control.Status) string {
+			leader := &adminapi.Status{Node: "a", Role: "leader", Term: 3, Fit: true, Configuration: 3, Voters: []string{"a", "p", "q"}, LossesBorne: 1, Entries: []string{"ledger/balances"},
+				Backends: []adminapi.BackendStatus{{Service: "ledger", State: "ready"}}}
+			reader := &adminapi.Status{Node: "b", Role: "reader", Fit: true, Configuration: 3}
+			serve := func(s *adminapi.Status) string {
 				server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					json.NewEncoder(w).Encode(s)
 				}))
@@ -68,7 +68,7 @@
 				return strings.TrimPrefix(server.URL, "http://")
 			}
 			admin := serve(leader)
-			leader.Nodes = []control.NodeStatus{{ID: "a", State: "ready", Admin: admin}, {ID: "b", State: "ready", Admin: serve(reader)}}
+			leader.Nodes = []adminapi.NodeStatus{{ID: "a", State: "ready", Admin: admin}, {ID: "b", State: "ready", Admin: serve(reader)}}
 			if c.change != nil {
 				c.change(leader, reader)
 			}
--- a/cmd/topazshed/rollout.go
+++ b/cmd/topazshed/rollout.go
@@ -12,9 +12,9 @@
 
 	"github.com/google/subcommands"
 
+	"topazshed/internal/adminapi"
 	"topazshed/internal/constants"
-	"topazshed/internal/control"
-	"topazshed/internal/versions"
+	"topazshed/internal/protocolversion"
 )
 
 type rolloutMachine struct {
@@ -28,18 +28,18 @@
 
 // rollout is how far a fleet's upgrade has come, and what the next step must wait for.
 type rollout struct {
-	InUse    uint32           `json:"in_use"`
-	Newest   uint32           `json:"newest"`
-	MayRise  uint32           `json:"may_rise_to"`
-	Holds    []versions.Hold  `json:"holds"`
-	Machines []rolloutMachine `json:"machines"`
-	IsSafe   bool             `json:"safe"`
-	Waits    []string         `json:"waits"`
+	InUse    uint32                 `json:"in_use"`
+	Newest   uint32                 `json:"newest"`
+	MayRise  uint32                 `json:"may_rise_to"`
+	Holds    []protocolversion.Hold `json:"holds"`
+	Machines []rolloutMachine       `json:"machines"`
+	IsSafe   bool                   `json:"safe"`
+	Waits    []string               `json:"waits"`
 }
 
 // assess reads a roll-out's standing off a node's status.
-func assess(s *control.Status) rollout {
-	r := rollout{InUse: s.Fleet, Newest: s.Newest, Holds: []versions.Hold{}, Waits: []string{}}
+func assess(s *adminapi.Status) rollout {
+	r := rollout{InUse: s.Fleet, Newest: s.Newest, Holds: []protocolversion.Hold{}, Waits: []string{}}
 	wait := func(form string, args ...any) { r.Waits = append(r.Waits, fmt.Sprintf(form, args...)) }
 	if s.LeaderUnreachable != "" {
 		wait("no leader answers (%s); wait until one does", s.LeaderUnreachable)
@@ -50,7 +50,7 @@
 	if len(s.Learners) > 0 {
 		wait("%d machines are learning the log (%v); wait until they vote", len(s.Learners), s.Learners)
 	}
-	var readers []versions.Reader
+	var readers []protocolversion.Reader
 	known := map[string]bool{}
 	able := 0
 	for _, n := range s.Nodes {
@@ -71,13 +71,13 @@
 		if isVoter && isHeard && n.State == "ready" {
 			able++
 		}
-		span := versions.Span{Low: n.SpeaksLow, High: n.SpeaksHigh}
-		readers = append(readers, versions.Reader{ID: n.ID, Span: span, IsVoter: isVoter, IsHeard: isHeard})
+		span := protocolversion.Span{Low: n.SpeaksLow, High: n.SpeaksHigh}
+		readers = append(readers, protocolversion.Reader{ID: n.ID, Span: span, IsVoter: isVoter, IsHeard: isHeard})
 		r.Machines = append(r.Machines, rolloutMachine{n.ID, n.Zone, n.State, span.String(), isVoter, span.Has(s.Newest)})
 	}
 	for _, id := range slices.Concat(s.Voters, s.Learners) {
 		if !known[id] {
-			readers = append(readers, versions.Reader{ID: id, Span: versions.Span{Low: versions.First, High: versions.First}, IsVoter: true})
+			readers = append(readers, protocolversion.Reader{ID: id, Span: protocolversion.Span{Low: protocolversion.First, High: protocolversion.First}, IsVoter: true})
 			wait("member %s of the log is not among the machines; bring it back, or wait until it is taken out", id)
 		}
 	}
@@ -105,8 +105,8 @@
 			wait("%d spans of keys are moving; wait until they have", moving)
 		}
 	}
-	own := versions.Span{Low: versions.First, High: s.Newest}
-	next, holds := versions.Rise(s.Fleet, own, readers)
+	own := protocolversion.Span{Low: protocolversion.First, High: s.Newest}
+	next, holds := protocolversion.Rise(s.Fleet, own, readers)
 	r.MayRise, r.Holds = next, append(r.Holds, holds...)
 	r.IsSafe = len(r.Waits) == 0
 	return r
@@ -167,7 +167,7 @@
 	if code := report(status, text, err); code != subcommands.ExitSuccess {
 		return code
 	}
-	var s control.Status
+	var s adminapi.Status
 	if err := json.Unmarshal(text, &s); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
--- a/cmd/topazshed/rollout_test.go
+++ b/cmd/topazshed/rollout_test.go
@@ -6,15 +6,15 @@
 	"strings"
 	"testing"
 
-	"topazshed/internal/control"
+	"topazshed/internal/adminapi"
 )
 
 func TestARolloutsNextStepWaits(t *testing.T) {
-	status := func() *control.Status {
-		s := &control.Status{Fleet: 1, Newest: 2, Routed: &control.RoutedStatus{}}
+	status := func() *adminapi.Status {
+		s := &adminapi.Status{Fleet: 1, Newest: 2, Routed: &adminapi.RoutedStatus{}}
 		for i := range 6 {
 			id := fmt.Sprintf("n%d", i)
-			s.Nodes = append(s.Nodes, control.NodeStatus{ID: id, Zone: "mu-a", State: "ready", SpeaksLow: 1, SpeaksHigh: 2, InForce: true, HeardMs: 300})
+			s.Nodes = append(s.Nodes, adminapi.NodeStatus{ID: id, Zone: "mu-a", State: "ready", SpeaksLow: 1, SpeaksHigh: 2, InForce: true, HeardMs: 300})
 			if i < 5 {
 				s.Voters = append(s.Voters, id)
 			}
@@ -23,30 +23,30 @@
 	}
 	for _, c := range []struct {
 		name    string
-		change  func(s *control.Status)
+		change  func(s *adminapi.Status)
 		waits   []string
 		holds   []string
 		mayRise uint32
 	}{
-		{"all is well", func(s *control.Status) {}, nil, nil, 2},
-		{"risen before", func(s *control.Status) { s.Fleet = 2 }, nil, nil, 2},
-		{"half of them are old", func(s *control.Status) { s.Nodes[0].SpeaksHigh, s.Nodes[5].SpeaksHigh = 1, 1 }, nil, []string{"n0", "n5"}, 1},
-		{"one is away for its upgrade", func(s *control.Status) { s.Nodes[2].State, s.Nodes[2].HeardMs = "stopping", 9000 }, []string{"machine n2 in mu-a is stopping"}, []string{"n2"}, 1},
-		{"two voters are away", func(s *control.Status) {
+		{"all is well", func(s *adminapi.Status) {}, nil, nil, 2},
+		{"risen before", func(s *adminapi.Status) { s.Fleet = 2 }, nil, nil, 2},
+		{"half of them are old", func(s *adminapi.Status) { s.Nodes[0].SpeaksHigh, s.Nodes[5].SpeaksHigh = 1, 1 }, nil, []string{"n0", "n5"}, 1},
+		{"one is away for its upgrade", func(s *adminapi.Status) { s.Nodes[2].State, s.Nodes[2].HeardMs = "stopping", 9000 }, []string{"machine n2 in mu-a is stopping"}, []string{"n2"}, 1},
+		{"two voters are away", func(s *adminapi.Status) {
 			s.Nodes[0].State, s.Nodes[0].HeardMs, s.Nodes[1].State, s.Nodes[1].HeardMs = "lost", -1, "lost", -1
 		}, []string{"machine n0", "machine n1", "3 of 5 voters are well"}, []string{"n0", "n1"}, 1},
-		{"a ready one is silent", func(s *control.Status) { s.Nodes[5].HeardMs = -1 }, []string{"machine n5 in mu-a was not heard"}, []string{"n5"}, 1},
-		{"a configuration is on its way", func(s *control.Status) { s.Nodes[5].InForce = false }, []string{"not in force at machine n5"}, nil, 2},
-		{"a voter learns", func(s *control.Status) { s.Learners = []string{"n5"} }, []string{"1 machines are learning"}, nil, 2},
-		{"a member is nowhere", func(s *control.Status) { s.Voters = append(s.Voters, "gone") }, []string{"member gone of the log"}, []string{"gone"}, 1},
-		{"three voters of three", func(s *control.Status) { s.Voters = s.Voters[:3] }, nil, nil, 2},
-		{"two voters", func(s *control.Status) { s.Voters = s.Voters[:2] }, []string{"2 of 2 voters are well"}, nil, 2},
-		{"no leader", func(s *control.Status) { s.LeaderUnreachable = "no leader is known" }, []string{"no leader answers"}, nil, 2},
-		{"a door without the voters", func(s *control.Status) { s.Voters = nil }, []string{"ask the door of one with a disk"}, nil, 2},
-		{"an emptied district", func(s *control.Status) { s.Zones = []control.ZoneStatus{{Name: "mu-a", Emptied: true}} }, []string{"district mu-a is emptied"}, nil, 2},
-		{"keys without a holder", func(s *control.Status) {
-			s.Routed.Services = []control.ServiceStatus{{Name: "nickel", Unheld: 9}}
-			s.Routed.Spans = []control.SpanStatus{{Service: "nickel", Releasing: true}, {Service: "nickel"}}
+		{"a ready one is silent", func(s *adminapi.Status) { s.Nodes[5].HeardMs = -1 }, []string{"machine n5 in mu-a was not heard"}, []string{"n5"}, 1},
+		{"a configuration is on its way", func(s *adminapi.Status) { s.Nodes[5].InForce = false }, []string{"not in force at machine n5"}, nil, 2},
+		{"a voter learns", func(s *adminapi.Status) { s.Learners = []string{"n5"} }, []string{"1 machines are learning"}, nil, 2},
+		{"a member is nowhere", func(s *adminapi.Status) { s.Voters = append(s.Voters, "gone") }, []string{"member gone of the log"}, []string{"gone"}, 1},
+		{"three voters of three", func(s *adminapi.Status) { s.Voters = s.Voters[:3] }, nil, nil, 2},
+		{"two voters", func(s *adminapi.Status) { s.Voters = s.Voters[:2] }, []string{"2 of 2 voters are well"}, nil, 2},
+		{"no leader", func(s *adminapi.Status) { s.LeaderUnreachable = "no leader is known" }, []string{"no leader answers"}, nil, 2},
+		{"a door without the voters", func(s *adminapi.Status) { s.Voters = nil }, []string{"ask the door of one with a disk"}, nil, 2},
+		{"an emptied district", func(s *adminapi.Status) { s.Zones = []adminapi.ZoneStatus{{Name: "mu-a", Emptied: true}} }, []string{"district mu-a is emptied"}, nil, 2},
+		{"keys without a holder", func(s *adminapi.Status) {
+			s.Routed.Services = []adminapi.ServiceStatus{{Name: "nickel", Unheld: 9}}
+			s.Routed.Spans = []adminapi.SpanStatus{{Service: "nickel", Releasing: true}, {Service: "nickel"}}
 		}, []string{"9 keys of nickel", "1 spans of keys are moving"}, nil, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/topazshed/status.go
+++ b/cmd/topazshed/status.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"io"
 
-	"topazshed/internal/control"
+	"topazshed/internal/adminapi"
 )
 
 // printStatus writes a status for people; docs/operators.md tells what each line means.
-func printStatus(w io.Writer, s *control.Status) {
+func printStatus(w io.Writer, s *adminapi.Status) {
 	line := func(form string, args ...any) { fmt.Fprintf(w, form+"\n", args...) }
 	line("node %s (%s), term %d, leader %s, index %d, configuration %d, fit %v, grant %d ms", s.Node, s.Role, s.Term, s.Leader, s.Index, s.Configuration, s.Fit, s.LeaseMs)
 	if s.LeaderUnreachable != "" {
@@ -49,7 +49,7 @@
 	}
 }
 
-func printRouted(line func(form string, args ...any), r *control.RoutedStatus) {
+func printRouted(line func(form string, args ...any), r *adminapi.RoutedStatus) {
 	line("routes   %d", r.Routes)
 	for _, service := range r.Services {
 		keys := ""
@@ -68,7 +68,7 @@
 }
 
 // wordOf is what the leader told of a machine.
-func wordOf(s *control.Status, n control.NodeStatus) string {
+func wordOf(s *adminapi.Status, n adminapi.NodeStatus) string {
 	switch {
 	case s.Routed == nil || s.LeaderUnreachable != "":
 		return ""
--- a/cmd/topazshed/status_test.go
+++ b/cmd/topazshed/status_test.go
@@ -5,25 +5,25 @@
 	"strings"
 	"testing"
 
-	"topazshed/internal/control"
+	"topazshed/internal/adminapi"
 )
 
-func routedStatus() *control.Status {
-	return &control.Status{Node: "a", Role: "leader", Term: 3, Leader: "10.0.0.1:7001", Index: 40, Configuration: 5, Fit: true, ListMs: 120, Voters: []string{"a"}, Disk: &control.Disk{Folder: "/d", LastSyncMs: 2, WorstMs: 9},
-		Zones:       []control.ZoneStatus{{Name: "mu-a", Region: "mu", Emptied: true, Reason: "new racks"}},
-		Nodes:       []control.NodeStatus{{ID: "a", State: "ready", Zone: "mu-b", Index: 40, InForce: true}, {ID: "b", State: "ready", Zone: "mu-b", Index: 40, HeardMs: 300, InForce: true}},
-		Assignments: []control.Assignment{{Kind: "region", Region: "mu", Active: "mu:mu-b", Number: 20002, Reason: "its open districts"}},
-		Changes: []control.Change{{Region: "mu", From: 10000, To: 20002, Was: "mu", Is: "mu:mu-b", Cause: "its open districts", Evidence: "mu-a is emptied (new racks)", At: "2026-05-04T12:00:00.123Z", Leader: "a", Index: 38, Term: 3},
+func routedStatus() *adminapi.Status {
+	return &adminapi.Status{Node: "a", Role: "leader", Term: 3, Leader: "10.0.0.1:7001", Index: 40, Configuration: 5, Fit: true, ListMs: 120, Voters: []string{"a"}, Disk: &adminapi.Disk{Folder: "/d", LastSyncMs: 2, WorstMs: 9},
+		Zones:       []adminapi.ZoneStatus{{Name: "mu-a", Region: "mu", Emptied: true, Reason: "new racks"}},
+		Nodes:       []adminapi.NodeStatus{{ID: "a", State: "ready", Zone: "mu-b", Index: 40, InForce: true}, {ID: "b", State: "ready", Zone: "mu-b", Index: 40, HeardMs: 300, InForce: true}},
+		Assignments: []adminapi.Assignment{{Kind: "region", Region: "mu", Active: "mu:mu-b", Number: 20002, Reason: "its open districts"}},
+		Changes: []adminapi.Change{{Region: "mu", From: 10000, To: 20002, Was: "mu", Is: "mu:mu-b", Cause: "its open districts", Evidence: "mu-a is emptied (new racks)", At: "2026-05-04T12:00:00.123Z", Leader: "a", Index: 38, Term: 3},
 			{Service: "nickel", Region: "xi", From: 1, To: 2, Was: "xi", Is: "region mu", Cause: "c", Index: 39, Term: 3}},
-		Routed: &control.RoutedStatus{Routes: 2, Services: []control.ServiceStatus{{Name: "copper", Routes: 1, Ready: 2, Cold: 1}, {Name: "nickel", Routes: 1, Ready: 1, Keyed: true}},
-			Spans: []control.SpanStatus{{Service: "nickel", Last: 32767, Instance: "n-1", Fence: 7}, {Service: "nickel", First: 32768, Last: 65535, Instance: "n-2", Fence: 8, Releasing: true}}},
+		Routed: &adminapi.RoutedStatus{Routes: 2, Services: []adminapi.ServiceStatus{{Name: "copper", Routes: 1, Ready: 2, Cold: 1}, {Name: "nickel", Routes: 1, Ready: 1, Keyed: true}},
+			Spans: []adminapi.SpanStatus{{Service: "nickel", Last: 32767, Instance: "n-1", Fence: 7}, {Service: "nickel", First: 32768, Last: 65535, Instance: "n-2", Fence: 8, Releasing: true}}},
 		Resting: []string{"c-9"}}
 }
 
 func TestStatusExplainsItself(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(s *control.Status)
+		change func(s *adminapi.Status)
 		wants  []string
 		lacks  []string
 	}{
@@ -35,13 +35,13 @@
 			"change   - nickel in xi: xi (1) -> region mu (2): c; evidence: none told; by a configuration in term 3, index 39",
 			"service  copper               routes 1, back ends ready 2 (cold 1), draining 0\n", "draining 0, keys without a holder 0",
 			"keys     nickel                   0 to 32767 held by n-1 under 7", "32768 to 65535 being released by n-2 under 8", "resting  c-9 failed this machine"}, []string{"missing", "NOT in force", "not confirmed"}},
-		{"one machine is behind, one is silent", func(s *control.Status) {
+		{"one machine is behind, one is silent", func(s *adminapi.Status) {
 			s.Nodes[0].InForce, s.Nodes[1].HeardMs, s.Unconfirmed = false, -1, []string{"mu-b"}
 		}, []string{"newest configuration NOT in force (index 40)", "not heard by this leader", "not confirmed yet by every proxy of mu-b"}, []string{", configuration in force"}},
-		{"two of six voters are silent", func(s *control.Status) { s.LossesBorne, s.UnresponsiveVoters = 0, []string{"b", "c"} }, []string{"losses   0 more voters may be lost before no order is taken, silent [b c]"}, nil},
-		{"all six are heard", func(s *control.Status) { s.LossesBorne = 2 }, []string{"losses   2 more voters may be lost before no order is taken, silent []"}, nil},
-		{"no leader answers", func(s *control.Status) { s.LeaderUnreachable, s.Role = "no leader is known; ask again", "follower" }, []string{"the leader's word is missing: no leader is known; ask again"}, []string{"in force", "list ", "losses "}},
-		{"a fleet of entries", func(s *control.Status) { s.Routed, s.Changes, s.Resting, s.Disk = nil, nil, nil, nil }, []string{"standing "}, []string{"in force", "routes", "resting", "disk    "}},
+		{"two of six voters are silent", func(s *adminapi.Status) { s.LossesBorne, s.UnresponsiveVoters = 0, []string{"b", "c"} }, []string{"losses   0 more voters may be lost before no order is taken, silent [b c]"}, nil},
+		{"all six are heard", func(s *adminapi.Status) { s.LossesBorne = 2 }, []string{"losses   2 more voters may be lost before no order is taken, silent []"}, nil},
+		{"no leader answers", func(s *adminapi.Status) { s.LeaderUnreachable, s.Role = "no leader is known; ask again", "follower" }, []string{"the leader's word is missing: no leader is known; ask again"}, []string{"in force", "list ", "losses "}},
+		{"a fleet of entries", func(s *adminapi.Status) { s.Routed, s.Changes, s.Resting, s.Disk = nil, nil, nil, nil }, []string{"standing "}, []string{"in force", "routes", "resting", "disk    "}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := routedStatus()
@@ -67,20 +67,20 @@
 func TestDoctorOnARoutedFleet(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(s *control.Status)
+		change func(s *adminapi.Status)
 		want   string
 	}{
 		{"healthy", nil, ""},
-		{"no leader answers", func(s *control.Status) { s.LeaderUnreachable, s.Nodes[0].InForce = "no leader is known", false }, "no-leader-word"},
-		{"a service without back ends", func(s *control.Status) { s.Routed.Services[0].Ready = 0 }, "service-without-back-end"},
-		{"a service that no route leads to", func(s *control.Status) { s.Routed.Services[0].Ready, s.Routed.Services[0].Routes = 0, 0 }, ""},
-		{"keys that nobody holds", func(s *control.Status) { s.Routed.Services[1].Unheld = 64 }, "keys-without-holder"},
-		{"a number that names nobody", func(s *control.Status) { s.Assignments[0].Active = "nobody" }, "standing-without-group"},
-		{"a machine that is behind", func(s *control.Status) { s.Nodes[1].InForce = false }, "configuration-not-in-force"},
-		{"a lost machine that is behind", func(s *control.Status) { s.Nodes[1].InForce, s.Nodes[1].State = false, "lost" }, ""},
-		{"nothing was put yet", func(s *control.Status) { s.Nodes[1].InForce, s.Configuration = false, 0 }, ""},
-		{"a back end that fails everywhere", func(s *control.Status) { s.Resting = []string{"c-1", "c-9"} }, "failing-back-end"},
-		{"a fleet of entries", func(s *control.Status) { s.Routed, s.Nodes[1].InForce = nil, false }, ""},
+		{"no leader answers", func(s *adminapi.Status) { s.LeaderUnreachable, s.Nodes[0].InForce = "no leader is known", false }, "no-leader-word"},
+		{"a service without back ends", func(s *adminapi.Status) { s.Routed.Services[0].Ready = 0 }, "service-without-back-end"},
+		{"a service that no route leads to", func(s *adminapi.Status) { s.Routed.Services[0].Ready, s.Routed.Services[0].Routes = 0, 0 }, ""},
+		{"keys that nobody holds", func(s *adminapi.Status) { s.Routed.Services[1].Unheld = 64 }, "keys-without-holder"},
+		{"a number that names nobody", func(s *adminapi.Status) { s.Assignments[0].Active = "nobody" }, "standing-without-group"},
+		{"a machine that is behind", func(s *adminapi.Status) { s.Nodes[1].InForce = false }, "configuration-not-in-force"},
+		{"a lost machine that is behind", func(s *adminapi.Status) { s.Nodes[1].InForce, s.Nodes[1].State = false, "lost" }, ""},
+		{"nothing was put yet", func(s *adminapi.Status) { s.Nodes[1].InForce, s.Configuration = false, 0 }, ""},
+		{"a back end that fails everywhere", func(s *adminapi.Status) { s.Resting = []string{"c-1", "c-9"} }, "failing-back-end"},
+		{"a fleet of entries", func(s *adminapi.Status) { s.Routed, s.Nodes[1].InForce = nil, false }, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := routedStatus()
@@ -88,7 +88,7 @@
 			if c.change != nil {
 				c.change(s)
 			}
-			all := []*control.Status{s, {Resting: slices.DeleteFunc(slices.Clone(s.Resting), func(id string) bool { return id != "c-1" })}, {Resting: []string{"c-3"}}}
+			all := []*adminapi.Status{s, {Resting: slices.DeleteFunc(slices.Clone(s.Resting), func(id string) bool { return id != "c-1" })}, {Resting: []string{"c-3"}}}
 			if got := strings.Join(kinds(judgeRouted(s, all)), " "); got != c.want {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
--- a/internal/control/metrics_test.go
+++ b/internal/adminapi/metrics_test.go
@@ -1,4 +1,4 @@
-package control
+package adminapi
 
 import (
 	"net/http/httptest"
--- a/internal/control/routed.go
+++ b/internal/adminapi/routed.go
@@ -1,4 +1,4 @@
-package control
+package adminapi
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 	"github.com/go-chi/chi/v5"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
+	"topazshed/internal/controlplane"
+	"topazshed/internal/failover"
 	"topazshed/internal/gateway"
-	"topazshed/internal/image"
 	"topazshed/internal/proxy"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
+	"topazshed/internal/store"
 )
 
 // Routed is what the door of a fleet that carries routes asks its node.
@@ -85,7 +85,7 @@
 	Releasing bool   `json:"releasing,omitempty"`
 }
 
-func (d *Server) isFit(now time.Duration, local *core.Local) bool {
+func (d *Server) isFit(now time.Duration, local *controlplane.Local) bool {
 	if d.options.Routed != nil {
 		return gateway.IsFit(local)
 	}
@@ -142,19 +142,19 @@
 	return changes
 }
 
-func (d *Server) placeName(view *image.View) func(number uint64) string {
+func (d *Server) placeName(view *store.View) func(number uint64) string {
 	return func(number uint64) string {
 		if number == 0 {
 			return "nobody"
 		}
 		if d.options.Routed != nil {
-			return standing.PlaceName(view, number)
+			return failover.PlaceName(view, number)
 		}
-		return standing.GroupName(view, number)
+		return failover.GroupName(view, number)
 	}
 }
 
-func unheld(service *image.Service) int {
+func unheld(service *store.Service) int {
 	held := 0
 	for _, span := range service.Spans {
 		if span.Instance != "" && !span.Releasing && span.Last >= span.First {
@@ -164,7 +164,7 @@
 	return constants.Keys - held
 }
 
-func (d *Server) describe(s *Status, view *image.View) {
+func (d *Server) describe(s *Status, view *store.View) {
 	s.Routed = &RoutedStatus{}
 	name := d.placeName(view)
 	aimed := map[string]int{}
@@ -248,7 +248,7 @@
 		write(w, http.StatusNotFound, Reply{Kind: "unknown", Message: "no such region or service is known here; see status for the names"})
 		return
 	}
-	place, err := standing.Locate(view, service, region)
+	place, err := failover.Locate(view, service, region)
 	if err != nil {
 		write(w, http.StatusServiceUnavailable, Reply{Kind: "no-standing", Message: err.Error()})
 		return
--- a/internal/control/routed_test.go
+++ b/internal/adminapi/routed_test.go
@@ -1,4 +1,4 @@
-package control
+package adminapi
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
-	"topazshed/internal/image"
+	"topazshed/internal/controlplane"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 type ground struct {
@@ -23,26 +23,26 @@
 }
 
 func (g ground) options(seen **schema.OperatorRequest) Options {
-	table := image.NewTable()
+	table := store.NewTable()
 	table.Apply(9, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
-		image.EncodeRow(image.HeadKey, &schema.CatalogHead{Version: 4}),
-		image.EncodeRow(image.NodeKey("n1"), &schema.Node{Id: "n1", Zone: "mu-b", Region: "mu", Disk: true, State: schema.NodeState_NODE_READY}),
-		image.EncodeRow(image.NodeKey("n2"), &schema.Node{Id: "n2", Zone: "mu-a", Region: "mu", State: schema.NodeState_NODE_READY}),
-		image.EncodeRow(image.RegionKey("mu"), &schema.Region{Name: "mu", Residue: 1}), image.EncodeRow(image.RegionKey("xi"), &schema.Region{Name: "xi", Residue: 3}),
-		image.EncodeRow(image.ZoneKey("mu-a"), &schema.Zone{Name: "mu-a", Region: "mu", Emptied: true, Reason: "new racks"}),
-		image.EncodeRow(image.ZoneKey("mu-b"), &schema.Zone{Name: "mu-b", Region: "mu", Residue: 2}),
-		image.EncodeRow(image.GroupKey("mu"), &schema.Group{Name: "mu", Region: "mu", Zones: []string{"mu-a", "mu-b"}, Residue: 0}),
-		image.EncodeRow(image.GroupKey("mu:mu-b"), &schema.Group{Name: "mu:mu-b", Region: "mu", Zones: []string{"mu-b"}, Residue: 2}),
-		image.EncodeRow(image.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: 20002, Reason: "its open districts"}),
-		image.EncodeRow(image.AssignmentKey("nickel", "", "mu"), &schema.FailoverAssignment{Service: "nickel", Region: "mu", Number: 20003, Reason: "no open district with back ends; work goes to xi"}),
-		image.EncodeRow(image.PolicyKey("nickel"), &schema.ServicePolicy{Service: "nickel", Keyed: true}),
-		image.EncodeRow(image.ShardRangeKey("nickel", 0), &schema.ShardRange{Service: "nickel", First: 0, Last: 32767, Instance: "i-1", Fence: 7}),
-		image.EncodeRow(image.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1", Zone: "mu-b", State: schema.BackendState_BACKEND_READY, Cold: true}),
-		image.EncodeRow(image.BackendKey("copper", "c-2"), &schema.Backend{Service: "copper", Instance: "c-2", Zone: "mu-b", State: schema.BackendState_BACKEND_DRAINING}),
-		image.EncodeRow(image.RouteKey("one.example", "/c/"), &schema.Route{Host: "one.example", Prefix: "/c/", Targets: []*schema.Target{{Service: "copper", Weight: 1}}}),
+		store.EncodeRow(store.HeadKey, &schema.CatalogHead{Version: 4}),
+		store.EncodeRow(store.NodeKey("n1"), &schema.Node{Id: "n1", Zone: "mu-b", Region: "mu", Disk: true, State: schema.NodeState_NODE_READY}),
+		store.EncodeRow(store.NodeKey("n2"), &schema.Node{Id: "n2", Zone: "mu-a", Region: "mu", State: schema.NodeState_NODE_READY}),
+		store.EncodeRow(store.RegionKey("mu"), &schema.Region{Name: "mu", Residue: 1}), store.EncodeRow(store.RegionKey("xi"), &schema.Region{Name: "xi", Residue: 3}),
+		store.EncodeRow(store.ZoneKey("mu-a"), &schema.Zone{Name: "mu-a", Region: "mu", Emptied: true, Reason: "new racks"}),
+		store.EncodeRow(store.ZoneKey("mu-b"), &schema.Zone{Name: "mu-b", Region: "mu", Residue: 2}),
+		store.EncodeRow(store.GroupKey("mu"), &schema.Group{Name: "mu", Region: "mu", Zones: []string{"mu-a", "mu-b"}, Residue: 0}),
+		store.EncodeRow(store.GroupKey("mu:mu-b"), &schema.Group{Name: "mu:mu-b", Region: "mu", Zones: []string{"mu-b"}, Residue: 2}),
+		store.EncodeRow(store.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: 20002, Reason: "its open districts"}),
+		store.EncodeRow(store.AssignmentKey("nickel", "", "mu"), &schema.FailoverAssignment{Service: "nickel", Region: "mu", Number: 20003, Reason: "no open district with back ends; work goes to xi"}),
+		store.EncodeRow(store.PolicyKey("nickel"), &schema.ServicePolicy{Service: "nickel", Keyed: true}),
+		store.EncodeRow(store.ShardRangeKey("nickel", 0), &schema.ShardRange{Service: "nickel", First: 0, Last: 32767, Instance: "i-1", Fence: 7}),
+		store.EncodeRow(store.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1", Zone: "mu-b", State: schema.BackendState_BACKEND_READY, Cold: true}),
+		store.EncodeRow(store.BackendKey("copper", "c-2"), &schema.Backend{Service: "copper", Instance: "c-2", Zone: "mu-b", State: schema.BackendState_BACKEND_DRAINING}),
+		store.EncodeRow(store.RouteKey("one.example", "/c/"), &schema.Route{Host: "one.example", Prefix: "/c/", Targets: []*schema.Target{{Service: "copper", Weight: 1}}}),
 	}}, nil)
-	view := image.Compile(table)
-	return Options{Self: &schema.Node{Id: "n1", Region: "mu", Disk: true}, Now: func() time.Duration { return time.Hour }, Local: func() *core.Local { return &core.Local{View: view, Role: "leader", Rows: 15} },
+	view := store.Compile(table)
+	return Options{Self: &schema.Node{Id: "n1", Region: "mu", Disk: true}, Now: func() time.Duration { return time.Hour }, Local: func() *controlplane.Local { return &controlplane.Local{View: view, Role: "leader", Rows: 15} },
 		Operate: func(_ context.Context, q *schema.OperatorRequest) (*schema.OperatorResponse, error) {
 			if seen != nil {
 				*seen = q
--- a/internal/control/control.go
+++ b/internal/adminapi/server.go
@@ -1,5 +1,5 @@
-// Package control is the operators' door: HTTP/1.1 with JSON on any node.
-package control
+// Package adminapi is the operators' door: HTTP/1.1 with JSON on any node.
+package adminapi
 
 import (
 	"context"
@@ -15,18 +15,18 @@
 	"github.com/go-chi/chi/v5"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
+	"topazshed/internal/controlplane"
+	"topazshed/internal/failover"
+	"topazshed/internal/protocolversion"
 	"topazshed/internal/routes"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
-	"topazshed/internal/versions"
 )
 
 // Options make a Door.
 type Options struct {
 	Self    *schema.Node
 	Now     func() time.Duration
-	Local   func() *core.Local
+	Local   func() *controlplane.Local
 	Operate func(ctx context.Context, request *schema.OperatorRequest) (*schema.OperatorResponse, error)
 	Stats   func() map[string]uint64
 	Replica func() (number uint64, isMember, isReady bool, reservations int)
@@ -315,7 +315,7 @@
 	now, local := d.options.Now(), d.options.Local()
 	view := local.View
 	s := &Status{Node: d.options.Self.Id, System: local.System, Role: local.Role, Term: local.Term, Leader: local.Leader, Index: view.Version, Rows: local.Rows,
-		Configuration: view.Head.Version, Fleet: view.Fleet, Newest: versions.Newest, Fit: d.isFit(now, local), ClockMs: now.Milliseconds(), FreshMs: (now - local.FreshAt).Milliseconds(), StaleResponses: local.StaleResponses, LeaseMs: max(0, local.LeaseUntil-now).Milliseconds(),
+		Configuration: view.Head.Version, Fleet: view.Fleet, Newest: protocolversion.Newest, Fit: d.isFit(now, local), ClockMs: now.Milliseconds(), FreshMs: (now - local.FreshAt).Milliseconds(), StaleResponses: local.StaleResponses, LeaseMs: max(0, local.LeaseUntil-now).Milliseconds(),
 		ListMs: -1, ListFault: local.ListFault, Suspects: local.Suspects, Results: d.options.Stats()}
 	if local.ListAt > 0 {
 		s.ListMs = (now - local.ListAt).Milliseconds()
@@ -339,9 +339,9 @@
 		}
 	}
 	for _, node := range view.Nodes {
-		speaks, err := versions.ReadSpan(node.SpeaksLow, node.SpeaksHigh)
+		speaks, err := protocolversion.ReadSpan(node.SpeaksLow, node.SpeaksHigh)
 		if err != nil {
-			speaks = versions.Span{Low: versions.First, High: versions.First}
+			speaks = protocolversion.Span{Low: protocolversion.First, High: protocolversion.First}
 		}
 		s.Nodes = append(s.Nodes, NodeStatus{SpeaksLow: speaks.Low, SpeaksHigh: speaks.High, ID: node.Id, Peer: node.Address, Proxy: node.Proxy, Admin: node.Admin, Zone: node.Zone, Region: node.Region, Disk: node.Disk,
 			State: strings.ToLower(strings.TrimPrefix(node.State.String(), "NODE_"))})
@@ -358,10 +358,10 @@
 		for _, entry := range service.Entries {
 			s.Entries = append(s.Entries, entry.Service+entry.Path)
 			for _, row := range service.Assignments[entry.Path] {
-				s.Assignments = append(s.Assignments, Assignment{row.Service, row.Path, "region", row.Region, standing.GroupName(view, row.Number), row.Number, row.Fenced, row.Reason})
+				s.Assignments = append(s.Assignments, Assignment{row.Service, row.Path, "region", row.Region, failover.GroupName(view, row.Number), row.Number, row.Fenced, row.Reason})
 			}
-			if row := service.Entities[entry.Path]; row != nil && standing.IsBound(entry) {
-				s.Assignments = append(s.Assignments, Assignment{row.Service, row.Path, "entity", row.Region, standing.GroupName(view, row.Number), row.Number, row.Fenced, row.Reason})
+			if row := service.Entities[entry.Path]; row != nil && failover.IsBound(entry) {
+				s.Assignments = append(s.Assignments, Assignment{row.Service, row.Path, "entity", row.Region, failover.GroupName(view, row.Number), row.Number, row.Fenced, row.Reason})
 			}
 		}
 		for _, b := range service.Backends {
--- a/internal/control/control_test.go
+++ b/internal/adminapi/server_test.go
@@ -1,4 +1,4 @@
-package control
+package adminapi
 
 import (
 	"context"
@@ -11,21 +11,23 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
-	"topazshed/internal/image"
+	"topazshed/internal/controlplane"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 func server(response *schema.OperatorResponse, fault error, seen *schema.OperatorRequest) http.Handler {
-	table := image.NewTable()
+	table := store.NewTable()
 	table.Apply(9, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
-		image.EncodeRow(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}),
-		image.EncodeRow(image.ZoneKey("north-b"), &schema.Zone{Name: "north-b", Region: "north", Residue: 2}),
-		image.EncodeRow(image.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
-		image.EncodeRow(image.AssignmentKey("ledger", "/b", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/b", Region: "north", Number: 202, Reason: "all proxies of district north-a are lost or stopping"}),
+		store.EncodeRow(store.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}),
+		store.EncodeRow(store.ZoneKey("north-b"), &schema.Zone{Name: "north-b", Region: "north", Residue: 2}),
+		store.EncodeRow(store.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
+		store.EncodeRow(store.AssignmentKey("ledger", "/b", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/b", Region: "north", Number: 202, Reason: "all proxies of district north-a are lost or stopping"}),
 	}}, nil)
-	view := image.Compile(table)
-	return New(Options{Self: &schema.Node{Id: "n1"}, Now: func() time.Duration { return time.Hour }, Local: func() *core.Local { return &core.Local{View: view, FreshAt: time.Hour, TickAt: time.Hour} },
+	view := store.Compile(table)
+	return New(Options{Self: &schema.Node{Id: "n1"}, Now: func() time.Duration { return time.Hour }, Local: func() *controlplane.Local {
+		return &controlplane.Local{View: view, FreshAt: time.Hour, TickAt: time.Hour}
+	},
 		Operate: func(_ context.Context, q *schema.OperatorRequest) (*schema.OperatorResponse, error) {
 			if seen != nil {
 				*seen = schema.OperatorRequest{Kind: q.Kind, Base: q.Base, Key: q.Key, Zone: q.Zone, Reason: q.Reason}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -11,9 +11,9 @@
 	"sync"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
+	"topazshed/internal/failover"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
+	"topazshed/internal/store"
 )
 
 var (
@@ -25,7 +25,7 @@
 )
 
 // Read checks a document against what the system knows and gives its entries or every fault.
-func Read(text []byte, view *image.View) ([]*schema.Entry, []*schema.Fault) {
+func Read(text []byte, view *store.View) ([]*schema.Entry, []*schema.Fault) {
 	var faults []*schema.Fault
 	add := func(path, form string, args ...any) {
 		faults = append(faults, &schema.Fault{Path: path, Message: fmt.Sprintf(form, args...)})
@@ -121,7 +121,7 @@
 	return value
 }
 
-func regions(view *image.View) []string {
+func regions(view *store.View) []string {
 	var names []string
 	for name := range view.Regions {
 		names = append(names, name)
@@ -130,7 +130,7 @@
 	return names
 }
 
-func hasBackend(view *image.View, service, region string) bool {
+func hasBackend(view *store.View, service, region string) bool {
 	known := view.Services[service]
 	if known == nil {
 		return true
@@ -214,15 +214,15 @@
 }
 
 // Plan makes the one record that replaces the whole configuration, guarded against any other put.
-func Plan(table *image.Table, entries []*schema.Entry, document []byte, base uint64, key string) (*schema.Record, uint64, error) {
-	row := table.Get(image.HeadKey)
-	head := image.DecodeRow[schema.CatalogHead](row)
+func Plan(table *store.Table, entries []*schema.Entry, document []byte, base uint64, key string) (*schema.Record, uint64, error) {
+	row := table.Get(store.HeadKey)
+	head := store.DecodeRow[schema.CatalogHead](row)
 	if base != head.GetVersion() {
 		return nil, 0, &ConflictError{head.GetVersion()}
 	}
 	version := base + 1
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: fmt.Sprintf("configuration %d", version)}
-	guard := &schema.Guard{Key: image.HeadKey}
+	guard := &schema.Guard{Key: store.HeadKey}
 	if row != nil {
 		guard.Index = row.Index
 	}
@@ -230,29 +230,29 @@
 	kept := map[string]bool{}
 	for _, entry := range entries {
 		entry.Version = version
-		key := image.EntryKey(entry.Service, entry.Path)
+		key := store.EntryKey(entry.Service, entry.Path)
 		kept[key] = true
-		record.Rows = append(record.Rows, image.EncodeRow(key, entry))
+		record.Rows = append(record.Rows, store.EncodeRow(key, entry))
 	}
 	table.Each("s/", func(row *schema.Row) {
 		if strings.Contains(row.Key, "/entry/") && !kept[row.Key] {
-			record.Rows = append(record.Rows, image.Tombstone(row.Key))
+			record.Rows = append(record.Rows, store.Tombstone(row.Key))
 		}
 	})
-	record.Rows = append(record.Rows, image.EncodeRow(image.HeadKey, &schema.CatalogHead{Version: version, OperatorKey: key}),
-		image.EncodeRow(image.DocumentKey, &schema.CatalogDocument{Version: version, Document: document}))
+	record.Rows = append(record.Rows, store.EncodeRow(store.HeadKey, &schema.CatalogHead{Version: version, OperatorKey: key}),
+		store.EncodeRow(store.DocumentKey, &schema.CatalogDocument{Version: version, Document: document}))
 	return record, version, nil
 }
 
 // Standings makes the first standing rows of entries, so that a configuration and its standing take effect together.
-func Assignments(view *image.View, table *image.Table, record *schema.Record) {
-	scratch := image.NewTable()
+func Assignments(view *store.View, table *store.Table, record *schema.Record) {
+	scratch := store.NewTable()
 	scratch.Restore(table.Whole())
 	changed, err := scratch.Apply(table.Version()+1, record, nil)
 	if err != nil {
 		return
 	}
-	for _, extra := range standing.Plan(view.With(scratch, changed), scratch, func(uint64) (bool, uint64) { return false, 0 }) {
+	for _, extra := range failover.Plan(view.With(scratch, changed), scratch, func(uint64) (bool, uint64) { return false, 0 }) {
 		for i, guard := range extra.Guards {
 			if row := table.Get(guard.Key); row == nil && guard.Index == 0 {
 				record.Guards = append(record.Guards, extra.Guards[i])
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -7,25 +7,25 @@
 
 	"github.com/sebdah/goldie/v2"
 
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
-func world(t *testing.T) (*image.Table, *image.View) {
+func world(t *testing.T) (*store.Table, *store.View) {
 	t.Helper()
-	table := image.NewTable()
+	table := store.NewTable()
 	_, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
-		image.EncodeRow(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}),
-		image.EncodeRow(image.RegionKey("south"), &schema.Region{Name: "south", Residue: 3}),
-		image.EncodeRow(image.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Residue: 0}),
-		image.EncodeRow(image.ZoneKey("south-a"), &schema.Zone{Name: "south-a", Region: "south", Residue: 2}),
-		image.EncodeRow(image.NodeKey("n1"), &schema.Node{Id: "n1", Zone: "north-a", Region: "north", State: schema.NodeState_NODE_READY}),
-		image.EncodeRow(image.BackendKey("ledger", "l-1"), &schema.Backend{Service: "ledger", Instance: "l-1", Zone: "north-a", State: schema.BackendState_BACKEND_READY}),
+		store.EncodeRow(store.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}),
+		store.EncodeRow(store.RegionKey("south"), &schema.Region{Name: "south", Residue: 3}),
+		store.EncodeRow(store.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Residue: 0}),
+		store.EncodeRow(store.ZoneKey("south-a"), &schema.Zone{Name: "south-a", Region: "south", Residue: 2}),
+		store.EncodeRow(store.NodeKey("n1"), &schema.Node{Id: "n1", Zone: "north-a", Region: "north", State: schema.NodeState_NODE_READY}),
+		store.EncodeRow(store.BackendKey("ledger", "l-1"), &schema.Backend{Service: "ledger", Instance: "l-1", Zone: "north-a", State: schema.BackendState_BACKEND_READY}),
 	}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return table, image.Compile(table)
+	return table, store.Compile(table)
 }
 
 func TestReadTellsEveryFault(t *testing.T) {
@@ -83,7 +83,7 @@
 	if _, err := table.Apply(3, second, nil); err == nil {
 		t.Fatal("both racing records were applied")
 	}
-	if assignment := image.DecodeRow[schema.FailoverAssignment](table.Get(image.AssignmentKey("ledger", "/balances", "north"))); assignment.GetNumber() != 100 {
+	if assignment := store.DecodeRow[schema.FailoverAssignment](table.Get(store.AssignmentKey("ledger", "/balances", "north"))); assignment.GetNumber() != 100 {
 		t.Fatalf("the standing does not come with the configuration: %v", assignment)
 	}
 	if _, err := plan(); err == nil || !strings.Contains(err.Error(), "newest configuration is version 1") {
--- a/internal/judge/judge_test.go
+++ b/internal/checker/checker_test.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"fmt"
--- a/internal/judge/history.go
+++ b/internal/checker/history.go
@@ -1,5 +1,5 @@
-// Package judge holds the outside history of a run and judges it against what must never happen; fleet runs and simulated runs feed it alike.
-package judge
+// Package checker holds the outside history of a run and judges it against what must never happen; fleet runs and simulated runs feed it alike.
+package checker
 
 import (
 	"sync"
--- a/internal/core/changes.go
+++ b/internal/controlplane/changes.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"maps"
@@ -6,8 +6,8 @@
 	"strings"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 func isAssignment(key string) bool {
@@ -26,7 +26,7 @@
 			if numbers == nil {
 				numbers = map[string]uint64{}
 			}
-			numbers[row.Key] = image.DecodeRow[schema.FailoverAssignment](c.table.Get(row.Key)).GetNumber()
+			numbers[row.Key] = store.DecodeRow[schema.FailoverAssignment](c.table.Get(row.Key)).GetNumber()
 		}
 	}
 	return numbers
@@ -39,7 +39,7 @@
 	}
 	for _, row := range rows {
 		from, isNoted := before[row.Key]
-		fresh := image.DecodeRow[schema.FailoverAssignment](row)
+		fresh := store.DecodeRow[schema.FailoverAssignment](row)
 		if !isNoted || fresh == nil || fresh.Number == from {
 			continue
 		}
@@ -61,7 +61,7 @@
 
 // reports are what this leader heard last from each node; a configuration is in force where its row's index was reached.
 func (c *Machine) reports() []*schema.NodeReport {
-	head := c.table.Get(image.HeadKey).GetIndex()
+	head := c.table.Get(store.HeadKey).GetIndex()
 	var reports []*schema.NodeReport
 	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
 		report := &schema.NodeReport{Id: id, NeverHeard: true}
--- a/internal/core/changes_test.go
+++ b/internal/controlplane/changes_test.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 type solo struct {
@@ -77,7 +77,7 @@
 		t.Fatalf("%d changes, had %d", len(status.Changes), begun)
 	}
 	last := status.Changes[begun]
-	row := image.DecodeRow[schema.FailoverAssignment](s.core.table.Get(image.DefaultKey("mu")))
+	row := store.DecodeRow[schema.FailoverAssignment](s.core.table.Get(store.DefaultKey("mu")))
 	if last.Region != "mu" || last.From >= last.To || last.To != row.Number || last.Cause != row.Reason || last.Evidence != "mu-b is emptied (new racks)" || last.Leader != "a" || last.Term == 0 ||
 		last.AtMs > at || last.AtMs < at-1000 {
 		t.Errorf("%v, row %v, at %d", last, row, at)
@@ -124,7 +124,7 @@
 	s := &solo{now: time.Hour}
 	s.core = New(s.now, s.options())
 	for i := range uint64(3 * constants.ChangesKept) {
-		record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.EncodeRow(image.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: i + 1})}}
+		record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: i + 1})}}
 		before := s.core.numbersOf(record)
 		rows, err := s.core.table.Apply(i+1, record, nil)
 		if err != nil {
@@ -142,14 +142,14 @@
 
 func TestOnlyAssignmentsAreNoted(t *testing.T) {
 	for key, want := range map[string]bool{
-		image.DefaultKey("mu"): true, image.AssignmentKey("copper", "", "mu"): true, image.AssignmentKey("copper", "/a/b", "mu"): true,
-		image.EntryKey("copper", "/standing/x"): false, image.BackendKey("copper", "c-1"): false, image.ZoneKey("standing"): false, image.RouteKey("one.example", "/standing/"): false,
+		store.DefaultKey("mu"): true, store.AssignmentKey("copper", "", "mu"): true, store.AssignmentKey("copper", "/a/b", "mu"): true,
+		store.EntryKey("copper", "/standing/x"): false, store.BackendKey("copper", "c-1"): false, store.ZoneKey("standing"): false, store.RouteKey("one.example", "/standing/"): false,
 	} {
 		if got := isAssignment(key); got != want {
 			t.Errorf("%s: %v, want %v", key, got, want)
 		}
 	}
-	if numbers := (&Machine{table: image.NewTable()}).numbersOf(&schema.Record{}); numbers != nil {
+	if numbers := (&Machine{table: store.NewTable()}).numbersOf(&schema.Record{}); numbers != nil {
 		t.Error(fmt.Sprint(numbers))
 	}
 }
--- a/internal/core/driver_test.go
+++ b/internal/controlplane/driver_test.go
@@ -1,4 +1,4 @@
-package core_test
+package controlplane_test
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
+	"topazshed/internal/controlplane"
 	"topazshed/internal/journal"
 	"topazshed/internal/schema"
 	"topazshed/internal/sim"
@@ -31,11 +31,11 @@
 			}
 			now := time.Hour
 			self := &schema.Node{Id: "a", Address: "a", Zone: "d", Region: "r", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
-			machine := core.New(now, core.Options{Self: self, Seeds: []string{"a", "b", "c"}, System: "s", Hard: state.Hard, Snapshot: state.Snapshot, Items: state.Items,
+			machine := controlplane.New(now, controlplane.Options{Self: self, Seeds: []string{"a", "b", "c"}, System: "s", Hard: state.Hard, Snapshot: state.Snapshot, Items: state.Items,
 				Draw: func(n int64) int64 { return n - 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 			var finish func(error)
 			votes, others := 0, 0
-			driver := &core.Driver{Core: machine, Journal: j, Now: func() time.Duration { return now }, Publish: func() {}, Answer: func(core.LocalResponse) {}, Synced: func(time.Duration, error) {},
+			driver := &controlplane.Driver{Core: machine, Journal: j, Now: func() time.Duration { return now }, Publish: func() {}, Answer: func(controlplane.LocalResponse) {}, Synced: func(time.Duration, error) {},
 				Send: func(_ string, f *schema.Frame) {
 					if raft := f.GetRaft(); raft != nil && raft.Kind == schema.RaftKind_RAFT_VOTE_RESPONSE && !raft.Rejected {
 						votes++
--- a/internal/core/export_test.go
+++ b/internal/controlplane/export_test.go
@@ -1,22 +1,22 @@
-package core
+package controlplane
 
 import (
 	"fmt"
 
-	"topazshed/internal/image"
-	"topazshed/internal/quorum"
+	"topazshed/internal/raft"
+	"topazshed/internal/store"
 )
 
 // Digest tells the state that this machine has applied and its index: equal indexes must mean equal states.
 func (c *Machine) Digest() (index uint64, digest string) {
-	return c.table.Version(), fmt.Sprintf("%x", c.table.Digest(image.All[0]).Digest)
+	return c.table.Version(), fmt.Sprintf("%x", c.table.Digest(store.All[0]).Digest)
 }
 
 // IsFull tells whether this machine keeps the log.
 func (c *Machine) IsFull() bool { return c.isFull() }
 
 // Quorum is this machine's part in the agreement.
-func (c *Machine) Quorum() *quorum.Node { return c.quorum }
+func (c *Machine) Quorum() *raft.Node { return c.quorum }
 
 // Source is the machine that this one takes rows from, and FreshAt when a majority last confirmed its rows.
 func (c *Machine) Source() string { return c.source.address }
--- a/internal/core/vitals_test.go
+++ b/internal/controlplane/health_test.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"topazshed/internal/roster"
+	"topazshed/internal/discovery"
 	"topazshed/internal/schema"
 )
 
@@ -39,12 +39,12 @@
 			for now := time.Hour; now < time.Hour+12*time.Second; now += 20 * time.Millisecond {
 				core.Tick(now)
 				if core.IsLeading() {
-					var items []roster.Listed
+					var items []discovery.Listed
 					for i := range 8 {
 						id := fmt.Sprint("i-", i)
-						items = append(items, roster.Listed{Service: "copper", Instance: id, Address: id, Zone: "d", Slots: 6})
+						items = append(items, discovery.Listed{Service: "copper", Instance: id, Address: id, Zone: "d", Slots: 6})
 					}
-					core.SetListing(now, roster.Listing{Items: items, BegunAt: now, IsWhole: true})
+					core.SetListing(now, discovery.Listing{Items: items, BegunAt: now, IsWhole: true})
 					for i := range 4 {
 						core.noteHeartbeat(&schema.Heartbeat{Node: node(fmt.Sprint("idle-", i))})
 					}
--- a/internal/core/beats.go
+++ b/internal/controlplane/heartbeat.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"maps"
@@ -8,23 +8,23 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/neighbours"
-	"topazshed/internal/quorum"
+	"topazshed/internal/membership"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
-func (r *routedState) samplerTiming() neighbours.Pace {
+func (r *routedState) samplerTiming() membership.Pace {
 	if r == nil {
-		return neighbours.Pace{}
+		return membership.Pace{}
 	}
-	return neighbours.Pace{Probe: constants.RoutedProbe, Wait: constants.RoutedProbeWait, Shuffle: constants.RoutedShuffle, IsNear: true}
+	return membership.Pace{Probe: constants.RoutedProbe, Wait: constants.RoutedProbeWait, Shuffle: constants.RoutedShuffle, IsNear: true}
 }
 
-func (r *routedState) raftTiming() quorum.Pace {
+func (r *routedState) raftTiming() raft.Pace {
 	if r == nil {
-		return quorum.Pace{}
+		return raft.Pace{}
 	}
-	pace := quorum.Pace{Heartbeat: constants.RoutedRaftHeartbeat, ElectionLeast: constants.RoutedElectionLeast, ElectionSpread: constants.RoutedElectionSpread}
+	pace := raft.Pace{Heartbeat: constants.RoutedRaftHeartbeat, ElectionLeast: constants.RoutedElectionLeast, ElectionSpread: constants.RoutedElectionSpread}
 	if least := max(constants.RaftElectionLeast, r.options.Quiet/constants.QuietElections); r.options.Quiet > 0 && least < pace.ElectionLeast {
 		pace.Heartbeat = pace.Heartbeat * least / pace.ElectionLeast
 		pace.ElectionSpread = pace.ElectionSpread * least / pace.ElectionLeast
@@ -76,7 +76,7 @@
 		b.Node = &schema.Node{Id: c.self.Id, State: c.self.State, Incarnation: c.self.Incarnation, Disk: c.self.Disk}
 	}
 	r.heartbeatTo, r.heartbeatState = to, c.self.State
-	if c.quorum != nil && c.quorum.Role() == quorum.Leader {
+	if c.quorum != nil && c.quorum.Role() == raft.Leader {
 		c.noteHeartbeat(b)
 		return
 	}
--- a/internal/core/history_test.go
+++ b/internal/controlplane/history_test.go
@@ -1,4 +1,4 @@
-package core_test
+package controlplane_test
 
 import (
 	"fmt"
--- a/internal/core/lead.go
+++ b/internal/controlplane/lead.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"maps"
@@ -8,9 +8,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
+	"topazshed/internal/failover"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
+	"topazshed/internal/store"
 )
 
 func (c *Machine) lead() {
@@ -54,7 +54,7 @@
 	c.planEndpoints()
 	c.planReplicaSets()
 	c.planShardSlots()
-	for _, record := range standing.Plan(c.view, c.table, c.released) {
+	for _, record := range failover.Plan(c.view, c.table, c.released) {
 		c.sign(record)
 		c.propose(record)
 	}
@@ -120,7 +120,7 @@
 	}
 	for region, set := range c.view.ReplicaSets {
 		if set.Fenced {
-			newest = max(newest, c.table.Get(image.ReplicaSetKey(region)).GetIndex())
+			newest = max(newest, c.table.Get(store.ReplicaSetKey(region)).GetIndex())
 		}
 	}
 	return newest
@@ -132,8 +132,8 @@
 		record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: c.table.Get(key).GetIndex()})
 		record.Rows = append(record.Rows, row)
 	}
-	if c.table.Get(image.SystemKey) == nil {
-		put(image.SystemKey, &schema.Row{Key: image.SystemKey, Value: []byte(c.system)})
+	if c.table.Get(store.SystemKey) == nil {
+		put(store.SystemKey, &schema.Row{Key: store.SystemKey, Value: []byte(c.system)})
 	}
 	zones, regions := map[string]string{}, map[string]bool{}
 	nextZone, nextRegion := uint32(0), uint32(1)
@@ -148,7 +148,7 @@
 	admit := func(zone, region string) {
 		if !regions[region] && nextRegion < constants.Increment {
 			regions[region] = true
-			put(image.RegionKey(region), image.EncodeRow(image.RegionKey(region), &schema.Region{Name: region, Residue: nextRegion}))
+			put(store.RegionKey(region), store.EncodeRow(store.RegionKey(region), &schema.Region{Name: region, Residue: nextRegion}))
 			nextRegion += 2
 		}
 		if c.routed != nil {
@@ -156,7 +156,7 @@
 		}
 		if _, isKnown := zones[zone]; !isKnown && nextZone < constants.Increment {
 			zones[zone] = region
-			put(image.ZoneKey(zone), image.EncodeRow(image.ZoneKey(zone), &schema.Zone{Name: zone, Region: region, Residue: nextZone}))
+			put(store.ZoneKey(zone), store.EncodeRow(store.ZoneKey(zone), &schema.Zone{Name: zone, Region: region, Residue: nextZone}))
 			nextZone += 2
 		}
 	}
@@ -182,7 +182,7 @@
 		}
 		fresh := proto.Clone(g.node).(*schema.Node)
 		if row == nil || row.State != fresh.State || row.Address != fresh.Address || row.Proxy != fresh.Proxy || row.Admin != fresh.Admin || row.SpeaksLow != fresh.SpeaksLow || row.SpeaksHigh != fresh.SpeaksHigh || row.Incarnation < fresh.Incarnation {
-			put(image.NodeKey(id), image.EncodeRow(image.NodeKey(id), fresh))
+			put(store.NodeKey(id), store.EncodeRow(store.NodeKey(id), fresh))
 		}
 	}
 	witnesses := map[string]int{}
@@ -206,16 +206,16 @@
 		isLost := sinceHeard > lostAfter && witnesses[id] >= constants.SuspectWitnesses || sinceHeard > 2*lostAfter
 		isLapsed := sinceHeard > constants.LeaseDuration+constants.LeaseClockMargin+constants.ReservationWindow
 		if c.routed != nil && !row.Disk && newest[row.Address] > row.Incarnation {
-			put(image.NodeKey(id), image.Tombstone(image.NodeKey(id)))
+			put(store.NodeKey(id), store.Tombstone(store.NodeKey(id)))
 			delete(c.nodes, id)
 		} else if isLapsed && row.State == schema.NodeState_NODE_STOPPING && !row.Disk || sinceHeard > time.Minute && !row.Disk {
-			put(image.NodeKey(id), image.Tombstone(image.NodeKey(id)))
+			put(store.NodeKey(id), store.Tombstone(store.NodeKey(id)))
 			delete(c.nodes, id)
 			c.endpoints.Drop(id)
 		} else if isLost && row.State != schema.NodeState_NODE_LOST {
 			lost := proto.Clone(row).(*schema.Node)
 			lost.State = schema.NodeState_NODE_LOST
-			put(image.NodeKey(id), image.EncodeRow(image.NodeKey(id), lost))
+			put(store.NodeKey(id), store.EncodeRow(store.NodeKey(id), lost))
 			c.endpoints.Drop(id)
 		}
 	}
@@ -226,7 +226,7 @@
 		}
 		isMember := slices.ContainsFunc(slices.Concat(c.quorum.Members().Voters, c.quorum.Members().Learners), func(m *schema.Member) bool { return m.Id == id })
 		if !isMember && (c.nodes[id] == nil || c.now-c.nodes[id].heard > time.Minute) && c.now-c.electedAt > time.Minute {
-			put(image.NodeKey(id), image.Tombstone(image.NodeKey(id)))
+			put(store.NodeKey(id), store.Tombstone(store.NodeKey(id)))
 		}
 	}
 	if c.propose(record) {
@@ -247,7 +247,7 @@
 func (c *Machine) planReplicaSets() {
 	for _, region := range slices.Sorted(maps.Keys(c.view.Regions)) {
 		set := c.view.ReplicaSets[region]
-		key := image.ReplicaSetKey(region)
+		key := store.ReplicaSetKey(region)
 		var members []*schema.Member
 		isLate, isUnready := false, false
 		for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
@@ -278,7 +278,7 @@
 		switch {
 		case !isSame && (set == nil || isSmaller || !isUnready && !isLate):
 			fresh := &schema.ReplicaSet{Region: region, Number: set.GetNumber() + 1, Members: members, Former: set.GetMembers(), Fenced: set != nil, First: set == nil}
-			record.Rows = []*schema.Row{image.EncodeRow(key, fresh)}
+			record.Rows = []*schema.Row{store.EncodeRow(key, fresh)}
 		case set.GetFenced():
 			isReleased, _ := c.released(c.table.Get(key).GetIndex())
 			if !isReleased {
@@ -286,7 +286,7 @@
 			}
 			fresh := proto.Clone(set).(*schema.ReplicaSet)
 			fresh.Fenced = false
-			record.Rows = []*schema.Row{image.EncodeRow(key, fresh)}
+			record.Rows = []*schema.Row{store.EncodeRow(key, fresh)}
 		}
 		c.propose(record)
 	}
@@ -340,9 +340,9 @@
 		}
 		record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "keys of " + name}
 		put := func(slot uint32, fresh *schema.ShardSlot) {
-			key := image.ShardSlotKey(name, slot)
+			key := store.ShardSlotKey(name, slot)
 			record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: c.table.Get(key).GetIndex()})
-			record.Rows = append(record.Rows, image.EncodeRow(key, fresh))
+			record.Rows = append(record.Rows, store.EncodeRow(key, fresh))
 		}
 		for slot := range uint32(constants.KeySlots) {
 			row := service.Slots[slot]
@@ -353,7 +353,7 @@
 				put(slot, &schema.ShardSlot{Service: name, Slot: slot, Instance: target, Number: 1})
 				share[target]++
 			case row.Next != "":
-				if c.isKeyFree(c.table.Get(image.ShardSlotKey(name, slot)).GetIndex()) {
+				if c.isKeyFree(c.table.Get(store.ShardSlotKey(name, slot)).GetIndex()) {
 					next := row.Next
 					if _, isThere := share[next]; !isThere {
 						next = target
--- a/internal/core/load_bench_test.go
+++ b/internal/controlplane/load_bench_test.go
@@ -1,13 +1,13 @@
-package core
+package controlplane
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"topazshed/internal/image"
-	"topazshed/internal/roster"
+	"topazshed/internal/discovery"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // loaded is the leader of three machines with a disk whose fleet has so many back ends, a third of them of a service that is divided by key.
@@ -20,14 +20,14 @@
 	request.Routes.Routes = append(request.Routes.Routes, &schema.Route{Name: "n", Host: "h", Prefix: "/n/", TimeoutMs: 1000, Targets: []*schema.Target{{Service: "nickel", Weight: 1}}})
 	f.order(f.leader(), request)
 	f.run(time.Second)
-	var items []roster.Listed
+	var items []discovery.Listed
 	for i := range backends {
 		service := []string{"copper", "nickel", "copper"}[i%3]
-		items = append(items, roster.Listed{Service: service, Instance: fmt.Sprint("i-", i), Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Zone: "z", Slots: 6})
+		items = append(items, discovery.Listed{Service: service, Instance: fmt.Sprint("i-", i), Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Zone: "z", Slots: 6})
 	}
-	leader.SetListing(f.now, roster.Listing{BegunAt: f.now, IsWhole: true, Items: items})
+	leader.SetListing(f.now, discovery.Listing{BegunAt: f.now, IsWhole: true, Items: items})
 	f.run(5 * time.Second)
-	if known := len(leader.view.Services["nickel"].Backends); known < backends/3 || len(leader.table.Rows([]string{image.ServicePrefix("nickel") + "span/"})) == 0 {
+	if known := len(leader.view.Services["nickel"].Backends); known < backends/3 || len(leader.table.Rows([]string{store.ServicePrefix("nickel") + "span/"})) == 0 {
 		b.Fatalf("%d back ends known", known)
 	}
 	return f, leader
--- a/internal/core/core.go
+++ b/internal/controlplane/machine.go
@@ -1,5 +1,5 @@
-// Package core is the control machine of one node: agreement, membership, spread and standing without I/O.
-package core
+// Package controlplane is the control machine of one node: agreement, membership, spread and standing without I/O.
+package controlplane
 
 import (
 	"fmt"
@@ -12,13 +12,13 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
-	"topazshed/internal/neighbours"
-	"topazshed/internal/quorum"
-	"topazshed/internal/roster"
+	"topazshed/internal/discovery"
+	"topazshed/internal/failover"
+	"topazshed/internal/membership"
+	"topazshed/internal/protocolversion"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
-	"topazshed/internal/versions"
+	"topazshed/internal/store"
 )
 
 // Options make a Core. Hard, Image and Items are what the journal held; Draw is the seeded source.
@@ -39,7 +39,7 @@
 	// Epoch is the time of day at which this node's clock would have stood at 0; records of standing tell by it when they were made.
 	Epoch time.Time
 	// Speaks are the versions that this process speaks; the zero value is the program's own.
-	Speaks versions.Span
+	Speaks protocolversion.Span
 	// RiseAfter is how long all must have read a version before the fleet uses it; 0 is the time of the constants.
 	RiseAfter time.Duration
 }
@@ -58,7 +58,7 @@
 
 // Effects are what the shell performs: sync, then send and answer.
 type Effects struct {
-	Quorum    quorum.Ready
+	Quorum    raft.Ready
 	Hard      *schema.HardState
 	Sends     []Send
 	Responses []LocalResponse
@@ -68,7 +68,7 @@
 
 // Local is what the hot path of this node may rely on; it is never changed once published.
 type Local struct {
-	View         *image.View
+	View         *store.View
 	HeldPrefixes map[string]bool
 	IsFull       bool
 	FreshAt      time.Duration
@@ -157,11 +157,11 @@
 	log                *slog.Logger
 	self               *schema.Node
 	system             string
-	quorum             *quorum.Node
-	table              *image.Table
-	view               *image.View
-	peerSampler        *neighbours.Sampler
-	endpoints          *roster.Endpoints
+	quorum             *raft.Node
+	table              *store.Table
+	view               *store.View
+	peerSampler        *membership.Sampler
+	endpoints          *discovery.Endpoints
 	effects            Effects
 	now                time.Duration
 	tickedAt           time.Duration
@@ -199,7 +199,7 @@
 	emptySince         time.Duration
 	listAt             time.Duration
 	listFault          string
-	listRead           *roster.ListRead
+	listRead           *discovery.ListRead
 	healthReports      []*schema.HealthReport
 	reservationSet     uint64
 	isReservationReady bool
@@ -217,7 +217,7 @@
 	knownCommitAt      time.Duration
 	routed             *routedState
 	changes            []*schema.FailoverChange
-	speaks             versions.Span
+	speaks             protocolversion.Span
 	refused            error
 	risingTo           uint32
 	risingFrom         time.Duration
@@ -228,7 +228,7 @@
 // New restores a node from its journal, or makes an empty one.
 func New(now time.Duration, options Options) *Machine {
 	c := &Machine{options: options, log: options.Log, self: proto.Clone(options.Self).(*schema.Node), system: options.System,
-		table: image.NewTable(), view: image.NewView(), endpoints: roster.New(), heartbeats: map[uint64]asked{}, held: map[string]bool{},
+		table: store.NewTable(), view: store.NewView(), endpoints: discovery.New(), heartbeats: map[uint64]asked{}, held: map[string]bool{},
 		wanted: map[string]time.Duration{}, subs: map[uint64]asked{}, subscriber: map[string]*subscriber{}, nodes: map[string]*nodeRecord{},
 		releasedAt: map[uint64]time.Duration{}, reads: map[uint64]*pendingRequest{}, seeds: map[string]time.Duration{}, empties: map[string]bool{},
 		peers: map[string]time.Duration{}, pending: map[string]uint64{}, verdicts: map[uint64]string{}, fences: map[string]time.Duration{}, opened: map[string]time.Duration{}, openedAs: map[string]uint64{}, addresses: map[string]string{}, now: now, tickedAt: now, speaks: options.Speaks.OrOwn(), refusedNodes: map[string]uint64{}}
@@ -237,14 +237,14 @@
 	}
 	c.source.staleAt = map[string]time.Duration{}
 	c.serial, c.subSerial = c.firstNumber(), c.firstNumber()
-	c.peerSampler = neighbours.New(neighbours.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Pace: c.routed.samplerTiming()})
+	c.peerSampler = membership.New(membership.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Pace: c.routed.samplerTiming()})
 	if options.Self.Disk {
 		if options.Snapshot != nil {
 			c.table.Restore(options.Snapshot)
 		}
-		c.quorum = quorum.New(now, quorum.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Snapshot: options.Snapshot, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.routed.raftTiming()})
-		c.view = image.Compile(c.table)
-		c.noteFences(c.table.Rows(image.All))
+		c.quorum = raft.New(now, raft.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Snapshot: options.Snapshot, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.routed.raftTiming()})
+		c.view = store.Compile(c.table)
+		c.noteFences(c.table.Rows(store.All))
 		c.guard(c.view.Fleet)
 		c.apply()
 		c.learnMembers()
@@ -322,14 +322,14 @@
 	c.self.State = schema.NodeState_NODE_STOPPING
 	c.self.Incarnation++
 	c.sendHeartbeat()
-	if c.quorum != nil && c.quorum.Role() == quorum.Leader {
+	if c.quorum != nil && c.quorum.Role() == raft.Leader {
 		c.quorum.Handover(now)
 	}
 }
 
 // Want asks for a service's slice.
 func (c *Machine) Want(now time.Duration, service string) {
-	prefix := image.ServicePrefix(service)
+	prefix := store.ServicePrefix(service)
 	isNew := !c.held[prefix]
 	c.wanted[prefix] = now
 	c.now = now
@@ -339,7 +339,7 @@
 }
 
 // SetSweep takes a read of the platform's list; only the leader uses it.
-func (c *Machine) SetListRead(now time.Duration, sweep roster.ListRead) {
+func (c *Machine) SetListRead(now time.Duration, sweep discovery.ListRead) {
 	c.now = now
 	c.listFault = sweep.Reason
 	if sweep.IsWhole {
@@ -351,7 +351,7 @@
 
 // SlowDisk tells that a sync took too long or failed; a leader hands over.
 func (c *Machine) SlowDisk(now time.Duration) {
-	if c.quorum != nil && c.quorum.Role() == quorum.Leader {
+	if c.quorum != nil && c.quorum.Role() == raft.Leader {
 		c.quorum.Handover(now)
 	}
 }
@@ -573,7 +573,7 @@
 		c.sendRelayedHeartbeat(b)
 		return
 	}
-	if c.quorum != nil && c.quorum.Role() == quorum.Leader {
+	if c.quorum != nil && c.quorum.Role() == raft.Leader {
 		c.noteHeartbeatSent(c.self.Address)
 		c.takeHeartbeat(&schema.Frame{From: c.self.Id, Address: c.self.Address}, b)
 		return
@@ -682,7 +682,7 @@
 		return
 	}
 	if slices.ContainsFunc(changed, func(row *schema.Row) bool {
-		return row.Key == image.HeadKey || strings.HasPrefix(row.Key, "district/")
+		return row.Key == store.HeadKey || strings.HasPrefix(row.Key, "district/")
 	}) {
 		c.heartbeatAt = 0
 	}
@@ -698,9 +698,9 @@
 		isFenced := false
 		switch {
 		case strings.Contains(row.Key, "/standing/"):
-			isFenced = image.DecodeRow[schema.FailoverAssignment](row).GetFenced()
+			isFenced = store.DecodeRow[schema.FailoverAssignment](row).GetFenced()
 		case strings.Contains(row.Key, "/entity/"):
-			entity := image.DecodeRow[schema.Entity](row)
+			entity := store.DecodeRow[schema.Entity](row)
 			isFenced = entity.GetFenced()
 			c.noteOpened(row.Key, entity)
 		default:
@@ -737,7 +737,7 @@
 		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", StaleResponses: c.staleResponses}
 	if c.quorum != nil {
 		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), c.quorum.Term(), c.quorum.Commit(), c.quorum.Members(), c.quorum.First()
-		if c.quorum.Role() == quorum.Leader {
+		if c.quorum.Role() == raft.Leader {
 			l.FreshAt = c.quorum.Contact()
 		}
 	}
@@ -834,7 +834,7 @@
 	}
 	if effects.Quorum.Snapshot != nil {
 		c.table.Restore(effects.Quorum.Snapshot)
-		c.view = image.Compile(c.table)
+		c.view = store.Compile(c.table)
 		c.fences = map[string]time.Duration{}
 		c.noteFences(effects.Quorum.Snapshot.Rows)
 		c.snapshotAt = effects.Quorum.Snapshot.Index
@@ -871,14 +871,14 @@
 	for _, item := range c.quorum.Committed() {
 		if c.refused == nil {
 			if _, isKnown := schema.RecordKind_name[int32(item.Record.GetKind())]; !isKnown {
-				c.refuse(&versions.KindError{Kind: int32(item.Record.GetKind()), Index: item.Index})
+				c.refuse(&protocolversion.KindError{Kind: int32(item.Record.GetKind()), Index: item.Index})
 			}
 		}
 		if c.refused != nil {
 			return
 		}
 		before := c.numbersOf(item.Record)
-		rows, err := c.table.Apply(item.Index, item.Record, standing.Check)
+		rows, err := c.table.Apply(item.Index, item.Record, failover.Check)
 		if err != nil {
 			c.verdicts[item.Index] = err.Error()
 			c.log.Info("record void", "index", item.Index, "reason", err.Error())
--- a/internal/core/orders.go
+++ b/internal/controlplane/orders.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"crypto/sha256"
@@ -10,9 +10,9 @@
 
 	"topazshed/internal/catalog"
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/routes"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // Operators' orders: the leader decides them, the other nodes pass them on to it.
@@ -94,13 +94,13 @@
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "no back end is known from the platform's list yet; ask again shortly"})
 		return
 	}
-	if c.pending[image.HeadKey] > c.table.Version() {
-		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Version: image.DecodeRow[schema.CatalogHead](c.table.Get(image.HeadKey)).GetVersion() + 1,
+	if c.pending[store.HeadKey] > c.table.Version() {
+		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Version: store.DecodeRow[schema.CatalogHead](c.table.Get(store.HeadKey)).GetVersion() + 1,
 			Message: "another configuration is being accepted; read it, merge, and put again"})
 		return
 	}
-	if head := image.DecodeRow[schema.CatalogHead](c.table.Get(image.HeadKey)); w.request.Key != "" && head.GetOperatorKey() == w.request.Key {
-		c.answer(w, &schema.OperatorResponse{Version: head.Version, Index: c.table.Get(image.HeadKey).Index})
+	if head := store.DecodeRow[schema.CatalogHead](c.table.Get(store.HeadKey)); w.request.Key != "" && head.GetOperatorKey() == w.request.Key {
+		c.answer(w, &schema.OperatorResponse{Version: head.Version, Index: c.table.Get(store.HeadKey).Index})
 		return
 	}
 	entries, faults := catalog.Read(w.request.Document, c.view)
@@ -111,7 +111,7 @@
 	record, version, err := catalog.Plan(c.table, entries, w.request.Document, w.request.Base, w.request.Key)
 	if err != nil {
 		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Message: err.Error(),
-			Version: image.DecodeRow[schema.CatalogHead](c.table.Get(image.HeadKey)).GetVersion()})
+			Version: store.DecodeRow[schema.CatalogHead](c.table.Get(store.HeadKey)).GetVersion()})
 		return
 	}
 	catalog.Assignments(c.view, c.table, record)
@@ -133,9 +133,9 @@
 
 func (c *Machine) operateZone(w *pendingRequest) {
 	isEmpty := w.request.Kind == schema.OperatorKind_OPERATOR_EMPTY
-	key := image.ZoneKey(w.request.Zone)
+	key := store.ZoneKey(w.request.Zone)
 	row := c.table.Get(key)
-	zone := image.DecodeRow[schema.Zone](row)
+	zone := store.DecodeRow[schema.Zone](row)
 	if zone == nil {
 		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Message: "district " + w.request.Zone + " is not known; see status for the names"})
 		return
@@ -147,7 +147,7 @@
 	fresh := proto.Clone(zone).(*schema.Zone)
 	fresh.Emptied, fresh.Reason = isEmpty, w.request.Reason
 	fresh.Settling = c.routed != nil && !isEmpty
-	c.submit(w, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "district " + zone.Name, Rows: []*schema.Row{image.EncodeRow(key, fresh)}}, 0)
+	c.submit(w, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "district " + zone.Name, Rows: []*schema.Row{store.EncodeRow(key, fresh)}}, 0)
 }
 
 func (c *Machine) settle(item *schema.LogItem) {
@@ -204,9 +204,9 @@
 }
 
 func (c *Machine) newestOperation() uint64 {
-	newest := c.table.Get(image.HeadKey).GetIndex()
+	newest := c.table.Get(store.HeadKey).GetIndex()
 	for name := range c.view.Zones {
-		newest = max(newest, c.table.Get(image.ZoneKey(name)).GetIndex())
+		newest = max(newest, c.table.Get(store.ZoneKey(name)).GetIndex())
 	}
 	return newest
 }
@@ -233,14 +233,14 @@
 		c.operate(w)
 		return
 	}
-	document := image.DecodeRow[schema.CatalogDocument](c.table.Get(image.DocumentKey))
+	document := store.DecodeRow[schema.CatalogDocument](c.table.Get(store.DocumentKey))
 	response := &schema.OperatorResponse{Version: document.GetVersion(), Document: document.GetDocument(), Index: c.table.Version()}
 	if w.request.Kind == schema.OperatorKind_OPERATOR_STATUS {
 		response = &schema.OperatorResponse{Version: document.GetVersion(), Index: c.newestOperation(), Unconfirmed: c.unconfirmed(c.newestOperation()),
 			Reports: c.reports(), Changes: c.changes}
 		response.ToleratedLosses, response.UnresponsiveVoters = c.toleratedLosses()
 	}
-	head := image.DecodeRow[schema.CatalogHead](c.table.Get(image.HeadKey))
+	head := store.DecodeRow[schema.CatalogHead](c.table.Get(store.HeadKey))
 	if w.request.Kind == schema.OperatorKind_OPERATOR_ASK && head.GetOperatorKey() != w.request.Key {
 		response = &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Version: head.GetVersion(),
 			Message: "the newest configuration was not put with that key; read it back and compare"}
@@ -305,16 +305,16 @@
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Message: "this fleet carries entries, not routes; put a configuration of entries"})
 		return
 	}
-	if c.pending[image.HeadKey] > c.table.Version() {
+	if c.pending[store.HeadKey] > c.table.Version() {
 		c.routed.deferred = append(c.routed.deferred, w)
 		return
 	}
-	head := image.DecodeRow[schema.CatalogHead](c.table.Get(image.HeadKey))
+	head := store.DecodeRow[schema.CatalogHead](c.table.Get(store.HeadKey))
 	config := w.request.Routes
 	digest := sha256.Sum256(config.GetDocument())
 	switch routes.Recall(c.table, config, digest[:]) {
 	case routes.Accepted:
-		c.answer(w, &schema.OperatorResponse{Version: config.Version, Index: c.table.Get(image.HeadKey).Index})
+		c.answer(w, &schema.OperatorResponse{Version: config.Version, Index: c.table.Get(store.HeadKey).Index})
 		return
 	case routes.Forgotten:
 		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_AMBIGUOUS, Version: head.GetVersion(),
@@ -362,7 +362,7 @@
 }
 
 func (c *Machine) resumeDeferred() {
-	if c.routed == nil || len(c.routed.deferred) == 0 || c.pending[image.HeadKey] > c.table.Version() && c.IsLeading() {
+	if c.routed == nil || len(c.routed.deferred) == 0 || c.pending[store.HeadKey] > c.table.Version() && c.IsLeading() {
 		return
 	}
 	deferred := c.routed.deferred
--- a/internal/core/holders_test.go
+++ b/internal/controlplane/owners_test.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"topazshed/internal/image"
-	"topazshed/internal/keys"
 	"topazshed/internal/schema"
+	"topazshed/internal/sharding"
+	"topazshed/internal/store"
 )
 
 func TestLeasesFollowTheirRecordAtOnce(t *testing.T) {
@@ -20,10 +20,10 @@
 			self := &schema.Node{Id: "a", Address: "a", Zone: "d", Region: "r", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
 			core := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 				Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
-			record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.EncodeRow(image.PolicyKey("s"), &schema.ServicePolicy{Service: "s", Keyed: true})}}
+			record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.PolicyKey("s"), &schema.ServicePolicy{Service: "s", Keyed: true})}}
 			for i := range c.backends {
 				name := fmt.Sprint("i", i)
-				record.Rows = append(record.Rows, image.EncodeRow(image.BackendKey("s", name), &schema.Backend{Service: "s", Instance: name, Address: name, Zone: "d", State: schema.BackendState_BACKEND_READY}))
+				record.Rows = append(record.Rows, store.EncodeRow(store.BackendKey("s", name), &schema.Backend{Service: "s", Instance: name, Address: name, Zone: "d", State: schema.BackendState_BACKEND_READY}))
 			}
 			isPut, laidAt, leases := false, time.Duration(0), 0
 			for now := time.Hour; now < time.Hour+12*time.Second && leases == 0; now += tick {
@@ -37,7 +37,7 @@
 						break
 					}
 					for _, call := range effects.Calls {
-						if call.Kind == keys.GrantLease {
+						if call.Kind == sharding.GrantLease {
 							leases++
 						}
 					}
--- a/internal/core/routed.go
+++ b/internal/controlplane/routed.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"slices"
@@ -6,10 +6,10 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/keys"
-	"topazshed/internal/roster"
+	"topazshed/internal/discovery"
+	"topazshed/internal/failover"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
+	"topazshed/internal/sharding"
 )
 
 // Routed are the figures of a routed fleet's deployment.
@@ -41,16 +41,16 @@
 
 // GrantCall is a call to a back end, with the granter's life that made it.
 type LeaseCall struct {
-	keys.Call
+	sharding.Call
 	Incarnation uint64
 }
 
 type routedState struct {
 	options       *Routed
-	leaseManager  *keys.LeaseManager
-	watch         *roster.Watch
-	outlierQuorum *roster.OutlierQuorum
-	listing       *roster.Listing
+	leaseManager  *sharding.LeaseManager
+	watch         *discovery.Watch
+	outlierQuorum *discovery.OutlierQuorum
+	listing       *discovery.Listing
 	incarnation   uint64
 	loads         map[string][]nodeLoad
 	loadAt        time.Duration
@@ -73,9 +73,9 @@
 }
 
 func (r *routedState) resign(options Options) {
-	r.leaseManager = keys.New(keys.Options{Most: options.Routed.HoldMost})
-	r.watch = roster.NewWatch(options.Routed.ListLag)
-	r.outlierQuorum = roster.NewOutlierQuorum()
+	r.leaseManager = sharding.New(sharding.Options{Most: options.Routed.HoldMost})
+	r.watch = discovery.NewWatch(options.Routed.ListLag)
+	r.outlierQuorum = discovery.NewOutlierQuorum()
 	r.listing = nil
 	r.loads = map[string][]nodeLoad{}
 	r.incarnation++
@@ -128,7 +128,7 @@
 }
 
 // SetListing takes a read of the platform's list of a routed fleet; only the leader uses it.
-func (c *Machine) SetListing(now time.Duration, listing roster.Listing) {
+func (c *Machine) SetListing(now time.Duration, listing discovery.Listing) {
 	c.now = now
 	c.listFault = listing.Reason
 	if listing.IsWhole {
@@ -149,7 +149,7 @@
 }
 
 // Granted takes what became of a call to a back end; an answer for a former granter is worth nothing.
-func (c *Machine) LeaseAnswered(now time.Duration, incarnation uint64, answer keys.Answer) {
+func (c *Machine) LeaseAnswered(now time.Duration, incarnation uint64, answer sharding.Answer) {
 	c.now = now
 	if c.routed != nil && c.routed.incarnation == incarnation {
 		c.routed.leaseManager.Answered(now, answer)
@@ -161,7 +161,7 @@
 	r := c.routed
 	listing := r.listing
 	r.listing = nil
-	if record := r.watch.Plan(roster.WatchFacts{Now: c.now, View: c.view, Table: c.table, Listing: listing, ColdRate: r.options.ColdRate}); record != nil && c.propose(record) {
+	if record := r.watch.Plan(discovery.WatchFacts{Now: c.now, View: c.view, Table: c.table, Listing: listing, ColdRate: r.options.ColdRate}); record != nil && c.propose(record) {
 		c.log.Info("back ends changed", "rows", len(record.Rows))
 	} else if record != nil {
 		r.listing = listing
@@ -169,13 +169,13 @@
 	if record := r.outlierQuorum.Plan(c.now, c.view, c.table); record != nil && c.propose(record) {
 		c.log.Info("back ends failing or well again", "rows", len(record.Rows))
 	}
-	for _, record := range standing.PlanPlaces(c.view, c.table) {
+	for _, record := range failover.PlanPlaces(c.view, c.table) {
 		c.sign(record)
 		if c.propose(record) {
 			c.log.Info("standing", "change", record.Reason, "evidence", record.Evidence)
 		}
 	}
-	effects := r.leaseManager.Step(keys.Facts{Now: c.now, View: c.view, Table: c.table, IsLeading: true, ElectedAt: c.electedAt, LeaseAt: c.quorum.Contact(),
+	effects := r.leaseManager.Step(sharding.Facts{Now: c.now, View: c.view, Table: c.table, IsLeading: true, ElectedAt: c.electedAt, LeaseAt: c.quorum.Contact(),
 		Load: r.load(c.now), Dead: c.isEnded})
 	for _, record := range effects.Records {
 		c.propose(record)
--- a/internal/core/spread.go
+++ b/internal/controlplane/spread.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"maps"
@@ -6,9 +6,9 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
-	"topazshed/internal/quorum"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // The spread of rows: a machine that keeps the log is a source, one that does not subscribes to one source at a time.
@@ -27,9 +27,9 @@
 
 func (c *Machine) prefixes() []string {
 	if c.routed != nil {
-		return image.Routed
+		return store.Routed
 	}
-	return slices.Concat(image.Common, slices.Sorted(maps.Keys(c.wanted)))
+	return slices.Concat(store.Common, slices.Sorted(maps.Keys(c.wanted)))
 }
 
 // farDraws is how many choices of a source a node of a fleet of entries makes for one in another region.
@@ -208,7 +208,7 @@
 }
 
 func (c *Machine) fullAge() time.Duration {
-	if c.quorum.Role() == quorum.Leader {
+	if c.quorum.Role() == raft.Leader {
 		return c.now - c.quorum.Contact()
 	}
 	return c.now - c.freshAt
--- a/internal/core/startup_world_test.go
+++ b/internal/controlplane/startup_world_test.go
@@ -1,4 +1,4 @@
-package core_test
+package controlplane_test
 
 import (
 	"bytes"
@@ -14,12 +14,12 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
+	"topazshed/internal/controlplane"
+	"topazshed/internal/discovery"
 	"topazshed/internal/frame"
 	"topazshed/internal/journal"
-	"topazshed/internal/keys"
-	"topazshed/internal/roster"
 	"topazshed/internal/schema"
+	"topazshed/internal/sharding"
 	"topazshed/internal/sim"
 )
 
@@ -49,7 +49,7 @@
 	serial  int
 	random  *rand.Rand
 	nodes   []*startupNode
-	listing []roster.Listed
+	listing []discovery.Listed
 	// putAt is when each version of the configuration was put, and spread how long each node took to have one.
 	putAt     map[uint64]time.Duration
 	spread    []time.Duration
@@ -61,8 +61,8 @@
 type startupNode struct {
 	index         int
 	self          *schema.Node
-	core          *core.Machine
-	driver        *core.Driver
+	core          *controlplane.Machine
+	driver        *controlplane.Driver
 	random        *rand.Rand
 	clockOffset   time.Duration
 	head, version uint64
@@ -93,7 +93,7 @@
 	}
 	for b := range startupBackends {
 		home := f.nodes[f.random.Intn(len(f.nodes))].self
-		f.listing = append(f.listing, roster.Listed{Service: startupService(b % startupServices), Instance: fmt.Sprintf("backend%06d", b), Address: fmt.Sprintf("10.100.0.%d:8080", b), Zone: home.Zone, Slots: 6})
+		f.listing = append(f.listing, discovery.Listed{Service: startupService(b % startupServices), Instance: fmt.Sprintf("backend%06d", b), Address: fmt.Sprintf("10.100.0.%d:8080", b), Zone: home.Zone, Slots: 6})
 	}
 	for _, n := range f.nodes {
 		begins := time.Duration(f.random.Intn(1000)) * time.Millisecond
@@ -142,8 +142,8 @@
 }
 
 func (f *startupFleet) start(n *startupNode) {
-	options := core.Options{Self: n.self, Seeds: f.seeds(), Draw: n.random.Int63n, Log: slog.New(slog.DiscardHandler),
-		Routed: &core.Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 2 }, Load: n.load}}
+	options := controlplane.Options{Self: n.self, Seeds: f.seeds(), Draw: n.random.Int63n, Log: slog.New(slog.DiscardHandler),
+		Routed: &controlplane.Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 2 }, Load: n.load}}
 	var opened *journal.Journal
 	if n.self.Disk {
 		ring, state, err := journal.Open(sim.NewDisk(), worldSizes)
@@ -153,12 +153,12 @@
 		opened = ring
 		options.Hard, options.Snapshot, options.Items = state.Hard, state.Snapshot, state.Items
 	}
-	n.core = core.New(f.clock(n), options)
-	n.driver = &core.Driver{Core: n.core, Journal: opened, Now: func() time.Duration { return f.clock(n) },
+	n.core = controlplane.New(f.clock(n), options)
+	n.driver = &controlplane.Driver{Core: n.core, Journal: opened, Now: func() time.Duration { return f.clock(n) },
 		Send:   func(to string, sent *schema.Frame) { f.send(n, to, sent) },
-		Answer: func(core.LocalResponse) {},
+		Answer: func(controlplane.LocalResponse) {},
 		Synced: func(time.Duration, error) {},
-		Leased: func(call core.LeaseCall) { f.lease(n, call) },
+		Leased: func(call controlplane.LeaseCall) { f.lease(n, call) },
 		Write: func(work func() error, done func(error)) {
 			err := work()
 			f.after(startupSyncTime, func() { f.step(n, func() { done(err) }) })
@@ -167,16 +167,16 @@
 	f.tick(n)
 }
 
-func (f *startupFleet) lease(n *startupNode, call core.LeaseCall) {
+func (f *startupFleet) lease(n *startupNode, call controlplane.LeaseCall) {
 	fmt.Fprintln(f.history, "grant", f.now, n.index, call.ID)
 	f.after(startupLeaseDelay, func() {
 		f.step(n, func() {
-			n.core.LeaseAnswered(f.clock(n), call.Incarnation, keys.Answer{ID: call.ID, Result: keys.Done})
+			n.core.LeaseAnswered(f.clock(n), call.Incarnation, sharding.Answer{ID: call.ID, Result: sharding.Done})
 		})
 	})
 }
 
-func (f *startupFleet) publish(n *startupNode, local *core.Local) {
+func (f *startupFleet) publish(n *startupNode, local *controlplane.Local) {
 	if local.View.Version != n.version {
 		n.version = local.View.Version
 		f.lastRowAt = f.now
@@ -198,7 +198,7 @@
 func (f *startupFleet) list() {
 	if n := f.leader(); n != nil {
 		f.step(n, func() {
-			n.core.SetListing(f.clock(n), roster.Listing{Items: slices.Clone(f.listing), BegunAt: f.clock(n), IsWhole: true})
+			n.core.SetListing(f.clock(n), discovery.Listing{Items: slices.Clone(f.listing), BegunAt: f.clock(n), IsWhole: true})
 		})
 	}
 	f.after(constants.ListEvery, f.list)
--- a/internal/core/version.go
+++ b/internal/controlplane/version.go
@@ -1,13 +1,13 @@
-package core
+package controlplane
 
 import (
 	"maps"
 	"slices"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
+	"topazshed/internal/protocolversion"
 	"topazshed/internal/schema"
-	"topazshed/internal/versions"
+	"topazshed/internal/store"
 )
 
 // Refused is why this node takes no part any more: the fleet uses what it does not speak, or the log holds what it does not know.
@@ -21,7 +21,7 @@
 }
 
 func (c *Machine) guard(fleet uint32) error {
-	if err := versions.CheckFleet(c.speaks, fleet); err != nil {
+	if err := protocolversion.CheckFleet(c.speaks, fleet); err != nil {
 		c.refuse(err)
 	}
 	return c.refused
@@ -29,7 +29,7 @@
 
 // shownFleet is the fleet's version as it is told: the first one is left out.
 func (c *Machine) shownFleet() uint32 {
-	if c.view.Fleet == versions.First {
+	if c.view.Fleet == protocolversion.First {
 		return 0
 	}
 	return c.view.Fleet
@@ -43,12 +43,12 @@
 // isFitNode tells whether a node speaks what the fleet uses, or is about to use.
 func (c *Machine) isFitNode(node *schema.Node) bool {
 	fleet := c.view.Fleet
-	if c.pending[image.VersionKey] > c.table.Version() {
+	if c.pending[store.VersionKey] > c.table.Version() {
 		fleet = max(fleet, c.proposed)
 	}
-	span, err := versions.ReadSpan(node.GetSpeaksLow(), node.GetSpeaksHigh())
+	span, err := protocolversion.ReadSpan(node.GetSpeaksLow(), node.GetSpeaksHigh())
 	if err == nil {
-		err = versions.CheckFleet(span, fleet)
+		err = protocolversion.CheckFleet(span, fleet)
 	}
 	if err != nil && c.refusedNodes[node.GetId()] != node.GetIncarnation() {
 		c.refusedNodes[node.GetId()] = node.GetIncarnation()
@@ -58,7 +58,7 @@
 }
 
 // readers are all who must read what the fleet uses: members of the log, nodes of the table, and nodes heard of that are not in it yet.
-func (c *Machine) readers() []versions.Reader {
+func (c *Machine) readers() []protocolversion.Reader {
 	isVoter := map[string]bool{}
 	known := map[string]bool{}
 	for _, m := range slices.Concat(c.quorum.Members().Voters, c.quorum.Members().Learners) {
@@ -72,12 +72,12 @@
 			known[id] = true
 		}
 	}
-	var readers []versions.Reader
+	var readers []protocolversion.Reader
 	for _, id := range slices.Sorted(maps.Keys(known)) {
-		r := versions.Reader{ID: id, Span: versions.Span{Low: versions.First, High: versions.First}, IsVoter: isVoter[id]}
+		r := protocolversion.Reader{ID: id, Span: protocolversion.Span{Low: protocolversion.First, High: protocolversion.First}, IsVoter: isVoter[id]}
 		row, g := c.view.Nodes[id], c.nodes[id]
 		if row != nil && g != nil {
-			span, err := versions.ReadSpan(row.SpeaksLow, row.SpeaksHigh)
+			span, err := protocolversion.ReadSpan(row.SpeaksLow, row.SpeaksHigh)
 			isSame := g.node.GetSpeaksLow() == row.SpeaksLow && g.node.GetSpeaksHigh() == row.SpeaksHigh
 			r.IsHeard = err == nil && isSame && c.now-g.heard <= constants.NodeLostAfter
 			if err == nil {
@@ -92,7 +92,7 @@
 // planVersion lets the fleet rise once all have been able to read a version for long enough. Nothing may be under way in the log, so that
 // nobody joins between the decision and the record.
 func (c *Machine) planVersion() {
-	next, _ := versions.Rise(c.view.Fleet, c.speaks, c.readers())
+	next, _ := protocolversion.Rise(c.view.Fleet, c.speaks, c.readers())
 	if next != c.risingTo || next == c.view.Fleet {
 		c.risingTo, c.risingFrom = next, c.now
 		return
@@ -105,8 +105,8 @@
 		return
 	}
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "the fleet's version rises",
-		Guards: []*schema.Guard{{Key: image.VersionKey, Index: c.table.Get(image.VersionKey).GetIndex()}},
-		Rows:   []*schema.Row{image.EncodeRow(image.VersionKey, &schema.FleetVersion{Version: next})}}
+		Guards: []*schema.Guard{{Key: store.VersionKey, Index: c.table.Get(store.VersionKey).GetIndex()}},
+		Rows:   []*schema.Row{store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: next})}}
 	if c.propose(record) {
 		c.proposed = next
 		c.log.Info("the fleet's version rises", "version", next)
--- a/internal/core/version_test.go
+++ b/internal/controlplane/version_test.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"errors"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"topazshed/internal/image"
+	"topazshed/internal/protocolversion"
 	"topazshed/internal/schema"
-	"topazshed/internal/versions"
+	"topazshed/internal/store"
 )
 
 type mixedWorld struct {
@@ -23,7 +23,7 @@
 	random *rand.Rand
 }
 
-func (w *mixedWorld) add(name string, speaks versions.Span) {
+func (w *mixedWorld) add(name string, speaks protocolversion.Span) {
 	self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "r", Disk: name <= "c", Incarnation: 1, State: schema.NodeState_NODE_READY}
 	w.cores[name] = New(w.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: w.random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Speaks: speaks, RiseAfter: 4 * time.Second,
 		Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
@@ -51,7 +51,7 @@
 				}
 			}
 			for id, node := range core.view.Nodes {
-				if span, err := versions.ReadSpan(node.SpeaksLow, node.SpeaksHigh); err != nil || !span.Has(core.view.Fleet) {
+				if span, err := protocolversion.ReadSpan(node.SpeaksLow, node.SpeaksHigh); err != nil || !span.Has(core.view.Fleet) {
 					t.Fatalf("%s: the fleet uses %d and node %s speaks %v", name, core.view.Fleet, id, span)
 				}
 			}
@@ -59,7 +59,7 @@
 	}
 }
 
-func newMixedWorld(speaks map[string]versions.Span) *mixedWorld {
+func newMixedWorld(speaks map[string]protocolversion.Span) *mixedWorld {
 	w := &mixedWorld{cores: map[string]*Machine{}, cut: map[string]bool{}, now: time.Hour, random: rand.New(rand.NewSource(1))}
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		w.add(name, speaks[name])
@@ -68,22 +68,22 @@
 }
 
 func TestMixedFleetsRiseOnceAllCanRead(t *testing.T) {
-	old, next := versions.Span{Low: 1, High: 1}, versions.Span{Low: 1, High: 3}
+	old, next := protocolversion.Span{Low: 1, High: 1}, protocolversion.Span{Low: 1, High: 3}
 	for _, c := range []struct {
 		name         string
-		speaks       map[string]versions.Span
+		speaks       map[string]protocolversion.Span
 		unresponsive string
 		want         uint32
 	}{
 		{"all new", nil, "", 2},
-		{"all old", map[string]versions.Span{"a": old, "b": old, "c": old, "d": old, "e": old}, "", 1},
-		{"half-way: an old node without a disk", map[string]versions.Span{"e": old}, "", 1},
-		{"half-way: an old voter", map[string]versions.Span{"c": old}, "", 1},
-		{"the founder and leader old, the voters new", map[string]versions.Span{"a": old}, "", 1},
-		{"the leader new, the voters old", map[string]versions.Span{"b": old, "c": old}, "", 1},
-		{"some are further: the highest that all read", map[string]versions.Span{"a": next, "d": next}, "", 2},
+		{"all old", map[string]protocolversion.Span{"a": old, "b": old, "c": old, "d": old, "e": old}, "", 1},
+		{"half-way: an old node without a disk", map[string]protocolversion.Span{"e": old}, "", 1},
+		{"half-way: an old voter", map[string]protocolversion.Span{"c": old}, "", 1},
+		{"the founder and leader old, the voters new", map[string]protocolversion.Span{"a": old}, "", 1},
+		{"the leader new, the voters old", map[string]protocolversion.Span{"b": old, "c": old}, "", 1},
+		{"some are further: the highest that all read", map[string]protocolversion.Span{"a": next, "d": next}, "", 2},
 		{"a silent voter holds it back", nil, "c", 1},
-		{"all further", map[string]versions.Span{"a": next, "b": next, "c": next, "d": next, "e": next}, "", 3},
+		{"all further", map[string]protocolversion.Span{"a": next, "b": next, "c": next, "d": next, "e": next}, "", 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newMixedWorld(c.speaks)
@@ -106,14 +106,14 @@
 }
 
 func TestAnOldNodeDoesNotJoinARaisedFleet(t *testing.T) {
-	old := versions.Span{Low: 1, High: 1}
+	old := protocolversion.Span{Low: 1, High: 1}
 	w := newMixedWorld(nil)
 	w.run(t, 20*time.Second)
 	w.add("b2", old)
 	w.add("f", old)
 	w.run(t, 5*time.Second)
 	for _, name := range []string{"b2", "f"} {
-		var fleet *versions.FleetError
+		var fleet *protocolversion.FleetError
 		if err := w.cores[name].Refused(); !errors.As(err, &fleet) || fleet.Fleet != 2 {
 			t.Errorf("%s: refused with %v", name, err)
 		}
@@ -144,7 +144,7 @@
 	for offset := time.Duration(0); offset < 2*time.Second; offset += 100 * time.Millisecond {
 		w := newMixedWorld(nil)
 		w.run(t, 5*time.Second+offset)
-		w.add("f", versions.Span{Low: 1, High: 1})
+		w.add("f", protocolversion.Span{Low: 1, High: 1})
 		w.run(t, 10*time.Second)
 		isIn := w.cores["a"].view.Nodes["id-f"] != nil
 		fleet := w.cores["a"].view.Fleet
@@ -164,7 +164,7 @@
 
 func TestANodeRefusesWhatItDoesNotSpeak(t *testing.T) {
 	rows := func(version uint32) []*schema.Row {
-		return []*schema.Row{{Key: image.VersionKey, Value: image.EncodeRow(image.VersionKey, &schema.FleetVersion{Version: version}).Value, Index: 3}}
+		return []*schema.Row{{Key: store.VersionKey, Value: store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: version}).Value, Index: 3}}
 	}
 	members := &schema.Members{Voters: []*schema.Member{{Id: "n", Address: "n"}}}
 	for _, c := range []struct {
--- a/internal/core/world_test.go
+++ b/internal/controlplane/world_test.go
@@ -1,4 +1,4 @@
-package core_test
+package controlplane_test
 
 import (
 	"container/heap"
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
+	"topazshed/internal/controlplane"
 	"topazshed/internal/journal"
 	"topazshed/internal/schema"
 	"topazshed/internal/sim"
@@ -50,8 +50,8 @@
 	region      string
 	isDisk      bool
 	disk        *sim.Disk
-	core        *core.Machine
-	driver      *core.Driver
+	core        *controlplane.Machine
+	driver      *controlplane.Driver
 	incarnation int
 	isUp        bool
 	writing     func() error
@@ -189,8 +189,8 @@
 	w := m.w
 	self := &schema.Node{Id: fmt.Sprintf("%s-%d", m.name, m.incarnation), Address: m.name, Proxy: m.name, Admin: m.name, Zone: m.zone, Region: m.region, Disk: m.isDisk,
 		Incarnation: uint64(w.now.Milliseconds()), State: schema.NodeState_NODE_READY}
-	options := core.Options{Self: self, Seeds: w.seeds(), Draw: w.random.Int63n, Log: w.log.With("machine", m.name), Rejoin: m.isFounded,
-		Routed: &core.Routed{HoldMost: 10 * time.Second, Zones: w.zones(), Quiet: 4 * time.Second, Fits: w.sizes.Fits, FitsWhole: w.sizes.FitsSnapshot, ColdRate: func(*schema.ServicePolicy) int { return 1 }}}
+	options := controlplane.Options{Self: self, Seeds: w.seeds(), Draw: w.random.Int63n, Log: w.log.With("machine", m.name), Rejoin: m.isFounded,
+		Routed: &controlplane.Routed{HoldMost: 10 * time.Second, Zones: w.zones(), Quiet: 4 * time.Second, Fits: w.sizes.Fits, FitsWhole: w.sizes.FitsSnapshot, ColdRate: func(*schema.ServicePolicy) int { return 1 }}}
 	m.isFounded = true
 	m.isUp, m.writing, m.frozenUntil = true, nil, 0
 	var opened *journal.Journal
@@ -210,9 +210,9 @@
 			self.Id = state.Hard.Id
 		}
 	}
-	m.core = core.New(w.now, options)
-	m.driver = &core.Driver{Core: m.core, Journal: opened, Now: func() time.Duration { return w.now }, Send: m.send, Publish: func() {}, Synced: func(time.Duration, error) {}, Write: m.write,
-		Leased: func(core.LeaseCall) {}, Answer: func(o core.LocalResponse) {
+	m.core = controlplane.New(w.now, options)
+	m.driver = &controlplane.Driver{Core: m.core, Journal: opened, Now: func() time.Duration { return w.now }, Send: m.send, Publish: func() {}, Synced: func(time.Duration, error) {}, Write: m.write,
+		Leased: func(controlplane.LeaseCall) {}, Answer: func(o controlplane.LocalResponse) {
 			if answer := m.answers[o.Ticket]; answer != nil {
 				delete(m.answers, o.Ticket)
 				answer(o.Response)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
+	"topazshed/internal/controlplane"
+	"topazshed/internal/failover"
 	"topazshed/internal/proxy"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
 )
 
 // Proxy is one address that a caller may use.
@@ -36,7 +36,7 @@
 type Options struct {
 	Self  *schema.Node
 	Now   func() time.Duration
-	Local func() *core.Local
+	Local func() *controlplane.Local
 	Want  func(service string)
 	Draw  func(int64) int64
 }
@@ -48,7 +48,7 @@
 func New(options Options) *Directory { return &Directory{options} }
 
 // Decide is the pure part: a match, or a final decline, or neither to be asked again.
-func Decide(now time.Duration, local *core.Local, region, service, path string, parked time.Duration, draw func(int64) int64) (*Match, *proxy.RefusalError, string) {
+func Decide(now time.Duration, local *controlplane.Local, region, service, path string, parked time.Duration, draw func(int64) int64) (*Match, *proxy.RefusalError, string) {
 	entry, early := proxy.Entry(now, local, service, path, parked)
 	if early != nil {
 		return nil, early.Refusal, early.Wanted
@@ -59,16 +59,16 @@
 		}
 		return nil, &proxy.RefusalError{Status: http.StatusServiceUnavailable, Kind: "no-standing", Message: message, Result: proxy.ResultRefused, RetryAfter: constants.RetryAfter}, ""
 	}
-	origin := standing.Origin{Region: region}
-	if standing.IsBound(entry) {
-		origin = standing.Origin{Service: entry.Service, Path: entry.Path}
-	} else if homes := standing.Homes(local.View, entry); !slices.Contains(homes, region) {
+	origin := failover.Origin{Region: region}
+	if failover.IsBound(entry) {
+		origin = failover.Origin{Service: entry.Service, Path: entry.Path}
+	} else if homes := failover.Homes(local.View, entry); !slices.Contains(homes, region) {
 		if len(homes) == 0 {
 			return later("no home region of the entry is known; mend the configuration")
 		}
 		origin.Region = homes[int(draw(int64(len(homes))))]
 	}
-	owner, err := standing.Resolve(local.View, entry, origin)
+	owner, err := failover.Resolve(local.View, entry, origin)
 	if err != nil {
 		return later(err.Error())
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -5,34 +5,34 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
-	"topazshed/internal/image"
+	"topazshed/internal/controlplane"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 func TestDecide(t *testing.T) {
-	table := image.NewTable()
+	table := store.NewTable()
 	rows := []*schema.Row{
-		image.EncodeRow(image.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}), image.EncodeRow(image.RegionKey("south"), &schema.Region{Name: "south", Residue: 3}),
-		image.EncodeRow(image.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north"}), image.EncodeRow(image.ZoneKey("south-a"), &schema.Zone{Name: "south-a", Region: "south", Residue: 2}),
-		image.EncodeRow(image.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
-		image.EncodeRow(image.EntryKey("ledger", "/home"), &schema.Entry{Service: "ledger", Path: "/home", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, HomeRegions: []string{"south"}}),
-		image.EncodeRow(image.EntryKey("ledger", "/pay"), &schema.Entry{Service: "ledger", Path: "/pay", Methods: []string{"POST"}}),
-		image.EncodeRow(image.EntryKey("ledger", "/new"), &schema.Entry{Service: "ledger", Path: "/new", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
-		image.EncodeRow(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "south", Number: 103}),
+		store.EncodeRow(store.RegionKey("north"), &schema.Region{Name: "north", Residue: 1}), store.EncodeRow(store.RegionKey("south"), &schema.Region{Name: "south", Residue: 3}),
+		store.EncodeRow(store.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north"}), store.EncodeRow(store.ZoneKey("south-a"), &schema.Zone{Name: "south-a", Region: "south", Residue: 2}),
+		store.EncodeRow(store.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
+		store.EncodeRow(store.EntryKey("ledger", "/home"), &schema.Entry{Service: "ledger", Path: "/home", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, HomeRegions: []string{"south"}}),
+		store.EncodeRow(store.EntryKey("ledger", "/pay"), &schema.Entry{Service: "ledger", Path: "/pay", Methods: []string{"POST"}}),
+		store.EncodeRow(store.EntryKey("ledger", "/new"), &schema.Entry{Service: "ledger", Path: "/new", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}),
+		store.EncodeRow(store.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "south", Number: 103}),
 	}
 	for _, path := range []string{"/b", "/home", "/pay"} {
-		rows = append(rows, image.EncodeRow(image.AssignmentKey("ledger", path, "south"), &schema.FailoverAssignment{Service: "ledger", Path: path, Region: "south", Number: 102}),
-			image.EncodeRow(image.AssignmentKey("ledger", path, "north"), &schema.FailoverAssignment{Service: "ledger", Path: path, Region: "north", Number: 100}))
+		rows = append(rows, store.EncodeRow(store.AssignmentKey("ledger", path, "south"), &schema.FailoverAssignment{Service: "ledger", Path: path, Region: "south", Number: 102}),
+			store.EncodeRow(store.AssignmentKey("ledger", path, "north"), &schema.FailoverAssignment{Service: "ledger", Path: path, Region: "north", Number: 100}))
 	}
 	for id, state := range map[string]schema.NodeState{"n1": schema.NodeState_NODE_READY, "n2": schema.NodeState_NODE_STOPPING, "n3": schema.NodeState_NODE_LOST} {
-		rows = append(rows, image.EncodeRow(image.NodeKey(id), &schema.Node{Id: id, Zone: "north-a", Region: "north", Proxy: id, State: state}),
-			image.EncodeRow(image.NodeKey("s"+id), &schema.Node{Id: "s" + id, Zone: "south-a", Region: "south", Proxy: "s" + id, State: state}))
+		rows = append(rows, store.EncodeRow(store.NodeKey(id), &schema.Node{Id: id, Zone: "north-a", Region: "north", Proxy: id, State: state}),
+			store.EncodeRow(store.NodeKey("s"+id), &schema.Node{Id: "s" + id, Zone: "south-a", Region: "south", Proxy: "s" + id, State: state}))
 	}
 	if _, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows}, nil); err != nil {
 		t.Fatal(err)
 	}
-	local := &core.Local{View: image.Compile(table), IsFull: true, FreshAt: time.Hour, TickAt: time.Hour}
+	local := &controlplane.Local{View: store.Compile(table), IsFull: true, FreshAt: time.Hour, TickAt: time.Hour}
 	for _, c := range []struct {
 		name, region, service, path string
 		parked                      time.Duration
--- a/internal/roster/roster.go
+++ b/internal/discovery/endpoints.go
@@ -1,5 +1,5 @@
-// Package roster turns the platform's paged, lagging list into the back ends that the log should hold.
-package roster
+// Package discovery turns the platform's paged, lagging list into the back ends that the log should hold.
+package discovery
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // Item is one line of the platform's list.
@@ -127,16 +127,16 @@
 }
 
 // Plan gives the record that brings the rows in line with a sweep and the probes; sweep may be nil.
-func (r *Endpoints) Plan(now time.Duration, view *image.View, table *image.Table, listRead *ListRead) *schema.Record {
+func (r *Endpoints) Plan(now time.Duration, view *store.View, table *store.Table, listRead *ListRead) *schema.Record {
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "back ends"}
 	put := func(b *schema.Backend) {
-		key := image.BackendKey(b.Service, b.Instance)
+		key := store.BackendKey(b.Service, b.Instance)
 		guard := &schema.Guard{Key: key}
 		if row := table.Get(key); row != nil {
 			guard.Index = row.Index
 		}
 		record.Guards = append(record.Guards, guard)
-		record.Rows = append(record.Rows, image.EncodeRow(key, b))
+		record.Rows = append(record.Rows, store.EncodeRow(key, b))
 	}
 	known := map[string]*schema.Backend{}
 	count := map[string]int{}
@@ -193,9 +193,9 @@
 		if r.missing[name] >= constants.EndpointMissingReads && listRead != nil && listRead.IsWhole && !listed[name] {
 			isTooMany := lost[backend.Service]*100 > count[backend.Service]*constants.EndpointFloor
 			if !isTooMany || isFailing {
-				key := image.BackendKey(backend.Service, backend.Instance)
+				key := store.BackendKey(backend.Service, backend.Instance)
 				record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: table.Get(key).GetIndex()})
-				record.Rows = append(record.Rows, image.Tombstone(key))
+				record.Rows = append(record.Rows, store.Tombstone(key))
 				delete(r.missing, name)
 				continue
 			}
--- a/internal/roster/roster_test.go
+++ b/internal/discovery/endpoints_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"slices"
@@ -7,8 +7,8 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 func pages(instances ...string) []Page {
@@ -72,11 +72,11 @@
 		{"a failing one is marked", []ListRead{Join(pages(all...))}, []string{"l-3"}, "l-1 l-2 l-3? l-4"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, table := New(), image.NewTable()
+			r, table := New(), store.NewTable()
 			now := time.Minute
 			step := func(listRead *ListRead) {
 				now += constants.ListReadEvery
-				if record := r.Plan(now, image.Compile(table), table, listRead); record != nil {
+				if record := r.Plan(now, store.Compile(table), table, listRead); record != nil {
 					if _, err := table.Apply(table.Version()+1, record, nil); err != nil {
 						t.Fatal(err)
 					}
@@ -95,7 +95,7 @@
 				step(&c.sweeps[i])
 			}
 			var got []string
-			for _, b := range image.Compile(table).Services["ledger"].Backends {
+			for _, b := range store.Compile(table).Services["ledger"].Backends {
 				name := b.Instance
 				if b.State == schema.BackendState_BACKEND_DRAINING {
 					name += "!"
@@ -116,7 +116,7 @@
 }
 
 func TestABackEndThatFailedComesBackCold(t *testing.T) {
-	r, table := New(), image.NewTable()
+	r, table := New(), store.NewTable()
 	now := time.Minute
 	state := func(isFailing bool) *schema.Backend {
 		now += constants.ListReadEvery
@@ -124,12 +124,12 @@
 			r.Report(node, []*schema.HealthReport{{Instance: "l-1", Failing: isFailing}, {Instance: "l-2"}})
 		}
 		listRead := Join(pages("l-1", "l-2"))
-		if record := r.Plan(now, image.Compile(table), table, &listRead); record != nil {
+		if record := r.Plan(now, store.Compile(table), table, &listRead); record != nil {
 			if _, err := table.Apply(table.Version()+1, record, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
-		return image.Compile(table).Services["ledger"].Backends[0]
+		return store.Compile(table).Services["ledger"].Backends[0]
 	}
 	state(false)
 	if b := state(false); b.Cold || b.Failing {
@@ -148,7 +148,7 @@
 }
 
 func TestColdMarkIsClearedByTime(t *testing.T) {
-	r, table := New(), image.NewTable()
+	r, table := New(), store.NewTable()
 	now := time.Minute
 	for i, list := range [][]string{{"l-1", "l-2"}, {"l-1", "l-2", "l-3"}, {"l-1", "l-2", "l-3"}, {"l-1", "l-2", "l-3"}} {
 		if i == 3 {
@@ -156,13 +156,13 @@
 		}
 		now += constants.ListReadEvery
 		listRead := Join(pages(list...))
-		if record := r.Plan(now, image.Compile(table), table, &listRead); record != nil {
+		if record := r.Plan(now, store.Compile(table), table, &listRead); record != nil {
 			if _, err := table.Apply(table.Version()+1, record, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
 		cold := 0
-		for _, b := range image.Compile(table).Services["ledger"].Backends {
+		for _, b := range store.Compile(table).Services["ledger"].Backends {
 			if b.Cold {
 				cold++
 			}
--- a/internal/roster/jury.go
+++ b/internal/discovery/outlier_quorum.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"maps"
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 type stage int
@@ -63,7 +63,7 @@
 }
 
 // Plan gives the record that brings the rows in line with the verdicts, or nil.
-func (j *OutlierQuorum) Plan(now time.Duration, view *image.View, table *image.Table) *schema.Record {
+func (j *OutlierQuorum) Plan(now time.Duration, view *store.View, table *store.Table) *schema.Record {
 	if len(j.votes) == 0 && len(j.trials) == 0 && !hasFailing(view) {
 		return nil
 	}
@@ -115,9 +115,9 @@
 				}
 			}
 			if !proto.Equal(backend, fresh) {
-				key := image.BackendKey(name, backend.Instance)
+				key := store.BackendKey(name, backend.Instance)
 				record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: table.Get(key).GetIndex()})
-				record.Rows = append(record.Rows, image.EncodeRow(key, fresh))
+				record.Rows = append(record.Rows, store.EncodeRow(key, fresh))
 			}
 		}
 	}
@@ -128,7 +128,7 @@
 	return whole(record)
 }
 
-func hasFailing(view *image.View) bool {
+func hasFailing(view *store.View) bool {
 	for _, service := range view.Services {
 		if slices.ContainsFunc(service.Backends, func(b *schema.Backend) bool { return b.Failing }) {
 			return true
@@ -213,7 +213,7 @@
 }
 
 // sponsors are the nodes that alone may try a failing back end: few of its district, others at each trial.
-func slowStartSenders(backend *schema.Backend, view *image.View, ready map[string][]string, turn int) []string {
+func slowStartSenders(backend *schema.Backend, view *store.View, ready map[string][]string, turn int) []string {
 	near := ready[backend.Zone]
 	if len(near) == 0 {
 		for _, zone := range slices.Sorted(maps.Keys(ready)) {
--- a/internal/roster/jury_test.go
+++ b/internal/discovery/outlier_quorum_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"fmt"
@@ -8,31 +8,31 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // juried is a fleet of six nodes in kol-a and kol-b with back ends i-0 to i-9 in kol-a; copper is free, zinc is divided by key.
 type judged struct {
 	t             *testing.T
-	table         *image.Table
+	table         *store.Table
 	outlierQuorum *OutlierQuorum
 	now           time.Duration
 }
 
 func newJuried(t *testing.T, service string) *judged {
-	j := &judged{t: t, table: image.NewTable(), outlierQuorum: NewOutlierQuorum(), now: time.Hour}
-	rows := []*schema.Row{image.EncodeRow(image.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: service == "zinc"})}
+	j := &judged{t: t, table: store.NewTable(), outlierQuorum: NewOutlierQuorum(), now: time.Hour}
+	rows := []*schema.Row{store.EncodeRow(store.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: service == "zinc"})}
 	for i, name := range []string{"kol-a", "kol-b"} {
-		rows = append(rows, image.EncodeRow(image.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
+		rows = append(rows, store.EncodeRow(store.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
 	}
 	for i := range 6 {
 		id := fmt.Sprint("n", i)
-		rows = append(rows, image.EncodeRow(image.NodeKey(id), &schema.Node{Id: id, Zone: []string{"kol-a", "kol-b"}[i/3], Region: "kol", State: schema.NodeState_NODE_READY}))
+		rows = append(rows, store.EncodeRow(store.NodeKey(id), &schema.Node{Id: id, Zone: []string{"kol-a", "kol-b"}[i/3], Region: "kol", State: schema.NodeState_NODE_READY}))
 	}
 	for i := range 10 {
 		id := fmt.Sprint("i-", i)
-		rows = append(rows, image.EncodeRow(image.BackendKey(service, id), &schema.Backend{Service: service, Instance: id, Address: id, Zone: "kol-a", State: schema.BackendState_BACKEND_READY}))
+		rows = append(rows, store.EncodeRow(store.BackendKey(service, id), &schema.Backend{Service: service, Instance: id, Address: id, Zone: "kol-a", State: schema.BackendState_BACKEND_READY}))
 	}
 	j.apply(rows)
 	return j
@@ -46,7 +46,7 @@
 }
 
 func (j *judged) plan() {
-	if record := j.outlierQuorum.Plan(j.now, image.Compile(j.table), j.table); record != nil {
+	if record := j.outlierQuorum.Plan(j.now, store.Compile(j.table), j.table); record != nil {
 		if _, err := j.table.Apply(j.table.Version()+1, record, nil); err != nil {
 			j.t.Fatal(err)
 		}
@@ -56,7 +56,7 @@
 // failing tells the failing back ends; those on trial with their sponsors.
 func (j *judged) failing() string {
 	var seen []string
-	for _, service := range image.Compile(j.table).Services {
+	for _, service := range store.Compile(j.table).Services {
 		for _, b := range service.Backends {
 			switch {
 			case b.Failing && len(b.SlowStartSenders) > 0:
@@ -160,7 +160,7 @@
 	w.plan(whole1(item("i-1")))
 	b := w.backend("i-1")
 	b.Failing, b.SlowStartSenders = true, []string{"node-00"}
-	w.put(image.EncodeRow(image.BackendKey("copper", "i-1"), b))
+	w.put(store.EncodeRow(store.BackendKey("copper", "i-1"), b))
 	if record := w.plan(whole1(item("i-1"))); record != nil {
 		t.Fatalf("a read of the list changes %v", record)
 	}
@@ -173,17 +173,17 @@
 }
 
 func BenchmarkACalmOutlierQuorum(b *testing.B) {
-	table := image.NewTable()
+	table := store.NewTable()
 	var rows []*schema.Row
 	for i := range 20000 {
 		id := fmt.Sprintf("i-%05d", i)
 		service := fmt.Sprintf("s-%03d", i%200)
-		rows = append(rows, image.EncodeRow(image.BackendKey(service, id), &schema.Backend{Service: service, Instance: id, Address: id, Zone: "kol-a", State: schema.BackendState_BACKEND_READY}))
+		rows = append(rows, store.EncodeRow(store.BackendKey(service, id), &schema.Backend{Service: service, Instance: id, Address: id, Zone: "kol-a", State: schema.BackendState_BACKEND_READY}))
 	}
 	if _, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows}, nil); err != nil {
 		b.Fatal(err)
 	}
-	view, outlierQuorum := image.Compile(table), NewOutlierQuorum()
+	view, outlierQuorum := store.Compile(table), NewOutlierQuorum()
 	for b.Loop() {
 		if outlierQuorum.Plan(time.Hour, view, table) != nil {
 			b.Fatal("a verdict without a word")
--- a/internal/roster/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"errors"
--- a/internal/roster/watch.go
+++ b/internal/discovery/watch.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"slices"
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // Listed is one back end of a routed fleet as its list tells it.
@@ -34,8 +34,8 @@
 // WatchFacts is what a Watch plans on; Listing is nil if nothing new was read.
 type WatchFacts struct {
 	Now      time.Duration
-	View     *image.View
-	Table    *image.Table
+	View     *store.View
+	Table    *store.Table
 	Listing  *Listing
 	ColdRate func(*schema.ServicePolicy) int
 }
@@ -69,7 +69,7 @@
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "back ends"}
 	put := func(key string, message proto.Message) {
 		record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: f.Table.Get(key).GetIndex()})
-		record.Rows = append(record.Rows, image.EncodeRow(key, message))
+		record.Rows = append(record.Rows, store.EncodeRow(key, message))
 	}
 	listed := map[string]bool{}
 	for _, item := range f.Listing.Items {
@@ -107,7 +107,7 @@
 			}
 		}
 		if !proto.Equal(old, fresh) {
-			put(image.BackendKey(item.Service, item.Instance), fresh)
+			put(store.BackendKey(item.Service, item.Instance), fresh)
 		}
 	}
 	if !f.Listing.IsWhole {
@@ -136,16 +136,16 @@
 		}
 		slices.Sort(instances)
 		for _, instance := range instances {
-			key := image.BackendKey(name, instance)
+			key := store.BackendKey(name, instance)
 			record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: f.Table.Get(key).GetIndex()})
-			record.Rows = append(record.Rows, image.Tombstone(key))
+			record.Rows = append(record.Rows, store.Tombstone(key))
 		}
 	}
 	for name, at := range w.settledAt {
 		if f.Listing.BegunAt >= at+w.lag+constants.SettleMargin {
 			fresh := proto.Clone(f.View.Zones[name]).(*schema.Zone)
 			fresh.Settling = false
-			put(image.ZoneKey(name), fresh)
+			put(store.ZoneKey(name), fresh)
 		}
 	}
 	return whole(record)
@@ -158,7 +158,7 @@
 	return record
 }
 
-func (w *Watch) slowStartSenders(f WatchFacts, backend *schema.Backend, service *image.Service) []string {
+func (w *Watch) slowStartSenders(f WatchFacts, backend *schema.Backend, service *store.Service) []string {
 	coldRate := 1
 	if service != nil && service.Policy != nil {
 		coldRate = f.ColdRate(service.Policy)
--- a/internal/roster/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"fmt"
@@ -7,29 +7,29 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 const lag = 800 * time.Millisecond
 
 type watched struct {
 	t        *testing.T
-	table    *image.Table
+	table    *store.Table
 	watch    *Watch
 	coldRate int
 	now      time.Duration
 }
 
 func newWatched(t *testing.T, nodes int) *watched {
-	w := &watched{t: t, table: image.NewTable(), watch: NewWatch(lag), coldRate: 30, now: time.Hour}
-	rows := []*schema.Row{image.EncodeRow(image.RegionKey("kol"), &schema.Region{Name: "kol", Residue: 1}), image.EncodeRow(image.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 17})}
+	w := &watched{t: t, table: store.NewTable(), watch: NewWatch(lag), coldRate: 30, now: time.Hour}
+	rows := []*schema.Row{store.EncodeRow(store.RegionKey("kol"), &schema.Region{Name: "kol", Residue: 1}), store.EncodeRow(store.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 17})}
 	for i, name := range []string{"kol-a", "kol-b"} {
-		rows = append(rows, image.EncodeRow(image.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
+		rows = append(rows, store.EncodeRow(store.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
 	}
 	for i := range nodes {
 		id := fmt.Sprintf("node-%02d", i)
-		rows = append(rows, image.EncodeRow(image.NodeKey(id), &schema.Node{Id: id, Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}))
+		rows = append(rows, store.EncodeRow(store.NodeKey(id), &schema.Node{Id: id, Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}))
 	}
 	w.put(rows...)
 	return w
@@ -52,7 +52,7 @@
 	if listing != nil && listing.BegunAt == 0 {
 		listing.BegunAt = w.now - 50*time.Millisecond
 	}
-	record := w.watch.Plan(WatchFacts{Now: w.now, View: image.Compile(w.table), Table: w.table, Listing: listing, ColdRate: func(*schema.ServicePolicy) int { return w.coldRate }})
+	record := w.watch.Plan(WatchFacts{Now: w.now, View: store.Compile(w.table), Table: w.table, Listing: listing, ColdRate: func(*schema.ServicePolicy) int { return w.coldRate }})
 	if record != nil {
 		w.apply(record)
 	}
@@ -60,13 +60,13 @@
 }
 
 func (w *watched) backend(instance string) *schema.Backend {
-	return image.DecodeRow[schema.Backend](w.table.Get(image.BackendKey("copper", instance)))
+	return store.DecodeRow[schema.Backend](w.table.Get(store.BackendKey("copper", instance)))
 }
 
 func (w *watched) state() string {
 	text := ""
 	w.table.Each("s/copper/backend/", func(row *schema.Row) {
-		b := image.DecodeRow[schema.Backend](row)
+		b := store.DecodeRow[schema.Backend](row)
 		mark := ""
 		if b.State == schema.BackendState_BACKEND_DRAINING {
 			mark = "!"
@@ -159,9 +159,9 @@
 	w := newWatched(t, 3)
 	listing := whole1(item("a"))
 	listing.BegunAt = w.now
-	facts := WatchFacts{Now: w.now, View: image.Compile(w.table), Table: w.table, Listing: listing, ColdRate: func(*schema.ServicePolicy) int { return 1 }}
+	facts := WatchFacts{Now: w.now, View: store.Compile(w.table), Table: w.table, Listing: listing, ColdRate: func(*schema.ServicePolicy) int { return 1 }}
 	record := w.watch.Plan(facts)
-	w.put(image.EncodeRow(image.BackendKey("copper", "a"), &schema.Backend{Service: "copper", Instance: "a", State: schema.BackendState_BACKEND_DRAINING}))
+	w.put(store.EncodeRow(store.BackendKey("copper", "a"), &schema.Backend{Service: "copper", Instance: "a", State: schema.BackendState_BACKEND_DRAINING}))
 	if _, err := w.table.Apply(w.table.Version()+1, record, nil); err == nil {
 		t.Fatal("a plan on old rows was taken")
 	}
@@ -179,19 +179,19 @@
 		{"never more than what is bearable", 9, 3, nil, []string{"node-00", "node-01", "node-02"}},
 		{"one bears nothing to divide", 9, 1, nil, []string{"node-00"}},
 		{"ready ones alone", 3, 30, func(w *watched) {
-			w.put(image.EncodeRow(image.NodeKey("node-01"), &schema.Node{Id: "node-01", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_STOPPING}),
-				image.EncodeRow(image.NodeKey("node-02"), &schema.Node{Id: "node-02", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_LOST}))
+			w.put(store.EncodeRow(store.NodeKey("node-01"), &schema.Node{Id: "node-01", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_STOPPING}),
+				store.EncodeRow(store.NodeKey("node-02"), &schema.Node{Id: "node-02", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_LOST}))
 		}, []string{"node-00"}},
 		{"the region's, if the district has none", 2, 30, func(w *watched) {
 			for i := range 2 {
 				id := fmt.Sprintf("node-%02d", i)
-				w.put(image.EncodeRow(image.NodeKey(id), &schema.Node{Id: id, Zone: "kol-b", Region: "kol", State: schema.NodeState_NODE_READY}))
+				w.put(store.EncodeRow(store.NodeKey(id), &schema.Node{Id: id, Zone: "kol-b", Region: "kol", State: schema.NodeState_NODE_READY}))
 			}
 		}, []string{"node-00", "node-01"}},
 		{"none of another region", 2, 30, func(w *watched) {
 			for i := range 2 {
 				id := fmt.Sprintf("node-%02d", i)
-				w.put(image.EncodeRow(image.NodeKey(id), &schema.Node{Id: id, Zone: "hal-a", Region: "hal", State: schema.NodeState_NODE_READY}))
+				w.put(store.EncodeRow(store.NodeKey(id), &schema.Node{Id: id, Zone: "hal-a", Region: "hal", State: schema.NodeState_NODE_READY}))
 			}
 		}, nil},
 	} {
@@ -216,7 +216,7 @@
 	w := newWatched(t, 2)
 	w.plan(whole1(cold("b", 3*time.Second)))
 	was := w.backend("b").SlowStartSenders
-	w.put(image.EncodeRow(image.NodeKey("node-"), &schema.Node{Id: "node-", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}))
+	w.put(store.EncodeRow(store.NodeKey("node-"), &schema.Node{Id: "node-", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}))
 	w.plan(whole1(cold("b", 2*time.Second)))
 	if got := w.backend("b").SlowStartSenders; !slices.Equal(got, was) {
 		t.Fatalf("sponsors %v became %v while it was cold: two sets could send its whole part in one second", was, got)
@@ -248,12 +248,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newWatched(t, 1)
 			w.plan(whole1(item("a")))
-			w.put(image.EncodeRow(image.ZoneKey("kol-a"), &schema.Zone{Name: "kol-a", Region: "kol", Settling: true}))
+			w.put(store.EncodeRow(store.ZoneKey("kol-a"), &schema.Zone{Name: "kol-a", Region: "kol", Settling: true}))
 			w.plan(nil)
 			at := w.now
 			w.now += 5 * time.Second
 			w.plan(&Listing{Items: []Listed{item("a")}, IsWhole: c.whole, BegunAt: at + c.begun})
-			zone := image.DecodeRow[schema.Zone](w.table.Get(image.ZoneKey("kol-a")))
+			zone := store.DecodeRow[schema.Zone](w.table.Get(store.ZoneKey("kol-a")))
 			if zone.Settling != c.want || zone.Region != "kol" {
 				t.Fatalf("settling %v, want %v", zone.Settling, c.want)
 			}
--- a/internal/standing/evidence.go
+++ b/internal/failover/evidence.go
@@ -1,4 +1,4 @@
-package standing
+package failover
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"strings"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // evidence tells what a region's standing rests on: which of its districts are emptied or dark, and whether a service has ready back ends in the others.
-func evidence(view *image.View, service *image.Service, region string, all, open []string) string {
+func evidence(view *store.View, service *store.Service, region string, all, open []string) string {
 	var facts []string
 	for _, name := range all {
 		zone := view.Zones[name]
@@ -48,7 +48,7 @@
 }
 
 // PlaceName names what a number's residue stands for in a routed fleet.
-func PlaceName(view *image.View, number uint64) string {
+func PlaceName(view *store.View, number uint64) string {
 	if group := groupOf(view, number); group != nil {
 		return group.Name
 	}
--- a/internal/standing/evidence_test.go
+++ b/internal/failover/evidence_test.go
@@ -1,11 +1,11 @@
-package standing
+package failover
 
 import (
 	"strings"
 	"testing"
 
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 func TestEachChangeTellsItsEvidence(t *testing.T) {
@@ -58,7 +58,7 @@
 }
 
 func TestEvidenceIsBounded(t *testing.T) {
-	view := image.NewView()
+	view := store.NewView()
 	var all []string
 	for _, letter := range strings.Split("abcdefghijkl", "") {
 		name := "zone-" + letter
--- a/internal/standing/standing.go
+++ b/internal/failover/failover.go
@@ -1,5 +1,5 @@
-// Package standing decides which proxy group is active for an entry in a region, by failover numbers.
-package standing
+// Package failover decides which proxy group is active for an entry in a region, by failover numbers.
+package failover
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"strings"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // Next is the smallest number above the old one in a residue class; the first is one increment up.
@@ -108,7 +108,7 @@
 }
 
 // Resolve follows origin, entity row, region map and residue to the one owner; one hop between regions at most.
-func Resolve(view *image.View, entry *schema.Entry, origin Origin) (Owner, error) {
+func Resolve(view *store.View, entry *schema.Entry, origin Origin) (Owner, error) {
 	service := view.Services[entry.Service]
 	if service == nil {
 		return Owner{}, &ResolveError{"service " + entry.Service + " is not known here"}
@@ -130,7 +130,7 @@
 		}
 		region = regionOf(view, entity.Number)
 		owner.Moved = entity.Far
-		hold(entity.Fenced, true, image.EntityKey(entry.Service, entry.Path))
+		hold(entity.Fenced, true, store.EntityKey(entry.Service, entry.Path))
 		owner.Trail = append(owner.Trail, entity.Number)
 	} else if region == "" {
 		return Owner{}, &OriginError{origin.String()}
@@ -143,7 +143,7 @@
 		if row == nil {
 			return Owner{}, &ResolveError{fmt.Sprintf("entry %s%s has no standing in region %q", entry.Service, entry.Path, region)}
 		}
-		hold(row.Fenced, row.Far, image.AssignmentKey(entry.Service, entry.Path, region))
+		hold(row.Fenced, row.Far, store.AssignmentKey(entry.Service, entry.Path, region))
 		owner.Trail = append(owner.Trail, row.Number)
 		if zone := zoneOf(view, row.Number); zone != nil {
 			if zone.Region != region {
@@ -157,7 +157,7 @@
 	return Owner{}, &ResolveError{"entry " + entry.Service + entry.Path + " has no active group"}
 }
 
-func zoneOf(view *image.View, number uint64) *schema.Zone {
+func zoneOf(view *store.View, number uint64) *schema.Zone {
 	for _, zone := range view.Zones {
 		if number > 0 && uint64(zone.Residue) == number%constants.Increment {
 			return zone
@@ -166,7 +166,7 @@
 	return nil
 }
 
-func regionOf(view *image.View, number uint64) string {
+func regionOf(view *store.View, number uint64) string {
 	for _, region := range view.Regions {
 		if number > 0 && uint64(region.Residue) == number%constants.Increment {
 			return region.Name
@@ -176,7 +176,7 @@
 }
 
 // GroupName names what a number's residue stands for.
-func GroupName(view *image.View, number uint64) string {
+func GroupName(view *store.View, number uint64) string {
 	if zone := zoneOf(view, number); zone != nil {
 		return zone.Name
 	}
@@ -187,7 +187,7 @@
 }
 
 // Check is asked of every row before it is applied: numbers never fall and residues are never given anew.
-func Check(table *image.Table, row *schema.Row) error {
+func Check(table *store.Table, row *schema.Row) error {
 	if isPlace, err := checkPlace(table, row); isPlace {
 		return err
 	}
@@ -198,35 +198,35 @@
 	var was, is uint64
 	switch {
 	case strings.HasPrefix(row.Key, "district/"):
-		fresh := image.DecodeRow[schema.Zone](row)
+		fresh := store.DecodeRow[schema.Zone](row)
 		if fresh.Residue%2 != 0 || fresh.Residue >= constants.Increment {
 			return fmt.Errorf("district %s has residue %d; groups take even ones below the increment", fresh.Name, fresh.Residue)
 		}
-		if before := image.DecodeRow[schema.Zone](old); before != nil && (before.Residue != fresh.Residue || before.Region != fresh.Region) {
+		if before := store.DecodeRow[schema.Zone](old); before != nil && (before.Residue != fresh.Residue || before.Region != fresh.Region) {
 			return fmt.Errorf("district %s would be renumbered; name a new district instead", fresh.Name)
 		}
 		return nil
 	case strings.HasPrefix(row.Key, "region/"):
-		fresh := image.DecodeRow[schema.Region](row)
+		fresh := store.DecodeRow[schema.Region](row)
 		if fresh.Residue%2 != 1 || fresh.Residue >= constants.Increment {
 			return fmt.Errorf("region %s has residue %d; regions take odd ones below the increment", fresh.Name, fresh.Residue)
 		}
-		if before := image.DecodeRow[schema.Region](old); before != nil && before.Residue != fresh.Residue {
+		if before := store.DecodeRow[schema.Region](old); before != nil && before.Residue != fresh.Residue {
 			return fmt.Errorf("region %s would be renumbered; name a new region instead", fresh.Name)
 		}
 		return nil
 	case strings.Contains(row.Key, "/standing/"):
-		is = image.DecodeRow[schema.FailoverAssignment](row).GetNumber()
-		was = image.DecodeRow[schema.FailoverAssignment](old).GetNumber()
+		is = store.DecodeRow[schema.FailoverAssignment](row).GetNumber()
+		was = store.DecodeRow[schema.FailoverAssignment](old).GetNumber()
 	case strings.Contains(row.Key, "/entity/"):
-		is = image.DecodeRow[schema.Entity](row).GetNumber()
-		was = image.DecodeRow[schema.Entity](old).GetNumber()
+		is = store.DecodeRow[schema.Entity](row).GetNumber()
+		was = store.DecodeRow[schema.Entity](old).GetNumber()
 	case strings.HasPrefix(row.Key, "keepers/"):
-		is = image.DecodeRow[schema.ReplicaSet](row).GetNumber()
-		was = image.DecodeRow[schema.ReplicaSet](old).GetNumber()
-	case row.Key == image.HeadKey:
-		is = image.DecodeRow[schema.CatalogHead](row).GetVersion()
-		was = image.DecodeRow[schema.CatalogHead](old).GetVersion()
+		is = store.DecodeRow[schema.ReplicaSet](row).GetNumber()
+		was = store.DecodeRow[schema.ReplicaSet](old).GetNumber()
+	case row.Key == store.HeadKey:
+		is = store.DecodeRow[schema.CatalogHead](row).GetVersion()
+		was = store.DecodeRow[schema.CatalogHead](old).GetVersion()
 	default:
 		return nil
 	}
@@ -237,7 +237,7 @@
 }
 
 // Homes are the regions in which an entry's traffic may be, in a fixed order.
-func Homes(view *image.View, entry *schema.Entry) []string {
+func Homes(view *store.View, entry *schema.Entry) []string {
 	var homes []string
 	for name := range view.Regions {
 		if len(entry.HomeRegions) == 0 || slices.Contains(entry.HomeRegions, name) {
@@ -249,7 +249,7 @@
 }
 
 // Usable tells which districts of a region could be an entry's active group, best first.
-func Usable(view *image.View, entry *schema.Entry, region string) []string {
+func Usable(view *store.View, entry *schema.Entry, region string) []string {
 	service := view.Services[entry.Service]
 	if service == nil {
 		return nil
@@ -286,7 +286,7 @@
 			}
 			return 1
 		}
-		if image.Weigh(entry.Service, entry.Path, a) > image.Weigh(entry.Service, entry.Path, b) {
+		if store.Weigh(entry.Service, entry.Path, a) > store.Weigh(entry.Service, entry.Path, b) {
 			return -1
 		}
 		return 1
@@ -298,7 +298,7 @@
 type Released func(index uint64) (isReleased bool, sinceMillis uint64)
 
 // Plan derives the rows that should change now, with their guards; it never lowers a number.
-func Plan(view *image.View, table *image.Table, released Released) []*schema.Record {
+func Plan(view *store.View, table *store.Table, released Released) []*schema.Record {
 	var records []*schema.Record
 	names := make([]string, 0, len(view.Services))
 	for name := range view.Services {
@@ -319,19 +319,19 @@
 	return records
 }
 
-func tidy(table *image.Table, service *image.Service) *schema.Record {
+func tidy(table *store.Table, service *store.Service) *schema.Record {
 	if len(service.Entries) > 0 {
 		return nil
 	}
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "service has no entry left"}
-	table.Each(image.ServicePrefix(service.Name)+"slot/", func(row *schema.Row) { record.Rows = append(record.Rows, image.Tombstone(row.Key)) })
+	table.Each(store.ServicePrefix(service.Name)+"slot/", func(row *schema.Row) { record.Rows = append(record.Rows, store.Tombstone(row.Key)) })
 	if len(record.Rows) == 0 {
 		return nil
 	}
 	return record
 }
 
-func planEntry(view *image.View, table *image.Table, service *image.Service, entry *schema.Entry, released Released) *schema.Record {
+func planEntry(view *store.View, table *store.Table, service *store.Service, entry *schema.Entry, released Released) *schema.Record {
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "standing of " + entry.Service + entry.Path}
 	guard := func(key string) uint64 {
 		var index uint64
@@ -355,7 +355,7 @@
 		return isReleased && (!isFar || since >= uint64(constants.ReservationWindow.Milliseconds()))
 	}
 	for _, region := range homes {
-		key := image.AssignmentKey(entry.Service, entry.Path, region)
+		key := store.AssignmentKey(entry.Service, entry.Path, region)
 		row := service.Assignments[entry.Path][region]
 		target, reason, isFar := "", "", false
 		var residue uint32
@@ -373,7 +373,7 @@
 				}
 			}
 		} else if len(alive) > 0 {
-			next := alive[int(image.Weigh(entry.Service, entry.Path, region)%uint64(len(alive)))]
+			next := alive[int(store.Weigh(entry.Service, entry.Path, region)%uint64(len(alive)))]
 			target, residue, isFar = next, view.Regions[next].Residue, true
 			reason = "no usable group in region " + region + "; taken over by region " + next
 			if row != nil {
@@ -391,12 +391,12 @@
 			guard(key)
 			fresh := &schema.FailoverAssignment{Service: entry.Service, Path: entry.Path, Region: region, Reason: reason, Fenced: row != nil, Far: isFar || row.GetFenced() && row.GetFar()}
 			fresh.Number = Next(row.GetNumber(), residue)
-			record.Rows = append(record.Rows, image.EncodeRow(key, fresh))
+			record.Rows = append(record.Rows, store.EncodeRow(key, fresh))
 		case row.GetFenced():
 			if at := table.Get(key); at != nil && clear(at.Index, row.Far) {
 				guard(key)
 				fresh := &schema.FailoverAssignment{Service: row.Service, Path: row.Path, Region: row.Region, Number: row.Number, Reason: row.Reason}
-				record.Rows = append(record.Rows, image.EncodeRow(key, fresh))
+				record.Rows = append(record.Rows, store.EncodeRow(key, fresh))
 			}
 		}
 	}
@@ -409,8 +409,8 @@
 	return record
 }
 
-func planEntity(view *image.View, table *image.Table, service *image.Service, entry *schema.Entry, homes, alive []string, record *schema.Record, guard func(string) uint64, clear func(uint64, bool) bool) {
-	key := image.EntityKey(entry.Service, entry.Path)
+func planEntity(view *store.View, table *store.Table, service *store.Service, entry *schema.Entry, homes, alive []string, record *schema.Record, guard func(string) uint64, clear func(uint64, bool) bool) {
+	key := store.EntityKey(entry.Service, entry.Path)
 	row := service.Entities[entry.Path]
 	options := alive
 	if len(options) == 0 && row == nil {
@@ -424,22 +424,22 @@
 		if row.GetFenced() {
 			if at := table.Get(key); at != nil && clear(at.Index, true) {
 				guard(key)
-				record.Rows = append(record.Rows, image.EncodeRow(key, &schema.Entity{Service: row.Service, Path: row.Path, Region: row.Region, Number: row.Number, Reason: row.Reason, Far: row.Far}))
+				record.Rows = append(record.Rows, store.EncodeRow(key, &schema.Entity{Service: row.Service, Path: row.Path, Region: row.Region, Number: row.Number, Reason: row.Reason, Far: row.Far}))
 			}
 		}
 		return
 	}
-	next := options[int(image.Weigh(entry.Service, entry.Path)%uint64(len(options)))]
+	next := options[int(store.Weigh(entry.Service, entry.Path)%uint64(len(options)))]
 	reason := "first region of the entry"
 	if row != nil {
 		reason = "region " + current + " has no usable group"
 	}
 	guard(key)
-	record.Rows = append(record.Rows, image.EncodeRow(key, &schema.Entity{Service: entry.Service, Path: entry.Path, Region: next,
+	record.Rows = append(record.Rows, store.EncodeRow(key, &schema.Entity{Service: entry.Service, Path: entry.Path, Region: next,
 		Number: Next(row.GetNumber(), view.Regions[next].Residue), Reason: reason, Fenced: row != nil, Far: row != nil}))
 }
 
-func regionGroups(view *image.View, region string) []string {
+func regionGroups(view *store.View, region string) []string {
 	var names []string
 	for name, zone := range view.Zones {
 		if zone.Region == region {
@@ -450,7 +450,7 @@
 	return names
 }
 
-func why(view *image.View, entry *schema.Entry, region string, current *schema.Zone) string {
+func why(view *store.View, entry *schema.Entry, region string, current *schema.Zone) string {
 	if current.Emptied {
 		return "district " + current.Name + " was emptied: " + current.Reason
 	}
--- a/internal/standing/standing_test.go
+++ b/internal/failover/failover_test.go
@@ -1,11 +1,11 @@
-package standing
+package failover
 
 import (
 	"strings"
 	"testing"
 
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 func TestNext(t *testing.T) {
@@ -35,13 +35,13 @@
 }
 
 func TestCheckRefusesFallingNumbers(t *testing.T) {
-	table := image.NewTable()
+	table := store.NewTable()
 	apply := func(index uint64, row *schema.Row) error {
 		_, err := table.Apply(index, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{row}}, Check)
 		return err
 	}
-	key := image.AssignmentKey("ledger", "/balances", "north")
-	if err := apply(1, image.EncodeRow(key, &schema.FailoverAssignment{Number: 302})); err != nil {
+	key := store.AssignmentKey("ledger", "/balances", "north")
+	if err := apply(1, store.EncodeRow(key, &schema.FailoverAssignment{Number: 302})); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -49,44 +49,44 @@
 		row  *schema.Row
 		want string
 	}{
-		{"a lower failover number", image.EncodeRow(key, &schema.FailoverAssignment{Number: 204}), "only rise"},
-		{"a group with an odd residue", image.EncodeRow(image.ZoneKey("a"), &schema.Zone{Name: "a", Residue: 3}), "even"},
-		{"a region with an even residue", image.EncodeRow(image.RegionKey("n"), &schema.Region{Name: "n", Residue: 2}), "odd"},
+		{"a lower failover number", store.EncodeRow(key, &schema.FailoverAssignment{Number: 204}), "only rise"},
+		{"a group with an odd residue", store.EncodeRow(store.ZoneKey("a"), &schema.Zone{Name: "a", Residue: 3}), "even"},
+		{"a region with an even residue", store.EncodeRow(store.RegionKey("n"), &schema.Region{Name: "n", Residue: 2}), "odd"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			err := apply(table.Version()+1, c.row)
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Fatalf("got %v, want %q", err, c.want)
 			}
-			if got := image.DecodeRow[schema.FailoverAssignment](table.Get(key)).Number; got != 302 {
+			if got := store.DecodeRow[schema.FailoverAssignment](table.Get(key)).Number; got != 302 {
 				t.Fatalf("number became %d", got)
 			}
 		})
 	}
 }
 
-func fleet(t *testing.T, rows ...*schema.Row) (*image.Table, *image.View) {
+func fleet(t *testing.T, rows ...*schema.Row) (*store.Table, *store.View) {
 	t.Helper()
-	table := image.NewTable()
+	table := store.NewTable()
 	all := []*schema.Row{}
 	for i, region := range []string{"north", "south"} {
-		all = append(all, image.EncodeRow(image.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)}))
+		all = append(all, store.EncodeRow(store.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)}))
 		for j, side := range []string{"-a", "-b"} {
 			name := region + side
-			all = append(all, image.EncodeRow(image.ZoneKey(name), &schema.Zone{Name: name, Region: region, Residue: uint32(4*i + 2*j)}),
-				image.EncodeRow(image.NodeKey(name), &schema.Node{Id: name, Zone: name, Region: region, State: schema.NodeState_NODE_READY}),
-				image.EncodeRow(image.BackendKey("ledger", name), &schema.Backend{Service: "ledger", Instance: name, Zone: name, State: schema.BackendState_BACKEND_READY}))
+			all = append(all, store.EncodeRow(store.ZoneKey(name), &schema.Zone{Name: name, Region: region, Residue: uint32(4*i + 2*j)}),
+				store.EncodeRow(store.NodeKey(name), &schema.Node{Id: name, Zone: name, Region: region, State: schema.NodeState_NODE_READY}),
+				store.EncodeRow(store.BackendKey("ledger", name), &schema.Backend{Service: "ledger", Instance: name, Zone: name, State: schema.BackendState_BACKEND_READY}))
 		}
 	}
-	all = append(all, image.EncodeRow(image.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}))
+	all = append(all, store.EncodeRow(store.EntryKey("ledger", "/b"), &schema.Entry{Service: "ledger", Path: "/b", Methods: []string{"GET"}, SafeMethods: []string{"GET"}}))
 	if _, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: append(all, rows...)}, Check); err != nil {
 		t.Fatal(err)
 	}
-	return table, image.Compile(table)
+	return table, store.Compile(table)
 }
 
 func stand(region string, number uint64, isFenced bool) *schema.Row {
-	return image.EncodeRow(image.AssignmentKey("ledger", "/b", region), &schema.FailoverAssignment{Service: "ledger", Path: "/b", Region: region, Number: number, Fenced: isFenced})
+	return store.EncodeRow(store.AssignmentKey("ledger", "/b", region), &schema.FailoverAssignment{Service: "ledger", Path: "/b", Region: region, Number: number, Fenced: isFenced})
 }
 
 func TestResolve(t *testing.T) {
@@ -127,11 +127,11 @@
 func TestPlan(t *testing.T) {
 	lost := func(name string) *schema.Row {
 		region, _, _ := strings.Cut(name, "-")
-		return image.EncodeRow(image.NodeKey(name), &schema.Node{Id: name, Zone: name, Region: region, State: schema.NodeState_NODE_LOST})
+		return store.EncodeRow(store.NodeKey(name), &schema.Node{Id: name, Zone: name, Region: region, State: schema.NodeState_NODE_LOST})
 	}
 	emptied := func(name string, residue uint32) *schema.Row {
 		region, _, _ := strings.Cut(name, "-")
-		return image.EncodeRow(image.ZoneKey(name), &schema.Zone{Name: name, Region: region, Residue: residue, Emptied: true, Reason: "test"})
+		return store.EncodeRow(store.ZoneKey(name), &schema.Zone{Name: name, Region: region, Residue: residue, Emptied: true, Reason: "test"})
 	}
 	for _, c := range []struct {
 		name       string
@@ -153,7 +153,7 @@
 			got := map[string]string{}
 			for _, record := range Plan(view, table, func(uint64) (bool, uint64) { return c.isReleased, 1 << 30 }) {
 				for _, row := range record.Rows {
-					s := image.DecodeRow[schema.FailoverAssignment](row)
+					s := store.DecodeRow[schema.FailoverAssignment](row)
 					got[s.Region] = GroupName(view, s.Number) + " " + Trail{s.Number}.String()
 					if s.Fenced {
 						got[s.Region] += " fenced"
--- a/internal/standing/groups_test.go
+++ b/internal/failover/groups_test.go
@@ -1,24 +1,24 @@
-package standing
+package failover
 
 import (
 	"fmt"
 	"testing"
 
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 func TestAGroupIsPlannedOnceInARecord(t *testing.T) {
-	table := image.NewTable()
+	table := store.NewTable()
 	var rows []*schema.Row
 	for i, region := range []string{"east", "west"} {
-		rows = append(rows, image.EncodeRow(image.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)}))
+		rows = append(rows, store.EncodeRow(store.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)}))
 		for _, zone := range []string{"a", "b"} {
 			name := region + zone
-			rows = append(rows, image.EncodeRow(image.ZoneKey(name), &schema.Zone{Name: name, Region: region}))
+			rows = append(rows, store.EncodeRow(store.ZoneKey(name), &schema.Zone{Name: name, Region: region}))
 			for s := range 3 {
 				service := fmt.Sprintf("s%d", s)
-				rows = append(rows, image.EncodeRow(image.BackendKey(service, name+service), &schema.Backend{Service: service, Instance: name + service, Zone: name, State: schema.BackendState_BACKEND_READY}))
+				rows = append(rows, store.EncodeRow(store.BackendKey(service, name+service), &schema.Backend{Service: service, Instance: name + service, Zone: name, State: schema.BackendState_BACKEND_READY}))
 			}
 		}
 	}
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	for index := uint64(2); ; index++ {
-		records := PlanPlaces(image.Compile(table), table)
+		records := PlanPlaces(store.Compile(table), table)
 		if len(records) == 0 {
 			break
 		}
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 	}
-	if groups := image.Compile(table).Groups; len(groups) != 2 {
+	if groups := store.Compile(table).Groups; len(groups) != 2 {
 		t.Errorf("%d groups, want one a region", len(groups))
 	}
 }
--- a/internal/standing/place.go
+++ b/internal/failover/place.go
@@ -1,4 +1,4 @@
-package standing
+package failover
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"strings"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // Place is what an origin region resolves to in a routed fleet: the active group and the numbers that were followed to it.
@@ -29,7 +29,7 @@
 	return number
 }
 
-func rowOf(view *image.View, service, region string) *schema.FailoverAssignment {
+func rowOf(view *store.View, service, region string) *schema.FailoverAssignment {
 	row := view.Defaults[region]
 	if known := view.Services[service]; known != nil {
 		if own := known.Assignments[""][region]; own != nil {
@@ -39,7 +39,7 @@
 	return row
 }
 
-func groupOf(view *image.View, number uint64) *schema.Group {
+func groupOf(view *store.View, number uint64) *schema.Group {
 	for _, group := range view.Groups {
 		if number > 0 && uint64(group.Residue) == number%constants.GroupIncrement {
 			return group
@@ -48,7 +48,7 @@
 	return nil
 }
 
-func regionNumbered(view *image.View, number uint64) string {
+func regionNumbered(view *store.View, number uint64) string {
 	for _, region := range view.Regions {
 		if number > 0 && uint64(region.Residue) == number%constants.GroupIncrement {
 			return region.Name
@@ -58,7 +58,7 @@
 }
 
 // Locate follows an origin region through the service's row, or the region's own, to the one active group; one hop between regions at most.
-func Locate(view *image.View, service, origin string) (Place, error) {
+func Locate(view *store.View, service, origin string) (Place, error) {
 	place := Place{}
 	region := origin
 	for range 2 {
@@ -81,7 +81,7 @@
 
 // Places gives the owner of work that arrived in a region, then the active groups of the other allowed regions, where work that the owner can't bear may go.
 // The origin is the arrival's region if it is a home, else a home drawn by the caller's token, so that it stays the same for one piece of work.
-func Places(view *image.View, service string, homes []string, arrival, token string) []Place {
+func Places(view *store.View, service string, homes []string, arrival, token string) []Place {
 	allowed := homes
 	if len(allowed) == 0 {
 		for name := range view.Regions {
@@ -96,7 +96,7 @@
 			}
 			return 1
 		}
-		if wa, wb := image.Weigh(token, a), image.Weigh(token, b); wa != wb {
+		if wa, wb := store.Weigh(token, a), store.Weigh(token, b); wa != wb {
 			if wa > wb {
 				return -1
 			}
@@ -123,7 +123,7 @@
 }
 
 // PlanPlaces gives the records that bring the rows of a routed fleet in line with its districts, machines and back ends.
-func PlanPlaces(view *image.View, table *image.Table) []*schema.Record {
+func PlanPlaces(view *store.View, table *store.Table) []*schema.Record {
 	all, open := map[string][]string{}, map[string][]string{}
 	for name, zone := range view.Zones {
 		all[zone.Region] = append(all[zone.Region], name)
@@ -164,23 +164,23 @@
 			nextResidue += 2
 		}
 		made[name] = fresh
-		groups.Guards = append(groups.Guards, &schema.Guard{Key: image.GroupKey(name), Index: table.Get(image.GroupKey(name)).GetIndex()})
-		groups.Rows = append(groups.Rows, image.EncodeRow(image.GroupKey(name), fresh))
+		groups.Guards = append(groups.Guards, &schema.Guard{Key: store.GroupKey(name), Index: table.Get(store.GroupKey(name)).GetIndex()})
+		groups.Rows = append(groups.Rows, store.EncodeRow(store.GroupKey(name), fresh))
 		return fresh.Residue, true
 	}
-	fit := func(service *image.Service, region string) bool {
+	fit := func(service *store.Service, region string) bool {
 		return service == nil || slices.ContainsFunc(service.Backends, func(b *schema.Backend) bool {
 			return b.State == schema.BackendState_BACKEND_READY && slices.Contains(open[region], b.Zone)
 		})
 	}
-	target := func(service *image.Service, region string) (uint32, string, bool) {
+	target := func(service *store.Service, region string) (uint32, string, bool) {
 		if len(open[region]) > 0 && fit(service, region) {
 			number, isThere := residue(region, open[region])
 			return number, "its open districts", isThere
 		}
 		best := ""
 		for _, other := range regions {
-			if other != region && len(open[other]) > 0 && fit(service, other) && (best == "" || image.Weigh(region, other) > image.Weigh(region, best)) {
+			if other != region && len(open[other]) > 0 && fit(service, other) && (best == "" || store.Weigh(region, other) > store.Weigh(region, best)) {
 				best = other
 			}
 		}
@@ -189,16 +189,16 @@
 		}
 		return view.Regions[best].Residue, "no open district with back ends; work goes to " + best, true
 	}
-	move := func(key string, row *schema.FailoverAssignment, was uint64, to uint32, reason string, of *image.Service) {
+	move := func(key string, row *schema.FailoverAssignment, was uint64, to uint32, reason string, of *store.Service) {
 		row.Number, row.Reason = nextOf(was, to), reason
 		records = append(records, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "standing of " + row.Service + " in " + row.Region,
 			Evidence: evidence(view, of, row.Region, all[row.Region], open[row.Region]),
-			Guards:   []*schema.Guard{{Key: key, Index: table.Get(key).GetIndex()}}, Rows: []*schema.Row{image.EncodeRow(key, row)}})
+			Guards:   []*schema.Guard{{Key: key, Index: table.Get(key).GetIndex()}}, Rows: []*schema.Row{store.EncodeRow(key, row)}})
 	}
 	for _, region := range regions {
 		to, reason, isThere := target(nil, region)
 		if row := view.Defaults[region]; isThere && (row == nil || row.Number%constants.GroupIncrement != uint64(to)) {
-			move(image.DefaultKey(region), &schema.FailoverAssignment{Region: region}, row.GetNumber(), to, reason, nil)
+			move(store.DefaultKey(region), &schema.FailoverAssignment{Region: region}, row.GetNumber(), to, reason, nil)
 		}
 		for _, name := range sortedNames(view.Services) {
 			service := view.Services[name]
@@ -212,7 +212,7 @@
 			if defaultTo, _, isDefault := target(nil, region); !isOwnThere && isDefault && defaultTo == to {
 				continue
 			}
-			move(image.AssignmentKey(name, "", region), &schema.FailoverAssignment{Service: name, Region: region}, row.Number, to, reason, service)
+			move(store.AssignmentKey(name, "", region), &schema.FailoverAssignment{Service: name, Region: region}, row.Number, to, reason, service)
 		}
 	}
 	if len(groups.Rows) > 0 {
@@ -221,7 +221,7 @@
 	return records
 }
 
-func sortedNames(services map[string]*image.Service) []string {
+func sortedNames(services map[string]*store.Service) []string {
 	names := make([]string, 0, len(services))
 	for name := range services {
 		names = append(names, name)
@@ -230,7 +230,7 @@
 	return names
 }
 
-func isDark(view *image.View, zone string) bool {
+func isDark(view *store.View, zone string) bool {
 	count := 0
 	for _, node := range view.Nodes {
 		if node.Zone == zone {
@@ -243,11 +243,11 @@
 	return count > 0
 }
 
-func checkPlace(table *image.Table, row *schema.Row) (bool, error) {
+func checkPlace(table *store.Table, row *schema.Row) (bool, error) {
 	old := table.Get(row.Key)
 	switch {
 	case strings.HasPrefix(row.Key, "group/"):
-		fresh, before := image.DecodeRow[schema.Group](row), image.DecodeRow[schema.Group](old)
+		fresh, before := store.DecodeRow[schema.Group](row), store.DecodeRow[schema.Group](old)
 		if fresh.Residue%2 != 0 || fresh.Residue >= constants.GroupIncrement {
 			return true, fmt.Errorf("group %s has residue %d; groups take even ones below the increment", fresh.Name, fresh.Residue)
 		}
@@ -256,7 +256,7 @@
 		}
 		return true, nil
 	case strings.HasPrefix(row.Key, "standing/"):
-		was, is := image.DecodeRow[schema.FailoverAssignment](old).GetNumber(), image.DecodeRow[schema.FailoverAssignment](row).GetNumber()
+		was, is := store.DecodeRow[schema.FailoverAssignment](old).GetNumber(), store.DecodeRow[schema.FailoverAssignment](row).GetNumber()
 		if is <= was {
 			return true, fmt.Errorf("number of %s would go from %d to %d; numbers only rise", row.Key, was, is)
 		}
--- a/internal/standing/place_test.go
+++ b/internal/failover/place_test.go
@@ -1,4 +1,4 @@
-package standing
+package failover
 
 import (
 	"fmt"
@@ -8,25 +8,25 @@
 	"testing"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 type atlas struct {
 	t     *testing.T
-	table *image.Table
+	table *store.Table
 }
 
 var zonesOf = map[string][]string{"hal": {"hal-a"}, "kol": {"kol-a", "kol-b"}, "tor": {"tor-a", "tor-b"}}
 
 func newAtlas(t *testing.T) *atlas {
 	t.Helper()
-	a := &atlas{t, image.NewTable()}
+	a := &atlas{t, store.NewTable()}
 	residue := uint32(0)
 	for i, region := range []string{"hal", "kol", "tor"} {
-		a.put(image.RegionKey(region), image.EncodeRow(image.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)}))
+		a.put(store.RegionKey(region), store.EncodeRow(store.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)}))
 		for _, zone := range zonesOf[region] {
-			a.put(image.ZoneKey(zone), image.EncodeRow(image.ZoneKey(zone), &schema.Zone{Name: zone, Region: region, Residue: residue}))
+			a.put(store.ZoneKey(zone), store.EncodeRow(store.ZoneKey(zone), &schema.Zone{Name: zone, Region: region, Residue: residue}))
 			a.node(zone, schema.NodeState_NODE_READY)
 			a.backend("copper", zone, schema.BackendState_BACKEND_READY)
 			residue += 2
@@ -44,23 +44,23 @@
 }
 
 func (a *atlas) node(zone string, state schema.NodeState) {
-	key := image.NodeKey("node-" + zone)
-	a.put(key, image.EncodeRow(key, &schema.Node{Id: "node-" + zone, Zone: zone, Region: zone[:3], State: state}))
+	key := store.NodeKey("node-" + zone)
+	a.put(key, store.EncodeRow(key, &schema.Node{Id: "node-" + zone, Zone: zone, Region: zone[:3], State: state}))
 }
 
 func (a *atlas) backend(service, zone string, state schema.BackendState) {
-	key := image.BackendKey(service, service+"-"+zone)
-	a.put(key, image.EncodeRow(key, &schema.Backend{Service: service, Instance: service + "-" + zone, Zone: zone, State: state}))
+	key := store.BackendKey(service, service+"-"+zone)
+	a.put(key, store.EncodeRow(key, &schema.Backend{Service: service, Instance: service + "-" + zone, Zone: zone, State: state}))
 }
 
 func (a *atlas) empty(zone string, isEmptied bool) {
-	key := image.ZoneKey(zone)
-	row := image.DecodeRow[schema.Zone](a.table.Get(key))
+	key := store.ZoneKey(zone)
+	row := store.DecodeRow[schema.Zone](a.table.Get(key))
 	row.Emptied = isEmptied
-	a.put(key, image.EncodeRow(key, row))
+	a.put(key, store.EncodeRow(key, row))
 }
 
-func (a *atlas) view() *image.View { return image.Compile(a.table) }
+func (a *atlas) view() *store.View { return store.Compile(a.table) }
 
 // settle plans and applies until nothing is planned any more, and checks each step.
 func (a *atlas) settle() {
@@ -211,9 +211,9 @@
 	a := newAtlas(t)
 	view := a.view()
 	hop := func(from, to string) {
-		key := image.DefaultKey(from)
+		key := store.DefaultKey(from)
 		number := nextOf(view.Defaults[from].Number, view.Regions[to].Residue)
-		a.put(key, image.EncodeRow(key, &schema.FailoverAssignment{Region: from, Number: number}))
+		a.put(key, store.EncodeRow(key, &schema.FailoverAssignment{Region: from, Number: number}))
 	}
 	hop("hal", "kol")
 	if place := a.locate("copper", "hal"); place.Region != "kol" || len(place.Trail) != 2 {
@@ -237,15 +237,15 @@
 		row  *schema.Row
 		want string
 	}{
-		{"a group renumbered", image.EncodeRow(image.GroupKey("kol"), &schema.Group{Name: "kol", Region: "kol", Residue: group.Residue + 40}), "renumbered"},
-		{"a group moved to another region", image.EncodeRow(image.GroupKey("kol"), &schema.Group{Name: "kol", Region: "tor", Residue: group.Residue}), "renumbered"},
-		{"a group with an odd residue", image.EncodeRow(image.GroupKey("new"), &schema.Group{Name: "new", Residue: 7}), "even"},
-		{"a group with a residue above the increment", image.EncodeRow(image.GroupKey("new"), &schema.Group{Name: "new", Residue: constants.GroupIncrement}), "below the increment"},
-		{"a lower number", image.EncodeRow(image.DefaultKey("kol"), &schema.FailoverAssignment{Region: "kol", Number: number - 1}), "only rise"},
-		{"the same number", image.EncodeRow(image.DefaultKey("kol"), &schema.FailoverAssignment{Region: "kol", Number: number}), "only rise"},
-		{"a service's lower number", image.EncodeRow(image.AssignmentKey("copper", "", "kol"), &schema.FailoverAssignment{Service: "copper", Region: "kol", Number: 0}), "only rise"},
-		{"a region renumbered", image.EncodeRow(image.RegionKey("kol"), &schema.Region{Name: "kol", Residue: 77}), "renumbered"},
-		{"more districts in a known group", image.EncodeRow(image.GroupKey("kol"), &schema.Group{Name: "kol", Region: "kol", Residue: group.Residue, Zones: []string{"kol-a", "kol-b", "kol-c"}}), ""},
+		{"a group renumbered", store.EncodeRow(store.GroupKey("kol"), &schema.Group{Name: "kol", Region: "kol", Residue: group.Residue + 40}), "renumbered"},
+		{"a group moved to another region", store.EncodeRow(store.GroupKey("kol"), &schema.Group{Name: "kol", Region: "tor", Residue: group.Residue}), "renumbered"},
+		{"a group with an odd residue", store.EncodeRow(store.GroupKey("new"), &schema.Group{Name: "new", Residue: 7}), "even"},
+		{"a group with a residue above the increment", store.EncodeRow(store.GroupKey("new"), &schema.Group{Name: "new", Residue: constants.GroupIncrement}), "below the increment"},
+		{"a lower number", store.EncodeRow(store.DefaultKey("kol"), &schema.FailoverAssignment{Region: "kol", Number: number - 1}), "only rise"},
+		{"the same number", store.EncodeRow(store.DefaultKey("kol"), &schema.FailoverAssignment{Region: "kol", Number: number}), "only rise"},
+		{"a service's lower number", store.EncodeRow(store.AssignmentKey("copper", "", "kol"), &schema.FailoverAssignment{Service: "copper", Region: "kol", Number: 0}), "only rise"},
+		{"a region renumbered", store.EncodeRow(store.RegionKey("kol"), &schema.Region{Name: "kol", Residue: 77}), "renumbered"},
+		{"more districts in a known group", store.EncodeRow(store.GroupKey("kol"), &schema.Group{Name: "kol", Region: "kol", Residue: group.Residue, Zones: []string{"kol-a", "kol-b", "kol-c"}}), ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := Check(a.table, c.row); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
@@ -257,22 +257,22 @@
 
 // A routed fleet's increment is chosen for 46 regions with 182 districts; each of them must get a residue.
 func TestCheckTakesTheRegionsAndZonesOfTheSizeToDesignFor(t *testing.T) {
-	table := image.NewTable()
+	table := store.NewTable()
 	for i := range uint32(46) {
 		name := fmt.Sprintf("r%02d", i)
-		if err := Check(table, image.EncodeRow(image.RegionKey(name), &schema.Region{Name: name, Residue: 2*i + 1})); err != nil {
+		if err := Check(table, store.EncodeRow(store.RegionKey(name), &schema.Region{Name: name, Residue: 2*i + 1})); err != nil {
 			t.Fatalf("region %d: %v", i, err)
 		}
 	}
 	for i := range uint32(182) {
 		name := fmt.Sprintf("d%03d", i)
-		if err := Check(table, image.EncodeRow(image.ZoneKey(name), &schema.Zone{Name: name, Region: "r00"})); err != nil {
+		if err := Check(table, store.EncodeRow(store.ZoneKey(name), &schema.Zone{Name: name, Region: "r00"})); err != nil {
 			t.Fatalf("district %d: %v", i, err)
 		}
 	}
 	for i := range uint32(46 + 2*182) {
 		name := fmt.Sprintf("g%03d", i)
-		if err := Check(table, image.EncodeRow(image.GroupKey(name), &schema.Group{Name: name, Region: "r00", Residue: 2 * i})); err != nil {
+		if err := Check(table, store.EncodeRow(store.GroupKey(name), &schema.Group{Name: name, Region: "r00", Residue: 2 * i})); err != nil {
 			t.Fatalf("group %d: %v", i, err)
 		}
 	}
@@ -362,7 +362,7 @@
 			a.settle()
 			view := a.view()
 			a.table.Each("", func(row *schema.Row) {
-				if s := image.DecodeRow[schema.FailoverAssignment](row); strings.Contains(row.Key, "standing/") {
+				if s := store.DecodeRow[schema.FailoverAssignment](row); strings.Contains(row.Key, "standing/") {
 					if s.Number < numbers[row.Key] {
 						t.Fatalf("seed %d: %s fell to %d", seed, row.Key, s.Number)
 					}
--- a/internal/frame/agree.go
+++ b/internal/frame/agree.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 
 	"topazshed/internal/constants"
+	"topazshed/internal/protocolversion"
 	"topazshed/internal/schema"
-	"topazshed/internal/versions"
 )
 
 // OriginError says that a frame does not tell who sent it, nor has its connection.
@@ -35,7 +35,7 @@
 // versions.SenderOnce, only frames whose sender differs from what the connection has told name it.
 type Writer struct {
 	out          io.Writer
-	own          versions.Span
+	own          protocolversion.Span
 	isOriginSent bool
 	origin       *schema.Frame
 	agreed       atomic.Uint32
@@ -44,15 +44,15 @@
 
 // NewWriter begins the frames to a peer that is known to speak this program's newest version.
 func NewWriter(out io.Writer) *Writer {
-	w := OpenWriter(out, versions.Own)
-	w.agreed.Store(versions.Newest)
+	w := OpenWriter(out, protocolversion.Own)
+	w.agreed.Store(protocolversion.Newest)
 	return w
 }
 
 // OpenWriter begins the frames to a peer that has told nothing yet: it is spoken to in the first version until Heed hears more.
-func OpenWriter(out io.Writer, own versions.Span) *Writer {
+func OpenWriter(out io.Writer, own protocolversion.Span) *Writer {
 	w := &Writer{out: out, own: own, origin: &schema.Frame{}}
-	w.agreed.Store(versions.First)
+	w.agreed.Store(protocolversion.First)
 	return w
 }
 
@@ -64,7 +64,7 @@
 func (w *Writer) Write(frame *schema.Frame) error {
 	announced := &schema.Frame{Call: frame.Call, Response: frame.Response, Body: frame.Body}
 	isKnown := frame.From != "" && isSameOrigin(frame, w.origin)
-	if !isKnown || !versions.Has(w.agreed.Load(), versions.SenderOnce) {
+	if !isKnown || !protocolversion.Has(w.agreed.Load(), protocolversion.SenderOnce) {
 		announced.System, announced.From, announced.Address = frame.System, frame.From, frame.Address
 	}
 	if !w.isOriginSent {
@@ -83,11 +83,11 @@
 	if answer.Body != nil || answer.From != "" || answer.System != "" || answer.Address != "" || answer.Call != 0 || answer.Response {
 		return &AnswerError{}
 	}
-	peer, err := versions.ReadSpan(answer.SpeaksLow, answer.SpeaksHigh)
+	peer, err := protocolversion.ReadSpan(answer.SpeaksLow, answer.SpeaksHigh)
 	if err != nil {
 		return err
 	}
-	agreed, err := versions.Agree(w.own, peer)
+	agreed, err := protocolversion.Agree(w.own, peer)
 	if err != nil {
 		w.isDisjoint.Store(true)
 		return err
@@ -103,7 +103,7 @@
 func (w *Writer) IsDisjoint() bool { return w.isDisjoint.Load() }
 
 // Answer tells a peer that told its versions which ones this process speaks.
-func Answer(out io.Writer, own versions.Span) error {
+func Answer(out io.Writer, own protocolversion.Span) error {
 	answer := &schema.Frame{}
 	answer.SpeaksLow, answer.SpeaksHigh = own.Wire()
 	return Write(out, answer)
@@ -112,17 +112,17 @@
 // Reader takes the frames of one connection and gives each its sender.
 type Reader struct {
 	in          io.Reader
-	own         versions.Span
+	own         protocolversion.Span
 	origin      *schema.Frame
 	agreed      uint32
 	isAnswerDue bool
 }
 
 // NewReader begins the frames that this program reads from a connection.
-func NewReader(in io.Reader) *Reader { return NewReaderFor(in, versions.Own) }
+func NewReader(in io.Reader) *Reader { return NewReaderFor(in, protocolversion.Own) }
 
 // NewReaderFor begins the frames that a process of those versions reads from a connection.
-func NewReaderFor(in io.Reader, own versions.Span) *Reader { return &Reader{in: in, own: own} }
+func NewReaderFor(in io.Reader, own protocolversion.Span) *Reader { return &Reader{in: in, own: own} }
 
 // IsAnswerDue tells that the peer has told its versions and so reads an answer, also if there is none in common.
 func (r *Reader) IsAnswerDue() bool { return r.isAnswerDue }
@@ -139,7 +139,7 @@
 	switch {
 	case frame.From != "":
 		r.origin = &schema.Frame{System: frame.System, From: frame.From, Address: frame.Address}
-	case r.origin == nil || !versions.Has(r.agreed, versions.SenderOnce):
+	case r.origin == nil || !protocolversion.Has(r.agreed, protocolversion.SenderOnce):
 		return nil, &OriginError{}
 	default:
 		frame.System, frame.From, frame.Address = r.origin.System, r.origin.From, r.origin.Address
@@ -157,13 +157,13 @@
 		}
 		return nil
 	}
-	peer, err := versions.ReadSpan(low, high)
+	peer, err := protocolversion.ReadSpan(low, high)
 	if err != nil {
 		return err
 	}
-	agreed, err := versions.Agree(r.own, peer)
-	var disjoint *versions.DisjointError
-	r.isAnswerDue = isOriginSent && r.own.High > versions.First && (err == nil || errors.As(err, &disjoint))
+	agreed, err := protocolversion.Agree(r.own, peer)
+	var disjoint *protocolversion.DisjointError
+	r.isAnswerDue = isOriginSent && r.own.High > protocolversion.First && (err == nil || errors.As(err, &disjoint))
 	if err != nil {
 		return err
 	}
--- a/internal/frame/agree_test.go
+++ b/internal/frame/agree_test.go
@@ -11,8 +11,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"topazshed/internal/protocolversion"
 	"topazshed/internal/schema"
-	"topazshed/internal/versions"
 )
 
 func probeFrom(from string, serial uint64) *schema.Frame {
@@ -32,23 +32,23 @@
 func TestSendersAreLeftOutOnlyTowardsPeersThatReadIt(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		own      versions.Span
+		own      protocolversion.Span
 		answer   []byte
 		agreed   uint32
 		isRead   bool
 		disjoint bool
 	}{
-		{"a peer that stays silent speaks the first", versions.Own, nil, 1, true, false},
-		{"a peer that told ours", versions.Own, encoded(t, &schema.Frame{SpeaksHigh: 2}), 2, true, false},
-		{"a newer peer", versions.Own, encoded(t, &schema.Frame{SpeaksHigh: 7}), 2, true, false},
-		{"an older peer that answers", versions.Span{Low: 1, High: 3}, encoded(t, &schema.Frame{SpeaksHigh: 2}), 2, true, false},
-		{"a peer that closes in the middle of its answer", versions.Own, encoded(t, &schema.Frame{SpeaksHigh: 2})[:6], 1, true, false},
-		{"a peer without a common version", versions.Own, encoded(t, &schema.Frame{SpeaksLow: 5, SpeaksHigh: 7}), 1, false, true},
-		{"an impossible span", versions.Own, encoded(t, &schema.Frame{SpeaksLow: 7, SpeaksHigh: 5}), 1, false, false},
-		{"a frame that is no answer", versions.Own, encoded(t, &schema.Frame{SpeaksHigh: 2, From: "b"}), 1, false, false},
-		{"an answer above the limit", versions.Own, []byte{0, 0, 1, 0, 1, 2, 3}, 1, false, false},
-		{"garbage", versions.Own, []byte("HTTP/1.1 400 Bad Request\r\n\r\n"), 1, false, false},
-		{"more than one answer", versions.Own, encoded(t, &schema.Frame{SpeaksHigh: 2}, &schema.Frame{SpeaksHigh: 2}), 2, false, false},
+		{"a peer that stays silent speaks the first", protocolversion.Own, nil, 1, true, false},
+		{"a peer that told ours", protocolversion.Own, encoded(t, &schema.Frame{SpeaksHigh: 2}), 2, true, false},
+		{"a newer peer", protocolversion.Own, encoded(t, &schema.Frame{SpeaksHigh: 7}), 2, true, false},
+		{"an older peer that answers", protocolversion.Span{Low: 1, High: 3}, encoded(t, &schema.Frame{SpeaksHigh: 2}), 2, true, false},
+		{"a peer that closes in the middle of its answer", protocolversion.Own, encoded(t, &schema.Frame{SpeaksHigh: 2})[:6], 1, true, false},
+		{"a peer without a common version", protocolversion.Own, encoded(t, &schema.Frame{SpeaksLow: 5, SpeaksHigh: 7}), 1, false, true},
+		{"an impossible span", protocolversion.Own, encoded(t, &schema.Frame{SpeaksLow: 7, SpeaksHigh: 5}), 1, false, false},
+		{"a frame that is no answer", protocolversion.Own, encoded(t, &schema.Frame{SpeaksHigh: 2, From: "b"}), 1, false, false},
+		{"an answer above the limit", protocolversion.Own, []byte{0, 0, 1, 0, 1, 2, 3}, 1, false, false},
+		{"garbage", protocolversion.Own, []byte("HTTP/1.1 400 Bad Request\r\n\r\n"), 1, false, false},
+		{"more than one answer", protocolversion.Own, encoded(t, &schema.Frame{SpeaksHigh: 2}, &schema.Frame{SpeaksHigh: 2}), 2, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var sent bytes.Buffer
@@ -69,7 +69,7 @@
 				t.Fatal(err)
 			}
 			second, err := Read(&sent)
-			if err != nil || (second.From == "") != versions.Has(c.agreed, versions.SenderOnce) || second.SpeaksHigh != 0 {
+			if err != nil || (second.From == "") != protocolversion.Has(c.agreed, protocolversion.SenderOnce) || second.SpeaksHigh != 0 {
 				t.Errorf("second frame %v, %v at version %d", second, err, c.agreed)
 			}
 		})
@@ -85,24 +85,24 @@
 	}
 	for _, c := range []struct {
 		name     string
-		own      versions.Span
+		own      protocolversion.Span
 		frames   []*schema.Frame
 		read     int
 		isAnswer bool
 		fault    any
 	}{
-		{"a version-1 peer names its sender each time and gets no answer", versions.Own, []*schema.Frame{announced(0, 0), probeFrom("a", 2)}, 2, false, io.EOF},
-		{"and may not leave it out", versions.Own, []*schema.Frame{announced(0, 0), bare}, 1, false, new(*OriginError)},
-		{"a version-2 peer may", versions.Own, []*schema.Frame{announced(0, 2), bare, probeFrom("b", 3), bare}, 4, true, io.EOF},
-		{"a newer peer", versions.Own, []*schema.Frame{announced(2, 9), bare}, 2, true, io.EOF},
-		{"the first frame names no sender", versions.Own, []*schema.Frame{{SpeaksHigh: 2, Call: 4}}, 0, true, new(*OriginError)},
-		{"no version in common: it is told ours before the end", versions.Own, []*schema.Frame{announced(3, 9)}, 0, true, new(*versions.DisjointError)},
-		{"a silent peer that is too old", versions.Span{Low: 2, High: 3}, []*schema.Frame{announced(0, 0)}, 0, false, new(*versions.DisjointError)},
-		{"an impossible span", versions.Own, []*schema.Frame{announced(9, 3)}, 0, false, new(*versions.ImpossibleError)},
-		{"a span out of reach", versions.Own, []*schema.Frame{announced(1, 1<<30)}, 0, false, new(*versions.ImpossibleError)},
-		{"a span told twice", versions.Own, []*schema.Frame{announced(0, 2), announced(0, 2)}, 1, true, new(*RepeatedSpanError)},
-		{"a span told late", versions.Own, []*schema.Frame{announced(0, 0), announced(0, 2)}, 1, false, new(*RepeatedSpanError)},
-		{"a version-1 process reads a version-2 peer and answers nothing", versions.Span{Low: 1, High: 1}, []*schema.Frame{announced(0, 2), probeFrom("a", 2)}, 2, false, io.EOF},
+		{"a version-1 peer names its sender each time and gets no answer", protocolversion.Own, []*schema.Frame{announced(0, 0), probeFrom("a", 2)}, 2, false, io.EOF},
+		{"and may not leave it out", protocolversion.Own, []*schema.Frame{announced(0, 0), bare}, 1, false, new(*OriginError)},
+		{"a version-2 peer may", protocolversion.Own, []*schema.Frame{announced(0, 2), bare, probeFrom("b", 3), bare}, 4, true, io.EOF},
+		{"a newer peer", protocolversion.Own, []*schema.Frame{announced(2, 9), bare}, 2, true, io.EOF},
+		{"the first frame names no sender", protocolversion.Own, []*schema.Frame{{SpeaksHigh: 2, Call: 4}}, 0, true, new(*OriginError)},
+		{"no version in common: it is told ours before the end", protocolversion.Own, []*schema.Frame{announced(3, 9)}, 0, true, new(*protocolversion.DisjointError)},
+		{"a silent peer that is too old", protocolversion.Span{Low: 2, High: 3}, []*schema.Frame{announced(0, 0)}, 0, false, new(*protocolversion.DisjointError)},
+		{"an impossible span", protocolversion.Own, []*schema.Frame{announced(9, 3)}, 0, false, new(*protocolversion.ImpossibleError)},
+		{"a span out of reach", protocolversion.Own, []*schema.Frame{announced(1, 1<<30)}, 0, false, new(*protocolversion.ImpossibleError)},
+		{"a span told twice", protocolversion.Own, []*schema.Frame{announced(0, 2), announced(0, 2)}, 1, true, new(*RepeatedSpanError)},
+		{"a span told late", protocolversion.Own, []*schema.Frame{announced(0, 0), announced(0, 2)}, 1, false, new(*RepeatedSpanError)},
+		{"a version-1 process reads a version-2 peer and answers nothing", protocolversion.Span{Low: 1, High: 1}, []*schema.Frame{announced(0, 2), probeFrom("a", 2)}, 2, false, io.EOF},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			reader := NewReaderFor(bytes.NewReader(encoded(t, c.frames...)), c.own)
@@ -132,18 +132,18 @@
 }
 
 func TestOldAndNewProcessesTalk(t *testing.T) {
-	old := versions.Span{Low: 1, High: 1}
+	old := protocolversion.Span{Low: 1, High: 1}
 	port := 39230
 	for _, c := range []struct {
 		name string
-		a, b versions.Span
+		a, b protocolversion.Span
 		want uint32
 	}{
-		{"new with new", versions.Own, versions.Own, 2},
-		{"new with old", versions.Own, old, 1},
-		{"old with new", old, versions.Own, 1},
+		{"new with new", protocolversion.Own, protocolversion.Own, 2},
+		{"new with old", protocolversion.Own, old, 1},
+		{"old with new", old, protocolversion.Own, 1},
 		{"old with old", old, old, 1},
-		{"new with the one after it", versions.Own, versions.Span{Low: 2, High: 3}, 2},
+		{"new with the one after it", protocolversion.Own, protocolversion.Span{Low: 2, High: 3}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -151,7 +151,7 @@
 			port += 2
 			taken := []chan *schema.Frame{make(chan *schema.Frame, 64), make(chan *schema.Frame, 64)}
 			var nets []*Net
-			for i, speaks := range []versions.Span{c.a, c.b} {
+			for i, speaks := range []protocolversion.Span{c.a, c.b} {
 				n, err := Open(Options{Listen: addresses[i], Handle: func(f *schema.Frame) { taken[i] <- f }, Log: log, Speaks: speaks})
 				if err != nil {
 					t.Fatal(err)
@@ -242,11 +242,11 @@
 	f.Add(encoded(f, &schema.Frame{}))
 	f.Add([]byte{0, 0, 0, 0, 1})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		writer := OpenWriter(io.Discard, versions.Own)
+		writer := OpenWriter(io.Discard, protocolversion.Own)
 		if err := writer.Heed(bytes.NewReader(text)); err == nil {
 			t.Fatal("heeding ended without a reason")
 		}
-		if agreed := writer.agreed.Load(); !versions.Own.Has(agreed) {
+		if agreed := writer.agreed.Load(); !protocolversion.Own.Has(agreed) {
 			t.Fatalf("agreed on %d", agreed)
 		}
 	})
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -17,9 +17,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
+	"topazshed/internal/protocolversion"
 	"topazshed/internal/schema"
 	"topazshed/internal/sockets"
-	"topazshed/internal/versions"
 )
 
 // OversizeError says that a peer announced a frame above the limit.
@@ -73,7 +73,7 @@
 	Handle func(*schema.Frame)
 	Log    *slog.Logger
 	// Speaks are the versions that this process speaks; the zero value is the program's own.
-	Speaks versions.Span
+	Speaks protocolversion.Span
 }
 
 // Net is a process's frame transport: one outgoing connection for each peer.
