--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -6,15 +6,15 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
+	"topazshed/internal/failover"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
+	"topazshed/internal/store"
 )
 
 // Situation is all that a choice among back ends rests on.
 type Situation struct {
 	Now     time.Duration
-	View    *image.View
+	View    *store.View
 	Self    *schema.Node
 	Loads   *Loads
 	Draw    func(int64) int64
@@ -45,7 +45,7 @@
 // Choice is the back end to try, or why there is none.
 type Choice struct {
 	Backend *schema.Backend
-	Place   standing.Place
+	Place   failover.Place
 	Refusal Refusal
 	// IsCold says that the attempt was counted for a cold back end.
 	IsCold bool
@@ -53,19 +53,19 @@
 
 type candidate struct {
 	backend *schema.Backend
-	place   standing.Place
+	place   failover.Place
 	reading Reading
 	cost    float64
 	isCold  bool
 	outTo   time.Duration
 }
 
-func isOpen(view *image.View, backend *schema.Backend) bool {
+func isOpen(view *store.View, backend *schema.Backend) bool {
 	zone := view.Zones[backend.Zone]
 	return zone != nil && !zone.Emptied && backend.State == schema.BackendState_BACKEND_READY
 }
 
-func isCold(view *image.View, backend *schema.Backend) bool {
+func isCold(view *store.View, backend *schema.Backend) bool {
 	return backend.Cold || view.Zones[backend.Zone].GetSettling()
 }
 
@@ -76,7 +76,7 @@
 	if service == nil || len(service.Backends) == 0 {
 		return Choice{Refusal: RefusalNoService}
 	}
-	places := standing.Places(s.View, s.Service, s.Route.HomeRegions, s.Self.Region, s.Token)
+	places := failover.Places(s.View, s.Service, s.Route.HomeRegions, s.Self.Region, s.Token)
 	if len(places) == 0 {
 		return Choice{Refusal: RefusalNoPlace}
 	}
@@ -86,7 +86,7 @@
 	return s.chooseFree(service, places)
 }
 
-func (s Situation) chooseOwner(service *image.Service, places []standing.Place) Choice {
+func (s Situation) chooseOwner(service *store.Service, places []failover.Place) Choice {
 	if !s.HasKey {
 		return Choice{Refusal: RefusalNoKey}
 	}
@@ -99,7 +99,7 @@
 		return Choice{Refusal: RefusalMoving}
 	}
 	region := s.View.Zones[backend.Zone].Region
-	at := slices.IndexFunc(places, func(p standing.Place) bool { return p.Region == region })
+	at := slices.IndexFunc(places, func(p failover.Place) bool { return p.Region == region })
 	if at < 0 {
 		if len(s.Route.HomeRegions) > 0 && !slices.Contains(s.Route.HomeRegions, region) {
 			return Choice{Refusal: RefusalMoving}
@@ -128,7 +128,7 @@
 	return 1 + constants.StrainBelow*use + constants.StrainAbove*max(0, use-constants.StrainFrom)
 }
 
-func (s Situation) chooseFree(service *image.Service, places []standing.Place) Choice {
+func (s Situation) chooseFree(service *store.Service, places []failover.Place) Choice {
 	refusal := RefusalBusy
 	var best *candidate
 	aim := float64(time.Duration(max(s.Route.TargetMs, 100)) * time.Millisecond)
--- a/internal/gateway/failing_test.go
+++ b/internal/gateway/failing_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 func TestChoiceAmongFailing(t *testing.T) {
@@ -41,8 +41,8 @@
 		{"the only one is used all the same", func(w *world) { w.backend("bad", "kol-a", "x", isFailing()) }, nil, "bad"},
 		{"the holder of a key is used all the same", func(w *world) {
 			few(isFailing())(w)
-			w.put(image.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", Keyed: true})
-			w.put(image.ShardRangeKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: "bad", Fence: 1})
+			w.put(store.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", Keyed: true})
+			w.put(store.ShardRangeKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: "bad", Fence: 1})
 		}, func(s *Situation) { s.Key, s.HasKey = 7, true }, "bad"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
-	"topazshed/internal/image"
+	"topazshed/internal/controlplane"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // Names are the header names of a deployment.
@@ -41,7 +41,7 @@
 type Options struct {
 	Self   *schema.Node
 	Now    func() time.Duration
-	Local  func() *core.Local
+	Local  func() *controlplane.Local
 	Draw   func(int64) int64
 	Names  Names
 	Bounds Bounds
@@ -94,7 +94,7 @@
 func (g *Gateway) Close() error { return g.pool.Close() }
 
 // Tend forgets what the view no longer holds; the node calls it now and then.
-func (g *Gateway) Tend(view *image.View) {
+func (g *Gateway) Tend(view *store.View) {
 	known := map[string]bool{}
 	for _, service := range view.Services {
 		for _, backend := range service.Backends {
@@ -149,7 +149,7 @@
 }
 
 // IsFit tells whether a node has a configuration: its own disk's after a start, until it is told of a newer one.
-func IsFit(local *core.Local) bool { return local.View.Head.GetVersion() > 0 }
+func IsFit(local *controlplane.Local) bool { return local.View.Head.GetVersion() > 0 }
 
 func headerBytes(r *http.Request) int {
 	size := len(r.Method) + len(r.RequestURI) + len(r.Proto) + len(r.Host) + len("  \r\nHost: \r\n\r\n")
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -20,9 +20,9 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
-	"topazshed/internal/image"
+	"topazshed/internal/controlplane"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // patience bounds every wait on a socket or a channel; nothing waits for it to pass unless something is wrong.
@@ -193,15 +193,15 @@
 		"/brief/": func(r *schema.Route) { r.TimeoutMs = 150 }} {
 		route := &schema.Route{Host: "one.example", Prefix: prefix, TimeoutMs: 3000, TargetMs: 1000, MaxAttempts: 2, Targets: []*schema.Target{{Service: "copper", Weight: 1}}}
 		turn(route)
-		w.put(image.RouteKey(route.Host, prefix), route)
+		w.put(store.RouteKey(route.Host, prefix), route)
 	}
-	w.put(image.LimitsKey, &schema.Limits{BodyBytes: 1 << 20})
-	local := &core.Local{View: w.settle()}
+	w.put(store.LimitsKey, &schema.Limits{BodyBytes: 1 << 20})
+	local := &controlplane.Local{View: w.settle()}
 	random := rand.New(rand.NewPCG(1, 2))
 	var lock sync.Mutex
 	begun := time.Now()
 	now := func() time.Duration { return time.Since(begun) + time.Hour }
-	g := New(Options{Self: self, Now: now, Local: func() *core.Local { return local }, Names: names, Bounds: bounds, Listen: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler),
+	g := New(Options{Self: self, Now: now, Local: func() *controlplane.Local { return local }, Names: names, Bounds: bounds, Listen: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler),
 		Draw: func(n int64) int64 {
 			lock.Lock()
 			defer lock.Unlock()
@@ -1017,7 +1017,7 @@
 func TestANodeWithoutConfigurationRefuses(t *testing.T) {
 	b := newStandIn(t, saying(fine))
 	f := newFront(t, b)
-	f.gateway.options.Local = func() *core.Local { return &core.Local{View: image.NewView()} }
+	f.gateway.options.Local = func() *controlplane.Local { return &controlplane.Local{View: store.NewView()} }
 	if a := f.get("/safe/x"); a.status != 503 || a.header.Get("Retry-After") == "" || len(b.got()) > 0 {
 		t.Fatalf("%+v", a)
 	}
@@ -1040,7 +1040,7 @@
 	b := newStandIn(t, saying(fine))
 	f := newFront(t, b)
 	f.post("/once/x", "b")
-	f.gateway.Tend(image.NewView())
+	f.gateway.Tend(store.NewView())
 	await(t, "the close", b.closed)
 }
 
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // Whatever happens to a request, no more back ends than the route allows get it, one that may not be repeated runs once, and one that may
@@ -86,7 +86,7 @@
 	} {
 		t.Run(fmt.Sprint(c.owner, c.homes), func(t *testing.T) {
 			w := newWorld(t)
-			w.put(image.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", Keyed: true, ColdRate: 16})
+			w.put(store.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", Keyed: true, ColdRate: 16})
 			turn := c.turn
 			if turn == nil {
 				turn = func(*schema.Backend) {}
@@ -94,7 +94,7 @@
 			w.backend(c.owner, c.zone, "10.0.0.1:80", turn)
 			w.backend("i-other-kol", "kol-a", "10.0.0.2:80")
 			w.backend("i-other-tor", "tor-a", "10.0.0.3:80")
-			w.put(image.ShardRangeKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: c.owner, Fence: 1})
+			w.put(store.ShardRangeKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: c.owner, Fence: 1})
 			choice := Choose(Situation{Now: time.Hour, View: w.settle(), Self: self, Loads: NewLoads(0, bounds), Draw: func(int64) int64 { return 0 },
 				Route: &schema.Route{TargetMs: 400, HomeRegions: c.homes}, Service: "copper", Key: 77, HasKey: true, Token: "t"})
 			if choice.Refusal != c.want || c.want == RefusalNone && choice.Backend.Instance != c.owner {
--- a/internal/gateway/course.go
+++ b/internal/gateway/request_machine.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // OrderKind is what the executor must do for a request next.
@@ -109,7 +109,7 @@
 }
 
 // Next takes an event and gives the next order.
-func (c *RequestMachine) Next(now time.Duration, view *image.View, e Event) Order {
+func (c *RequestMachine) Next(now time.Duration, view *store.View, e Event) Order {
 	switch e.Kind {
 	case EventConnected:
 		c.sent++
@@ -160,7 +160,7 @@
 
 func (c *RequestMachine) most() int { return int(max(1, c.Route.MaxAttempts)) }
 
-func (c *RequestMachine) seek(now time.Duration, view *image.View) Order {
+func (c *RequestMachine) seek(now time.Duration, view *store.View) Order {
 	if now >= c.Until {
 		return c.Next(now, view, Event{Kind: EventExpired})
 	}
--- a/internal/gateway/course_test.go
+++ b/internal/gateway/request_machine_test.go
@@ -9,14 +9,14 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // play feeds a course with events and writes its orders down: "connect", "send", "wait", "pass", "refuse REASON" or "fail STATUS".
 type play struct {
 	machine *RequestMachine
-	view    *image.View
+	view    *store.View
 	now     time.Duration
 	text    []string
 	used    []string
@@ -197,11 +197,11 @@
 }
 
 func keyed(w *world, span *schema.ShardRange, turns ...func(*schema.Backend)) {
-	w.put(image.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 16, Keyed: true})
+	w.put(store.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 16, Keyed: true})
 	w.backend("holder", "kol-b", "x", turns...)
 	w.backend("other", "kol-a", "x")
 	if span != nil {
-		w.put(image.ShardRangeKey("copper", span.First), span)
+		w.put(store.ShardRangeKey("copper", span.First), span)
 	}
 }
 
@@ -228,7 +228,7 @@
 		{"a draining holder gets nothing more", func(w *world) { keyed(w, held, isDraining) }, withKey(150), "begun", "wait"},
 		{"a holder in an emptied district gets nothing more", func(w *world) {
 			keyed(w, held)
-			w.put(image.ZoneKey("kol-b"), &schema.Zone{Name: "kol-b", Region: "kol", Residue: 2, Emptied: true})
+			w.put(store.ZoneKey("kol-b"), &schema.Zone{Name: "kol-b", Region: "kol", Residue: 2, Emptied: true})
 		}, withKey(150), "begun", "wait"},
 		{"not run by its holder: no other may", func(w *world) { keyed(w, held) }, withKey(150), "begun connected notrun", "connect, send, refuse key-moving"},
 		{"broken off by its holder", func(w *world) { keyed(w, held) }, withKey(150), "begun connected broken", "connect, send, fail 502"},
@@ -277,7 +277,7 @@
 	keyed(w, nil)
 	p := newPlay(w, func(o *RequestOptions) { o.HasKey, o.Key = true, 7 })
 	p.feed("begun", "later", "woken")
-	w.put(image.ShardRangeKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: "holder"})
+	w.put(store.ShardRangeKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: "holder"})
 	p.view = w.settle()
 	if got := p.feed("later", "woken", "connected", "answered"); got != "wait, wait, connect, send, pass" {
 		t.Fatal(got)
@@ -296,7 +296,7 @@
 		{"never a draining one", func(w *world) { near(w); w.backend("near", "kol-a", "x", isDraining) }, nil, []string{"far"}},
 		{"never one in an emptied district", func(w *world) {
 			near(w)
-			w.put(image.ZoneKey("kol-a"), &schema.Zone{Name: "kol-a", Region: "kol", Emptied: true})
+			w.put(store.ZoneKey("kol-a"), &schema.Zone{Name: "kol-a", Region: "kol", Emptied: true})
 		}, nil, []string{"far"}},
 		{"never one of an unknown district", func(w *world) { near(w); w.backend("near", "kol-z", "x") }, nil, []string{"far"}},
 		{"never one tried before", near, func(s *Situation) { s.Tried = []string{"near"} }, []string{"far"}},
@@ -305,12 +305,12 @@
 		{"home regions are kept though all there are tried", near, func(s *Situation) { s.Route.HomeRegions, s.Tried = []string{"tor"}, []string{"far"} }, []string{"busy"}},
 		{"a home that is emptied", func(w *world) {
 			near(w)
-			w.put(image.ZoneKey("tor-a"), &schema.Zone{Name: "tor-a", Region: "tor", Residue: 4, Emptied: true})
+			w.put(store.ZoneKey("tor-a"), &schema.Zone{Name: "tor-a", Region: "tor", Residue: 4, Emptied: true})
 		}, func(s *Situation) { s.Route.HomeRegions = []string{"tor"} }, []string{"no-standing"}},
 		{"cold ones by their sponsors alone", func(w *world) { w.backend("c", "kol-a", "x", isColdBy("n2")) }, nil, []string{"cold"}},
 		{"a district that settles has no sponsors", func(w *world) {
 			w.backend("c", "kol-a", "x")
-			w.put(image.ZoneKey("kol-a"), &schema.Zone{Name: "kol-a", Region: "kol", Settling: true})
+			w.put(store.ZoneKey("kol-a"), &schema.Zone{Name: "kol-a", Region: "kol", Settling: true})
 		}, nil, []string{"cold"}},
 		{"a resting one only if there is no other", near, func(s *Situation) {
 			for range constants.FailuresToRest {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -9,13 +9,13 @@
 
 	"topazshed/internal/budget"
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 const shards = 16
 
-func shardOf(name string) int { return int(image.Weigh(name) % shards) }
+func shardOf(name string) int { return int(store.Weigh(name) % shards) }
 
 // Bounds are what a deployment lets the whole fleet do.
 type Bounds struct {
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -7,9 +7,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"topazshed/internal/image"
+	"topazshed/internal/failover"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
+	"topazshed/internal/store"
 )
 
 var bounds = Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 60, ColdExcess: 1.5, ColdMargin: 5}
@@ -17,27 +17,27 @@
 // world is a small fleet's table: regions kol (kol-a, kol-b) and tor (tor-a), nodes n1 to n3 and the service copper.
 type world struct {
 	t     testing.TB
-	table *image.Table
+	table *store.Table
 }
 
 func newWorld(t testing.TB) *world {
-	w := &world{t: t, table: image.NewTable()}
+	w := &world{t: t, table: store.NewTable()}
 	for i, region := range []string{"kol", "tor"} {
-		w.put(image.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)})
+		w.put(store.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)})
 	}
 	for i, name := range []string{"kol-a", "kol-b", "tor-a"} {
-		w.put(image.ZoneKey(name), &schema.Zone{Name: name, Region: name[:3], Residue: uint32(2 * i)})
+		w.put(store.ZoneKey(name), &schema.Zone{Name: name, Region: name[:3], Residue: uint32(2 * i)})
 		id := fmt.Sprint("n", i+1)
-		w.put(image.NodeKey(id), &schema.Node{Id: id, Zone: name, Region: name[:3], State: schema.NodeState_NODE_READY})
+		w.put(store.NodeKey(id), &schema.Node{Id: id, Zone: name, Region: name[:3], State: schema.NodeState_NODE_READY})
 	}
-	w.put(image.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 16})
-	w.put(image.HeadKey, &schema.CatalogHead{Version: 1})
+	w.put(store.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 16})
+	w.put(store.HeadKey, &schema.CatalogHead{Version: 1})
 	return w
 }
 
 func (w *world) put(key string, message proto.Message) {
 	w.t.Helper()
-	if _, err := w.table.Apply(w.table.Version()+1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.EncodeRow(key, message)}}, standing.Check); err != nil {
+	if _, err := w.table.Apply(w.table.Version()+1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(key, message)}}, failover.Check); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -47,23 +47,23 @@
 	for _, turn := range turns {
 		turn(b)
 	}
-	w.put(image.BackendKey(b.Service, instance), b)
+	w.put(store.BackendKey(b.Service, instance), b)
 }
 
-func (w *world) settle() *image.View {
+func (w *world) settle() *store.View {
 	w.t.Helper()
 	for range 10 {
-		records := standing.PlanPlaces(image.Compile(w.table), w.table)
+		records := failover.PlanPlaces(store.Compile(w.table), w.table)
 		if len(records) == 0 {
 			break
 		}
 		for _, record := range records {
-			if _, err := w.table.Apply(w.table.Version()+1, record, standing.Check); err != nil {
+			if _, err := w.table.Apply(w.table.Version()+1, record, failover.Check); err != nil {
 				w.t.Fatal(err)
 			}
 		}
 	}
-	return image.Compile(w.table)
+	return store.Compile(w.table)
 }
 
 func isDraining(b *schema.Backend) { b.State = schema.BackendState_BACKEND_DRAINING }
--- a/internal/claim/claim_test.go
+++ b/internal/idempotency/replica_test.go
@@ -1,4 +1,4 @@
-package claim
+package idempotency
 
 import (
 	"fmt"
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -15,8 +15,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
+	"topazshed/internal/protocolversion"
 	"topazshed/internal/schema"
-	"topazshed/internal/versions"
 )
 
 // Area is one preallocated file.
@@ -38,7 +38,7 @@
 	FileBytes     int64
 	SnapshotBytes int64
 	// Speaks are the versions whose disks are read; the zero value is the program's own.
-	Speaks versions.Span
+	Speaks protocolversion.Span
 }
 
 // DefaultOptions are the sizes in the constants.
@@ -188,12 +188,12 @@
 		}
 		j.snapshots[i] = area
 		snapshot, serial, err := readSnapshot(area)
-		var newer *versions.DiskError
+		var newer *protocolversion.DiskError
 		if errors.As(err, &newer) {
 			return nil, nil, newer
 		}
 		if err == nil {
-			if err := versions.CheckDisk(options.Speaks.OrOwn(), "an image", snapshot.GetVersion()); err != nil {
+			if err := protocolversion.CheckDisk(options.Speaks.OrOwn(), "an image", snapshot.GetVersion()); err != nil {
 				return nil, nil, err
 			}
 		}
@@ -213,7 +213,7 @@
 	if err := j.readRing(state); err != nil {
 		return nil, nil, err
 	}
-	if err := versions.CheckDisk(options.Speaks.OrOwn(), "the journal", state.Hard.Version); err != nil {
+	if err := protocolversion.CheckDisk(options.Speaks.OrOwn(), "the journal", state.Hard.Version); err != nil {
 		return nil, nil, err
 	}
 	if len(state.Items) > 0 && state.Items[0].Index > j.snapshotIndex+1 {
@@ -243,7 +243,7 @@
 	size := binary.BigEndian.Uint64(head[8:])
 	isPacked := binary.BigEndian.Uint32(head) == packedMagic
 	if binary.BigEndian.Uint16(head) == magicFamily && binary.BigEndian.Uint16(head[2:]) > packedMagic&0xffff {
-		return nil, 0, &versions.DiskError{What: "an image", Own: versions.Own}
+		return nil, 0, &protocolversion.DiskError{What: "an image", Own: protocolversion.Own}
 	}
 	if !isPacked && binary.BigEndian.Uint32(head) != snapshotMagic || int64(size) > area.Size()-snapshotHead {
 		return nil, 0, &CorruptError{"image", 0}
@@ -324,7 +324,7 @@
 			}
 			isFirst = false
 			last = serial
-			var newer *versions.DiskError
+			var newer *protocolversion.DiskError
 			if err := it.file.take(state, kind, payload); errors.As(err, &newer) {
 				return newer
 			} else if err != nil {
@@ -426,7 +426,7 @@
 		state.Items = append(state.Items, item)
 		f.lastIndex = max(f.lastIndex, item.Index)
 	default:
-		return &versions.DiskError{What: "a record of the journal", Own: versions.Own}
+		return &protocolversion.DiskError{What: "a record of the journal", Own: protocolversion.Own}
 	}
 	return nil
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"math/rand"
 	"testing"
-	"topazshed/internal/image"
+	"topazshed/internal/store"
 
 	"google.golang.org/protobuf/proto"
 
@@ -151,7 +151,7 @@
 	}
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS}
 	for i := range 5000 {
-		record.Rows = append(record.Rows, image.EncodeRow(fmt.Sprintf("route/host%05d.example/path%d/", i/8, i%8), &schema.Route{Name: fmt.Sprintf("route%05d", i), Host: fmt.Sprintf("host%05d.example", i/8),
+		record.Rows = append(record.Rows, store.EncodeRow(fmt.Sprintf("route/host%05d.example/path%d/", i/8, i%8), &schema.Route{Name: fmt.Sprintf("route%05d", i), Host: fmt.Sprintf("host%05d.example", i/8),
 			Prefix: fmt.Sprintf("/path%d/", i%8), Repeatable: true, TimeoutMs: 2000, TargetMs: 800, MaxAttempts: 2, HomeRegions: []string{"north", "south"}, Targets: []*schema.Target{{Service: "ledger", Weight: 1}}}))
 	}
 	record.Rows = append(record.Rows, &schema.Row{Key: "catalog/document", Value: bytes.Repeat([]byte(`{"name":"route","host":"host.example","prefix":"/path/"}`), 30000)})
--- a/internal/journal/version_test.go
+++ b/internal/journal/version_test.go
@@ -6,9 +6,9 @@
 	"testing"
 
 	"topazshed/internal/journal"
+	"topazshed/internal/protocolversion"
 	"topazshed/internal/schema"
 	"topazshed/internal/sim"
-	"topazshed/internal/versions"
 )
 
 func TestADiskOfANewerVersionIsRefusedUntouched(t *testing.T) {
@@ -51,7 +51,7 @@
 			}
 			for range 2 {
 				_, state, err := journal.Open(disk, sizes)
-				var newer *versions.DiskError
+				var newer *protocolversion.DiskError
 				if errors.As(err, &newer) != c.isNew || (err == nil) == c.isNew {
 					t.Fatalf("opened as %v, %v", state, err)
 				}
--- a/internal/neighbours/neighbours.go
+++ b/internal/membership/sampler.go
@@ -1,5 +1,5 @@
-// Package neighbours keeps a node's partial views of the fleet and shuffles them with other nodes.
-package neighbours
+// Package membership keeps a node's partial views of the fleet and shuffles them with other nodes.
+package membership
 
 import (
 	"maps"
--- a/internal/neighbours/neighbours_test.go
+++ b/internal/membership/sampler_test.go
@@ -1,4 +1,4 @@
-package neighbours
+package membership
 
 import (
 	"fmt"
--- a/internal/node/earlier_version_test.go
+++ b/internal/node/earlier_version_test.go
@@ -19,11 +19,11 @@
 	"github.com/sebdah/goldie/v2"
 	"google.golang.org/protobuf/proto"
 
-	"topazshed/internal/core"
-	"topazshed/internal/image"
+	"topazshed/internal/controlplane"
+	"topazshed/internal/failover"
 	"topazshed/internal/journal"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
+	"topazshed/internal/store"
 )
 
 // earlierDiskBytes is the disk_bytes setting of the machines that wrote the archives; the sizes of their files follow from it.
@@ -135,9 +135,9 @@
 }
 
 // restart gives the whole state of a machine that has just started from what its journal held.
-func restart(t *testing.T, state *journal.State, routed *core.Routed) *schema.Snapshot {
+func restart(t *testing.T, state *journal.State, routed *controlplane.Routed) *schema.Snapshot {
 	t.Helper()
-	restarted := core.New(time.Hour, core.Options{Self: &schema.Node{Id: state.Hard.Id, Address: "here", Disk: true}, System: state.Hard.System, Restart: true,
+	restarted := controlplane.New(time.Hour, controlplane.Options{Self: &schema.Node{Id: state.Hard.Id, Address: "here", Disk: true}, System: state.Hard.System, Restart: true,
 		Hard: state.Hard, Snapshot: state.Snapshot, Items: state.Items, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.DiscardHandler), Routed: routed})
 	if err := restarted.Refused(); err != nil {
 		t.Fatal(err)
@@ -153,7 +153,7 @@
 	return given
 }
 
-func describe(t *testing.T, state *journal.State, routed *core.Routed) readBack {
+func describe(t *testing.T, state *journal.State, routed *controlplane.Routed) readBack {
 	t.Helper()
 	if state.Snapshot == nil || len(state.Items) == 0 {
 		t.Fatal("the data folder has no snapshot or no log after it")
@@ -167,10 +167,10 @@
 		RestartIndex: whole.Index, RestartRows: digestRows(whole.Rows), RestartVoters: ids(whole.Members.Voters), RestartLearners: ids(whole.Members.Learners),
 		Zones: map[string]zoneFacts{}, Machines: map[string]bool{}, Services: []string{}, Routes: []string{},
 	}
-	table := image.NewTable()
+	table := store.NewTable()
 	table.Restore(state.Snapshot)
 	for _, item := range state.Items {
-		if _, err := table.Apply(item.Index, item.Record, standing.Check); err != nil {
+		if _, err := table.Apply(item.Index, item.Record, failover.Check); err != nil {
 			found.LogRefused = append(found.LogRefused, item.Index)
 		}
 		if item.Record.Kind == schema.RecordKind_RECORD_MEMBERS {
@@ -178,17 +178,17 @@
 		}
 	}
 	found.FinalIndex = table.Version()
-	found.FinalRows = digestRows(table.Rows(image.All))
+	found.FinalRows = digestRows(table.Rows(store.All))
 	describeTable(&found, table)
 	return found
 }
 
 // describeTable adds what an operator would know again.
-func describeTable(found *readBack, table *image.Table) {
-	view := image.Compile(table)
+func describeTable(found *readBack, table *store.Table) {
+	view := store.Compile(table)
 	found.Configuration = view.Head.Version
 	found.FleetVersion = view.Fleet
-	if document := image.DecodeRow[schema.CatalogDocument](table.Get(image.DocumentKey)); document != nil {
+	if document := store.DecodeRow[schema.CatalogDocument](table.Get(store.DocumentKey)); document != nil {
 		found.DocumentDigest = fmt.Sprintf("%x", sha256.Sum256(document.Document))
 	}
 	for name, zone := range view.Zones {
@@ -214,10 +214,10 @@
 func TestReadsDataWrittenByAnEarlierVersion(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		routed *core.Routed
+		routed *controlplane.Routed
 	}{
 		{"entries", nil},
-		{"routes", &core.Routed{HoldMost: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}},
+		{"routes", &controlplane.Routed{HoldMost: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := unpackFolder(t, filepath.Join("testdata", "earlier-"+c.name+".tar.gz"))
@@ -234,7 +234,7 @@
 }
 
 // checkGoesOn appends to the folder's log, opens it again, writes a snapshot and opens it once more.
-func checkGoesOn(t *testing.T, path string, before readBack, routed *core.Routed) {
+func checkGoesOn(t *testing.T, path string, before readBack, routed *controlplane.Routed) {
 	t.Helper()
 	added := &schema.LogItem{Index: before.LogLastIndex + 1, Term: before.Term + 1, Record: &schema.Record{Kind: schema.RecordKind_RECORD_NOTHING}}
 	withJournal(t, path, func(opened *journal.Journal, state *journal.State) {
--- a/internal/node/native.go
+++ b/internal/node/native.go
@@ -16,10 +16,10 @@
 	"time"
 
 	"topazshed/internal/constants"
+	"topazshed/internal/discovery"
 	"topazshed/internal/gateway"
-	"topazshed/internal/keys"
-	"topazshed/internal/roster"
 	"topazshed/internal/settings"
+	"topazshed/internal/sharding"
 	"topazshed/internal/sockets"
 )
 
@@ -42,7 +42,7 @@
 	caller := newCaller(s.Proxy)
 	platform.GrantLease = caller.grantLease
 	if s.Platform != "" {
-		platform.List = func(ctx context.Context, turn Turn) ([]roster.Listed, int, error) {
+		platform.List = func(ctx context.Context, turn Turn) ([]discovery.Listed, int, error) {
 			return listNative(ctx, caller.lister, s.Platform, turn)
 		}
 	}
@@ -52,12 +52,12 @@
 	return platform
 }
 
-func listNative(ctx context.Context, client *http.Client, list string, turn Turn) ([]roster.Listed, int, error) {
-	var pages []roster.Page
-	beside := map[string]roster.RoutedItem{}
+func listNative(ctx context.Context, client *http.Client, list string, turn Turn) ([]discovery.Listed, int, error) {
+	var pages []discovery.Page
+	beside := map[string]discovery.RoutedItem{}
 	fault := ""
 	for number := 0; number < constants.ListPagesMost; number++ {
-		var page roster.RoutedPage
+		var page discovery.RoutedPage
 		if err := turn(ctx, 0, nil); err != nil {
 			fault = err.Error()
 			break
@@ -80,11 +80,11 @@
 			break
 		}
 	}
-	sweep := roster.Join(pages)
-	var items []roster.Listed
+	sweep := discovery.Join(pages)
+	var items []discovery.Listed
 	for _, item := range sweep.Items {
 		own := beside[item.Service+"/"+item.Instance]
-		items = append(items, roster.Listed{Service: item.Service, Instance: item.Instance, Address: item.Address, Zone: item.Zone, Slots: own.Slots,
+		items = append(items, discovery.Listed{Service: item.Service, Instance: item.Instance, Address: item.Address, Zone: item.Zone, Slots: own.Slots,
 			IsDraining: item.State == "draining", ColdLeft: time.Duration(own.ColdLeftMS) * time.Millisecond})
 	}
 	if fault == "" {
@@ -138,15 +138,15 @@
 	return &caller{dial: dial, lister: client(constants.ListCall), leaseManager: client(0)}
 }
 
-func (c *caller) probe(ctx context.Context, call keys.Call) (keys.Answer, error) {
-	answer := keys.Answer{ID: call.ID, Result: keys.Unknown}
+func (c *caller) probe(ctx context.Context, call sharding.Call) (sharding.Answer, error) {
+	answer := sharding.Answer{ID: call.ID, Result: sharding.Unknown}
 	conn, err := c.dial(ctx, "tcp", call.Address)
 	switch {
 	case err == nil:
-		answer.Result = keys.Done
+		answer.Result = sharding.Done
 		err = conn.Close()
 	case errors.Is(err, syscall.ECONNREFUSED):
-		answer.Result = keys.Failed
+		answer.Result = sharding.Failed
 	}
 	return answer, err
 }
@@ -158,13 +158,13 @@
 	return request.WithContext(httptrace.WithClientTrace(request.Context(), trace)), hasConnection.Load
 }
 
-func (c *caller) grantLease(ctx context.Context, call keys.Call) (keys.Answer, error) {
-	if call.Kind == keys.Probe {
+func (c *caller) grantLease(ctx context.Context, call sharding.Call) (sharding.Answer, error) {
+	if call.Kind == sharding.Probe {
 		return c.probe(ctx, call)
 	}
-	answer := keys.Answer{ID: call.ID, Result: keys.Unknown}
+	answer := sharding.Answer{ID: call.ID, Result: sharding.Unknown}
 	body, path := KeyCall{Service: call.Service, First: call.First, Last: call.Last, Number: call.Fence}, "/keys/release"
-	if call.Kind == keys.GrantLease {
+	if call.Kind == sharding.GrantLease {
 		body.HoldMS, body.Handover, path = call.Hold.Milliseconds(), call.Handover, "/keys/grant"
 	}
 	text, err := json.Marshal(body)
@@ -183,9 +183,9 @@
 	if err != nil {
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
-			answer.Result = keys.Failed
+			answer.Result = sharding.Failed
 		case !hadConnection():
-			answer.Result = keys.Unsent
+			answer.Result = sharding.Unsent
 		}
 		return answer, err
 	}
@@ -193,11 +193,11 @@
 	err = errors.Join(err, response.Body.Close())
 	switch {
 	case response.StatusCode == http.StatusOK:
-		answer.Result, answer.Handover = keys.Done, response.Header.Get(HandoverHeader)
+		answer.Result, answer.Handover = sharding.Done, response.Header.Get(HandoverHeader)
 	case response.StatusCode == http.StatusConflict:
-		answer.Result = keys.Refused
+		answer.Result = sharding.Refused
 	case response.StatusCode == http.StatusMisdirectedRequest || response.StatusCode == http.StatusBadRequest || response.Header.Get(names.NotRun) != "":
-		answer.Result = keys.Failed
+		answer.Result = sharding.Failed
 	}
 	return answer, err
 }
--- a/internal/node/native_seam_test.go
+++ b/internal/node/native_seam_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"topazshed/internal/keys"
-	"topazshed/internal/roster"
+	"topazshed/internal/discovery"
 	"topazshed/internal/settings"
+	"topazshed/internal/sharding"
 )
 
 func TestNativeListReader(t *testing.T) {
@@ -46,7 +46,7 @@
 			}))
 			defer server.Close()
 			platform := NativePlatform(&settings.Settings{Proxy: "127.0.0.1:1", Platform: server.URL, Routes: settings.DefaultRoutes()})
-			items, count, err := platform.List(context.Background(), func(context.Context, int, []roster.Listed) error { turns++; return nil })
+			items, count, err := platform.List(context.Background(), func(context.Context, int, []discovery.Listed) error { turns++; return nil })
 			var partial *PartialListError
 			if (err != nil) != errors.As(err, &partial) || (err != nil) != (c.want != "") || err != nil && (!strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "; mend")) {
 				t.Errorf("%v, want %q", err, c.want)
@@ -65,30 +65,30 @@
 }
 
 func TestNativeKeyCalls(t *testing.T) {
-	lease := keys.Call{ID: 7, Kind: keys.GrantLease, Service: "nickel", Instance: "n-1", First: 5, Last: 9, Fence: 3, Hold: 4500 * time.Millisecond, Handover: "h0"}
+	lease := sharding.Call{ID: 7, Kind: sharding.GrantLease, Service: "nickel", Instance: "n-1", First: 5, Last: 9, Fence: 3, Hold: 4500 * time.Millisecond, Handover: "h0"}
 	release := lease
-	release.Kind, release.Hold, release.Handover = keys.ReleaseLease, 0, ""
+	release.Kind, release.Hold, release.Handover = sharding.ReleaseLease, 0, ""
 	probe := lease
-	probe.Kind = keys.Probe
+	probe.Kind = sharding.Probe
 	for _, c := range []struct {
 		name   string
-		call   keys.Call
+		call   sharding.Call
 		status int
 		header [2]string
 		isDead bool
-		want   keys.Answer
+		want   sharding.Answer
 		path   string
 		body   KeyCall
 	}{
-		{"a grant is taken", lease, 200, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Done}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
-		{"a higher number was seen", lease, 409, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Refused}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
-		{"a release hands over", release, 200, [2]string{HandoverHeader, "h1"}, false, keys.Answer{ID: 7, Result: keys.Done, Handover: "h1"}, "/keys/release", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3}},
-		{"another instance answers", lease, 421, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Failed}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
-		{"full, and says that it did not run", lease, 503, [2]string{"Topazshed-Not-Run", "1"}, false, keys.Answer{ID: 7, Result: keys.Failed}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
-		{"an error that tells nothing", lease, 500, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Unknown}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
-		{"nobody listens", lease, 0, [2]string{}, true, keys.Answer{ID: 7, Result: keys.Failed}, "", KeyCall{}},
-		{"a probe is answered", probe, 0, [2]string{}, false, keys.Answer{ID: 7, Result: keys.Done}, "", KeyCall{}},
-		{"a probe is refused", probe, 0, [2]string{}, true, keys.Answer{ID: 7, Result: keys.Failed}, "", KeyCall{}},
+		{"a grant is taken", lease, 200, [2]string{}, false, sharding.Answer{ID: 7, Result: sharding.Done}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"a higher number was seen", lease, 409, [2]string{}, false, sharding.Answer{ID: 7, Result: sharding.Refused}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"a release hands over", release, 200, [2]string{HandoverHeader, "h1"}, false, sharding.Answer{ID: 7, Result: sharding.Done, Handover: "h1"}, "/keys/release", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3}},
+		{"another instance answers", lease, 421, [2]string{}, false, sharding.Answer{ID: 7, Result: sharding.Failed}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"full, and says that it did not run", lease, 503, [2]string{"Topazshed-Not-Run", "1"}, false, sharding.Answer{ID: 7, Result: sharding.Failed}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"an error that tells nothing", lease, 500, [2]string{}, false, sharding.Answer{ID: 7, Result: sharding.Unknown}, "/keys/grant", KeyCall{Service: "nickel", First: 5, Last: 9, Number: 3, HoldMS: 4500, Handover: "h0"}},
+		{"nobody listens", lease, 0, [2]string{}, true, sharding.Answer{ID: 7, Result: sharding.Failed}, "", KeyCall{}},
+		{"a probe is answered", probe, 0, [2]string{}, false, sharding.Answer{ID: 7, Result: sharding.Done}, "", KeyCall{}},
+		{"a probe is refused", probe, 0, [2]string{}, true, sharding.Answer{ID: 7, Result: sharding.Failed}, "", KeyCall{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var path string
--- a/internal/node/native_test.go
+++ b/internal/node/native_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"topazshed/internal/control"
+	"topazshed/internal/adminapi"
+	"topazshed/internal/discovery"
 	"topazshed/internal/node"
-	"topazshed/internal/roster"
 	"topazshed/internal/settings"
 )
 
@@ -63,7 +63,7 @@
 // nativeList is a stand-in list in the product's own pages, two back ends each.
 type nativeList struct {
 	lock  sync.Mutex
-	items []roster.RoutedItem
+	items []discovery.RoutedItem
 }
 
 func (l *nativeList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -74,7 +74,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	page := roster.RoutedPage{Page: roster.Page{Page: number, Pages: (len(l.items) + 1) / 2, Total: len(l.items), Revision: 1}}
+	page := discovery.RoutedPage{Page: discovery.Page{Page: number, Pages: (len(l.items) + 1) / 2, Total: len(l.items), Revision: 1}}
 	for i := 2 * number; i < min(len(l.items), 2*number+2); i++ {
 		page.Backends = append(page.Backends, l.items[i])
 	}
@@ -120,9 +120,9 @@
 
 func TestNativeRoutedFleet(t *testing.T) {
 	copper, copper2, nickel := newNativeOwner(t, "c-1", false), newNativeOwner(t, "c-2", false), newNativeOwner(t, "n-1", true)
-	list := &nativeList{items: []roster.RoutedItem{{Item: roster.Item{Service: "copper", Instance: "c-1", Address: copper.address(), Zone: "mu-a", State: "ready"}, Slots: 6},
-		{Item: roster.Item{Service: "copper", Instance: "c-2", Address: copper2.address(), Zone: "mu-b", State: "ready"}, Slots: 6},
-		{Item: roster.Item{Service: "nickel", Instance: "n-1", Address: nickel.address(), Zone: "mu-a", State: "ready"}, Slots: 6}}}
+	list := &nativeList{items: []discovery.RoutedItem{{Item: discovery.Item{Service: "copper", Instance: "c-1", Address: copper.address(), Zone: "mu-a", State: "ready"}, Slots: 6},
+		{Item: discovery.Item{Service: "copper", Instance: "c-2", Address: copper2.address(), Zone: "mu-b", State: "ready"}, Slots: 6},
+		{Item: discovery.Item{Service: "nickel", Instance: "n-1", Address: nickel.address(), Zone: "mu-a", State: "ready"}, Slots: 6}}}
 	platform := httptest.NewServer(list)
 	t.Cleanup(platform.Close)
 	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableCompression: true}}
@@ -217,18 +217,18 @@
 		return true
 	})
 	until(t, "a directory names the machines", func() bool {
-		var match control.Match
+		var match adminapi.Match
 		status, _, text := machines[2].admin("GET", "/v1/match?region=mu&district=mu-b", "")
 		return status == 200 && json.Unmarshal([]byte(text), &match) == nil && match.LiveMS > 0 && len(match.Proxies) == 2 && strings.Contains(text, machines[1].settings.Proxy) && strings.Contains(text, machines[3].settings.Proxy)
 	})
 
 	// A district is emptied: its back ends get nothing, the standing tells why, and it comes back.
-	var before control.AssignmentsAnswer
+	var before adminapi.AssignmentsAnswer
 	machines[0].read(t, "/v1/standings/mu?service=copper", &before)
 	if status, _, text := machines[3].admin("POST", "/v1/districts/mu-a/empty?reason=new+racks", ""); status != 200 {
 		t.Fatalf("%d %s", status, text)
 	}
-	var after control.AssignmentsAnswer
+	var after adminapi.AssignmentsAnswer
 	until(t, "the standing moves and tells why", func() bool {
 		machines[3].read(t, "/v1/standings/mu?service=copper", &after)
 		return after.Group != before.Group && len(after.Changes) > 0
@@ -246,7 +246,7 @@
 		}
 		return true
 	})
-	var status control.Status
+	var status adminapi.Status
 	until(t, "every machine is told to have the configuration", func() bool {
 		machines[1].read(t, "/v1/status", &status)
 		for _, n := range status.Nodes {
@@ -270,7 +270,7 @@
 		status, _ := machines[0].ask("/n/x", "7")
 		return status == 200
 	})
-	var all struct{ Assignments []control.Assignment }
+	var all struct{ Assignments []adminapi.Assignment }
 	machines[2].read(t, "/v1/standings", &all)
 	if len(all.Assignments) < 2 {
 		t.Errorf("%+v", all)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,34 +21,34 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"topazshed/internal/claim"
+	"topazshed/internal/adminapi"
 	"topazshed/internal/constants"
-	"topazshed/internal/control"
-	"topazshed/internal/core"
+	"topazshed/internal/controlplane"
 	"topazshed/internal/directory"
+	"topazshed/internal/discovery"
 	"topazshed/internal/frame"
 	"topazshed/internal/gateway"
-	"topazshed/internal/image"
+	"topazshed/internal/idempotency"
 	"topazshed/internal/journal"
-	"topazshed/internal/kernel"
 	"topazshed/internal/proxy"
-	"topazshed/internal/roster"
 	"topazshed/internal/schema"
 	"topazshed/internal/settings"
+	"topazshed/internal/store"
+	"topazshed/internal/supervisor"
 )
 
 // Node is one running process.
 type Node struct {
-	*kernel.Supervisor
+	*supervisor.Supervisor
 	settings *settings.Settings
 	log      *slog.Logger
 	open     func(path string) (Folder, error)
 	begun    time.Time
 	self     *schema.Node
-	core     *core.Machine
+	core     *controlplane.Machine
 	commands chan func()
-	local    atomic.Pointer[core.Local]
-	replica  *claim.Replica
+	local    atomic.Pointer[controlplane.Local]
+	replica  *idempotency.Replica
 	net      *frame.Net
 	journal  *journal.Journal
 	calls    sync.Map
@@ -60,7 +60,7 @@
 	kept           *proxy.Kept
 	pool           *proxy.Pool
 	executor       *proxy.Executor
-	disk           atomic.Pointer[control.Disk]
+	disk           atomic.Pointer[adminapi.Disk]
 	context        context.Context
 	cancel         context.CancelFunc
 	tasks          sync.WaitGroup
@@ -110,11 +110,11 @@
 
 // StartRouted brings up a process of a fleet that carries routes and speaks as the seam says; without a seam it carries entries.
 func StartRouted(s *settings.Settings, log *slog.Logger, open func(path string) (Folder, error), platform *Platform) (*Node, error) {
-	n := &Node{platform: platform, refused: map[string]time.Duration{}, Supervisor: kernel.New(), settings: s, log: log, open: open, begun: time.Now(), commands: make(chan func(), 4096), fatal: make(chan error, 1)}
+	n := &Node{platform: platform, refused: map[string]time.Duration{}, Supervisor: supervisor.New(), settings: s, log: log, open: open, begun: time.Now(), commands: make(chan func(), 4096), fatal: make(chan error, 1)}
 	n.context, n.cancel = context.WithCancel(context.Background())
-	n.local.Store(&core.Local{View: image.NewView()})
-	n.disk.Store(&control.Disk{Folder: s.Data})
-	n.serial.Store(uint64(draw(core.FirstNumberMost)))
+	n.local.Store(&controlplane.Local{View: store.NewView()})
+	n.disk.Store(&adminapi.Disk{Folder: s.Data})
+	n.serial.Store(uint64(draw(controlplane.FirstNumberMost)))
 	if err := n.start(); err != nil {
 		n.cancel()
 		return nil, errors.Join(err, n.Close())
@@ -128,7 +128,7 @@
 func (n *Node) start() error {
 	n.self = &schema.Node{Id: newID(), Address: n.settings.PeerShown, Proxy: n.settings.ProxyShow, Admin: n.settings.AdminShown, Zone: n.settings.Zone,
 		Region: n.settings.Region, Disk: n.settings.Data != "", Incarnation: uint64(time.Now().UnixMilli()), State: schema.NodeState_NODE_READY}
-	options := core.Options{Self: n.self, Seeds: n.settings.Seeds, Draw: draw, Log: n.log.With("part", "core"), Rejoin: n.settings.Rejoin, Epoch: n.begun.Add(-time.Hour)}
+	options := controlplane.Options{Self: n.self, Seeds: n.settings.Seeds, Draw: draw, Log: n.log.With("part", "core"), Rejoin: n.settings.Rejoin, Epoch: n.begun.Add(-time.Hour)}
 	if n.platform != nil {
 		options.Routed = n.routed()
 	}
@@ -144,22 +144,22 @@
 		}
 	}
 	n.log = n.log.With("node", n.self.Id)
-	n.core = core.New(n.Now(), options)
+	n.core = controlplane.New(n.Now(), options)
 	if err := n.core.Refused(); err != nil {
 		return err
 	}
 	if n.platform != nil {
 		return n.startRouted()
 	}
-	n.replica = claim.NewReplica(n.self.Id, options.Restart)
+	n.replica = idempotency.NewReplica(n.self.Id, options.Restart)
 	n.pool = proxy.NewPool(n.settings.Proxy)
 	n.Push("pool", n.pool.Close)
 	n.loads = proxy.NewLoads(n.Now)
 	n.kept = proxy.NewKept()
 	n.executor = proxy.NewExecutor(proxy.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Want: n.want, Call: n.Call, Draw: draw, Pool: n.pool, Loads: n.loads, Kept: n.kept, Log: n.log.With("part", "proxy")})
 	finder := directory.New(directory.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Want: n.want, Draw: draw})
-	admin := control.New(control.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Operate: n.operate, Stats: n.executor.Stats, Replica: n.replica.State,
-		Disk: func() control.Disk { return *n.disk.Load() }, Match: finder})
+	admin := adminapi.New(adminapi.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Operate: n.operate, Stats: n.executor.Stats, Replica: n.replica.State,
+		Disk: func() adminapi.Disk { return *n.disk.Load() }, Match: finder})
 	for name, service := range map[string]any{"core": n.core, "keeper": n.replica, "pool": n.pool, "loads": n.loads, "executor": n.executor, "directory": finder,
 		"door": admin, "proxy": n.proxyHandler()} {
 		if err := n.Register(name, service); err != nil {
@@ -170,7 +170,7 @@
 		return err
 	}
 	for name, address := range map[string]string{"proxy": n.settings.Proxy, "door": n.settings.Admin} {
-		handler, err := kernel.Find[http.Handler](n.Supervisor, name)
+		handler, err := supervisor.Find[http.Handler](n.Supervisor, name)
 		if err != nil {
 			return err
 		}
@@ -331,8 +331,8 @@
 	}
 }
 
-func (n *Node) driver() *core.Driver {
-	return &core.Driver{Core: n.core, Journal: n.journal, Now: n.Now, Send: n.net.Send, Publish: n.publish, Synced: n.synced, Write: n.write, Leased: n.sendLeaseCall, Answer: func(o core.LocalResponse) {
+func (n *Node) driver() *controlplane.Driver {
+	return &controlplane.Driver{Core: n.core, Journal: n.journal, Now: n.Now, Send: n.net.Send, Publish: n.publish, Synced: n.synced, Write: n.write, Leased: n.sendLeaseCall, Answer: func(o controlplane.LocalResponse) {
 		if answer, isThere := n.operates.LoadAndDelete(o.Ticket); isThere {
 			answer.(chan *schema.OperatorResponse) <- o.Response
 		}
@@ -577,7 +577,7 @@
 		if n.local.Load().Role != "leader" {
 			continue
 		}
-		var pages []roster.Page
+		var pages []discovery.Page
 		fault := ""
 		for page := 0; ; page++ {
 			got, retry, err := n.readPage(client, page)
@@ -591,7 +591,7 @@
 				break
 			}
 		}
-		sweep := roster.Join(pages)
+		sweep := discovery.Join(pages)
 		if fault != "" {
 			sweep.IsWhole, sweep.Reason = false, fault
 		}
@@ -599,8 +599,8 @@
 	}
 }
 
-func (n *Node) readPage(client *http.Client, number int) (roster.Page, time.Duration, error) {
-	var page roster.Page
+func (n *Node) readPage(client *http.Client, number int) (discovery.Page, time.Duration, error) {
+	var page discovery.Page
 	retry, err := fetchPage(n.context, client, n.settings.Platform, number, &page)
 	if err == nil && page.Page != number {
 		err = fmt.Errorf("the platform gave page %d for page %d", page.Page, number)
--- a/internal/node/routed.go
+++ b/internal/node/routed.go
@@ -11,14 +11,14 @@
 	"syscall"
 	"time"
 
+	"topazshed/internal/adminapi"
 	"topazshed/internal/constants"
-	"topazshed/internal/control"
-	"topazshed/internal/core"
+	"topazshed/internal/controlplane"
+	"topazshed/internal/discovery"
 	"topazshed/internal/gateway"
 	"topazshed/internal/journal"
-	"topazshed/internal/keys"
-	"topazshed/internal/roster"
 	"topazshed/internal/schema"
+	"topazshed/internal/sharding"
 )
 
 // Bounds are a deployment's figures that a routed fleet must keep.
@@ -44,15 +44,15 @@
 	Zones map[string]string
 	// List reads the platform's whole list once, and tells how many calls it took. It takes its turn before each call; an error of the turn
 	// ends the read.
-	List func(ctx context.Context, turn Turn) ([]roster.Listed, int, error)
+	List func(ctx context.Context, turn Turn) ([]discovery.Listed, int, error)
 	// Grant carries out one call to a back end; the error tells why there was no answer.
-	GrantLease func(ctx context.Context, call keys.Call) (keys.Answer, error)
+	GrantLease func(ctx context.Context, call sharding.Call) (sharding.Answer, error)
 	// Serve gives the handlers of a node by the addresses that they listen on.
 	Serve func(*Outside) map[string]http.Handler
 }
 
 // Turn waits until the list may be called; refusals are how often the page was refused, items those of the pages before.
-type Turn func(ctx context.Context, refusals int, items []roster.Listed) error
+type Turn func(ctx context.Context, refusals int, items []discovery.Listed) error
 
 // Outside is what a node offers to those who speak to it through a seam.
 type Outside struct {
@@ -69,11 +69,11 @@
 	Insight http.Handler
 }
 
-func (n *Node) routed() *core.Routed {
+func (n *Node) routed() *controlplane.Routed {
 	bounds := n.platform.Bounds
 	reckon := gateway.NewLoads(n.Now(), bounds.Bounds)
 	sizes := journal.Sized(n.settings.DiskBytes)
-	return &core.Routed{Fits: sizes.Fits, FitsWhole: sizes.FitsSnapshot, HoldMost: bounds.HoldMost, ListLag: bounds.ListLag, Zones: n.platform.Zones, Quiet: bounds.Quiet, ColdRate: reckon.ColdRate,
+	return &controlplane.Routed{Fits: sizes.Fits, FitsWhole: sizes.FitsSnapshot, HoldMost: bounds.HoldMost, ListLag: bounds.ListLag, Zones: n.platform.Zones, Quiet: bounds.Quiet, ColdRate: reckon.ColdRate,
 		Load:          func(span time.Duration) []*schema.ShardLoad { return n.gateway.Loads().TakeKeyLoad(span) },
 		HealthReports: func() []*schema.HealthReport { return n.gateway.HealthReports() }}
 }
@@ -91,9 +91,9 @@
 		return err
 	}
 	outside := &Outside{Requests: n.gateway, Operate: n.operate, Resolve: n.resolve, IsReady: n.isReady}
-	options := control.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Operate: n.operate, Stats: n.gateway.Stats, Resting: func() []string { return n.gateway.Loads().Failing(n.Now()) },
-		Disk: func() control.Disk { return *n.disk.Load() }, Routed: &control.Routed{Resolve: n.resolve, IsReady: n.isReady}}
-	outside.Admin, outside.Insight = control.New(options), control.NewInsight(options)
+	options := adminapi.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Operate: n.operate, Stats: n.gateway.Stats, Resting: func() []string { return n.gateway.Loads().Failing(n.Now()) },
+		Disk: func() adminapi.Disk { return *n.disk.Load() }, Routed: &adminapi.Routed{Resolve: n.resolve, IsReady: n.isReady}}
+	outside.Admin, outside.Insight = adminapi.New(options), adminapi.NewInsight(options)
 	for address, handler := range n.platform.Serve(outside) {
 		if err := n.serve("door", address, handler); err != nil {
 			return err
@@ -154,10 +154,10 @@
 
 func (n *Node) readList() {
 	pause := constants.ListEvery
-	pace := roster.NewPace(n.platform.Bounds.ListRate)
-	turn := func(ctx context.Context, refusals int, items []roster.Listed) error {
+	pace := discovery.NewPace(n.platform.Bounds.ListRate)
+	turn := func(ctx context.Context, refusals int, items []discovery.Listed) error {
 		if begun, isDue := pace.Part(n.Now(), len(items)); isDue {
-			part := roster.Listing{BegunAt: begun, Items: slices.Clone(items)}
+			part := discovery.Listing{BegunAt: begun, Items: slices.Clone(items)}
 			n.do(func() { n.core.SetListing(n.Now(), part) })
 		}
 		wait, err := pace.Turn(n.Now(), refusals)
@@ -180,7 +180,7 @@
 		if n.local.Load().Role != "leader" {
 			continue
 		}
-		listing := roster.Listing{BegunAt: pace.Begin(n.Now()), IsWhole: true}
+		listing := discovery.Listing{BegunAt: pace.Begin(n.Now()), IsWhole: true}
 		items, calls, err := n.platform.List(n.context, turn)
 		pause = max(n.listEvery(), n.listPause(calls)-(n.Now()-listing.BegunAt))
 		if err != nil {
@@ -212,7 +212,7 @@
 	return pause
 }
 
-func (n *Node) sendLeaseCall(call core.LeaseCall) {
+func (n *Node) sendLeaseCall(call controlplane.LeaseCall) {
 	n.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(n.context, call.Wait)
 		defer cancel()
--- a/internal/node/routed_test.go
+++ b/internal/node/routed_test.go
@@ -16,12 +16,12 @@
 	"testing"
 	"time"
 
+	"topazshed/internal/discovery"
 	"topazshed/internal/gateway"
-	"topazshed/internal/keys"
 	"topazshed/internal/node"
-	"topazshed/internal/roster"
 	"topazshed/internal/schema"
 	"topazshed/internal/settings"
+	"topazshed/internal/sharding"
 )
 
 // patience bounds every wait; nothing waits for it to pass unless something is wrong.
@@ -102,37 +102,37 @@
 // platform is the stand-in list and the way to the back ends' grants.
 type platformSide struct {
 	lock   sync.Mutex
-	items  []roster.Listed
+	items  []discovery.Listed
 	owners map[string]*ownerStandIn
 	reads  atomic.Int64
 	leases atomic.Int64
 }
 
-func (p *platformSide) list(ctx context.Context, turn node.Turn) ([]roster.Listed, int, error) {
+func (p *platformSide) list(ctx context.Context, turn node.Turn) ([]discovery.Listed, int, error) {
 	if err := turn(ctx, 0, nil); err != nil {
 		return nil, 0, err
 	}
 	p.reads.Add(1)
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	return append([]roster.Listed(nil), p.items...), 1, nil
+	return append([]discovery.Listed(nil), p.items...), 1, nil
 }
 
-func (p *platformSide) lease(_ context.Context, call keys.Call) (keys.Answer, error) {
+func (p *platformSide) lease(_ context.Context, call sharding.Call) (sharding.Answer, error) {
 	h := p.owners[call.Instance]
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	span := [2]uint32{call.First, call.Last}
-	if call.Kind == keys.GrantLease {
+	if call.Kind == sharding.GrantLease {
 		if h.held[span] > call.Fence {
-			return keys.Answer{ID: call.ID, Result: keys.Refused}, nil
+			return sharding.Answer{ID: call.ID, Result: sharding.Refused}, nil
 		}
 		h.held[span] = call.Fence
 		p.leases.Add(1)
-		return keys.Answer{ID: call.ID, Result: keys.Done}, nil
+		return sharding.Answer{ID: call.ID, Result: sharding.Done}, nil
 	}
 	delete(h.held, span)
-	return keys.Answer{ID: call.ID, Result: keys.Done, Handover: "h"}, nil
+	return sharding.Answer{ID: call.ID, Result: sharding.Done, Handover: "h"}, nil
 }
 
 type machine struct {
@@ -224,7 +224,7 @@
 
 func TestRoutedFleet(t *testing.T) {
 	copper, nickel1, nickel2 := newOwner(t, "c-1", false), newOwner(t, "n-1", true), newOwner(t, "n-2", true)
-	p := &platformSide{owners: map[string]*ownerStandIn{"c-1": copper, "n-1": nickel1, "n-2": nickel2}, items: []roster.Listed{
+	p := &platformSide{owners: map[string]*ownerStandIn{"c-1": copper, "n-1": nickel1, "n-2": nickel2}, items: []discovery.Listed{
 		{Service: "copper", Instance: "c-1", Address: copper.address(), Zone: "mu-a", Slots: 6},
 		{Service: "nickel", Instance: "n-1", Address: nickel1.address(), Zone: "mu-a", Slots: 6},
 		{Service: "nickel", Instance: "n-2", Address: nickel2.address(), Zone: "mu-b", Slots: 6}}}
--- a/internal/versions/versions.go
+++ b/internal/protocolversion/span.go
@@ -1,5 +1,5 @@
-// Package versions is the agreement on ways of speaking: what each version changes, who can speak with whom, and when the fleet may rise.
-package versions
+// Package protocolversion is the agreement on ways of speaking: what each version changes, who can speak with whom, and when the fleet may rise.
+package protocolversion
 
 import (
 	"fmt"
--- a/internal/versions/versions_test.go
+++ b/internal/protocolversion/span_test.go
@@ -1,4 +1,4 @@
-package versions
+package protocolversion
 
 import (
 	"errors"
--- a/internal/proxy/decider.go
+++ b/internal/proxy/decider.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
-	"topazshed/internal/image"
+	"topazshed/internal/controlplane"
+	"topazshed/internal/failover"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
+	"topazshed/internal/store"
 )
 
 // Turn is what the executor must do next.
@@ -32,7 +32,7 @@
 	Refusal  *RefusalError
 	Wanted   string
 	Entry    *schema.Entry
-	Owner    standing.Owner
+	Owner    failover.Owner
 	Nodes    []*schema.Node
 	Replicas *schema.ReplicaSet
 	Backend  *schema.Backend
@@ -53,7 +53,7 @@
 // Situation is all that a decision rests on.
 type Situation struct {
 	Now        time.Duration
-	Local      *core.Local
+	Local      *controlplane.Local
 	Self       *schema.Node
 	Request    *Request
 	Load       Load
@@ -66,7 +66,7 @@
 }
 
 // IsFit tells whether a node's state is fresh enough to serve on.
-func IsFit(now time.Duration, local *core.Local) bool {
+func IsFit(now time.Duration, local *controlplane.Local) bool {
 	if local == nil || now-local.TickAt > time.Second || local.ThawedAt > 0 && local.FreshAt <= local.ThawedAt {
 		return false
 	}
@@ -77,7 +77,7 @@
 }
 
 // Entry finds the entry of a path, or says what the executor must do instead.
-func Entry(now time.Duration, local *core.Local, service, path string, parked time.Duration) (*schema.Entry, *Decision) {
+func Entry(now time.Duration, local *controlplane.Local, service, path string, parked time.Duration) (*schema.Entry, *Decision) {
 	park := func(kind, message, wanted string) *Decision {
 		if parked >= constants.ParkMost {
 			return &Decision{Turn: TurnRefuse, Refusal: newRefusalLater(kind, "%s", message)}
@@ -90,7 +90,7 @@
 		}
 		return nil, park("unready", "this proxy has no fresh state; ask the directory for another", "")
 	}
-	if !local.IsFull && !local.HeldPrefixes[image.ServicePrefix(service)] {
+	if !local.IsFull && !local.HeldPrefixes[store.ServicePrefix(service)] {
 		return nil, park("unready", "the service's state is not here yet; send again", service)
 	}
 	known := local.View.Services[service]
@@ -136,9 +136,9 @@
 		return refuse(newRefusalLater("late", "the wait is over"))
 	}
 	view := s.Local.View
-	owner, err := standing.Resolve(view, entry, q.Origin)
+	owner, err := failover.Resolve(view, entry, q.Origin)
 	if err != nil {
-		var misfit *standing.OriginError
+		var misfit *failover.OriginError
 		if errors.As(err, &misfit) {
 			return refuse(newRefusal(http.StatusBadRequest, "bad-origin", "%v", err))
 		}
@@ -179,7 +179,7 @@
 	if !d.IsSafe {
 		if set := view.ReplicaSets[owner.Region]; set == nil {
 			return park("no-keepers", "region %s has no keepers yet; send again", owner.Region)
-		} else if s.FirstSent > 0 && owner.Moved && s.FirstSent < s.Local.Opened[image.EntityKey(entry.Service, entry.Path)] {
+		} else if s.FirstSent > 0 && owner.Moved && s.FirstSent < s.Local.Opened[store.EntityKey(entry.Service, entry.Path)] {
 			e := newRefusalLater("attempt-old", "the id was first sent before entry %s%s moved here, where its keepers can't know it; ask its service whether it ran, or use a new id", entry.Service, entry.Path)
 			e.Status, e.Result = http.StatusConflict, ResultAmbiguous
 			return refuse(e)
@@ -294,7 +294,7 @@
 // Part is a proxy's place among those that may reach a back end, and their count.
 type Part struct{ Rank, Of int }
 
-func partOf(view *image.View, service *image.Service, self string, isIn func(region string) bool, isAble func(*schema.Node) bool) Part {
+func partOf(view *store.View, service *store.Service, self string, isIn func(region string) bool, isAble func(*schema.Node) bool) Part {
 	groups := map[uint64]bool{}
 	if service != nil {
 		for _, rows := range service.Assignments {
@@ -318,14 +318,14 @@
 	return part
 }
 
-func (s Situation) part(service *image.Service, owner string) func() Part {
+func (s Situation) part(service *store.Service, owner string) func() Part {
 	return func() Part {
 		return partOf(s.Local.View, service, s.Self.Id, func(region string) bool { return region == owner },
 			func(node *schema.Node) bool { return node.State == schema.NodeState_NODE_READY })
 	}
 }
 
-func usable(view *image.View, backend *schema.Backend, region string) bool {
+func usable(view *store.View, backend *schema.Backend, region string) bool {
 	zone := view.Zones[backend.Zone]
 	return zone != nil && zone.Region == region && !zone.Emptied && backend.State == schema.BackendState_BACKEND_READY && !backend.Failing
 }
--- a/internal/proxy/executor.go
+++ b/internal/proxy/executor.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
+	"topazshed/internal/controlplane"
 	"topazshed/internal/schema"
 )
 
@@ -25,7 +25,7 @@
 type Options struct {
 	Self  *schema.Node
 	Now   func() time.Duration
-	Local func() *core.Local
+	Local func() *controlplane.Local
 	Want  func(service string)
 	Call  func(ctx context.Context, address string, frame *schema.Frame) (*schema.Frame, error)
 	Draw  func(int64) int64
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -17,10 +17,10 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
-	"topazshed/internal/image"
+	"topazshed/internal/controlplane"
+	"topazshed/internal/failover"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
+	"topazshed/internal/store"
 )
 
 const noon = time.Hour
@@ -34,36 +34,36 @@
 func base(backends ...*schema.Backend) *world {
 	w := &world{}
 	for i, name := range []string{"north", "south"} {
-		w.put("", image.EncodeRow(image.RegionKey(name), &schema.Region{Name: name, Residue: uint32(2*i + 1)}))
+		w.put("", store.EncodeRow(store.RegionKey(name), &schema.Region{Name: name, Residue: uint32(2*i + 1)}))
 	}
 	for i, name := range []string{"north-a", "north-b", "south-a"} {
 		region, _, _ := strings.Cut(name, "-")
-		w.put("", image.EncodeRow(image.ZoneKey(name), &schema.Zone{Name: name, Region: region, Residue: uint32(2 * i)}))
-		w.put("", image.EncodeRow(image.NodeKey("n"+name), &schema.Node{Id: "n" + name, Zone: name, Region: region, Proxy: name + ":1", State: schema.NodeState_NODE_READY}))
-	}
-	w.put("", image.EncodeRow(image.EntryKey("ledger", "/balances"), &schema.Entry{Service: "ledger", Path: "/balances", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, BodyLimit: 64, ResponseLimit: 4096, ColdRate: 6}))
-	w.put("", image.EncodeRow(image.EntryKey("ledger", "/pay"), &schema.Entry{Service: "ledger", Path: "/pay", Methods: []string{"POST"}, BodyLimit: 64, ResponseLimit: 4096, ColdRate: 6}))
-	w.put("", image.EncodeRow(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 100}))
-	w.put("", image.EncodeRow(image.AssignmentKey("ledger", "/balances", "south"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "south", Number: 101}))
-	w.put("", image.EncodeRow(image.AssignmentKey("ledger", "/pay", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/pay", Region: "north", Number: 100}))
-	w.put("", image.EncodeRow(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 101}))
-	w.put("", image.EncodeRow(image.ReplicaSetKey("north"), &schema.ReplicaSet{Region: "north", Number: 1, Members: []*schema.Member{{Id: "k1", Address: "k1"}, {Id: "k2", Address: "k2"}, {Id: "k3", Address: "k3"}}}))
+		w.put("", store.EncodeRow(store.ZoneKey(name), &schema.Zone{Name: name, Region: region, Residue: uint32(2 * i)}))
+		w.put("", store.EncodeRow(store.NodeKey("n"+name), &schema.Node{Id: "n" + name, Zone: name, Region: region, Proxy: name + ":1", State: schema.NodeState_NODE_READY}))
+	}
+	w.put("", store.EncodeRow(store.EntryKey("ledger", "/balances"), &schema.Entry{Service: "ledger", Path: "/balances", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, BodyLimit: 64, ResponseLimit: 4096, ColdRate: 6}))
+	w.put("", store.EncodeRow(store.EntryKey("ledger", "/pay"), &schema.Entry{Service: "ledger", Path: "/pay", Methods: []string{"POST"}, BodyLimit: 64, ResponseLimit: 4096, ColdRate: 6}))
+	w.put("", store.EncodeRow(store.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 100}))
+	w.put("", store.EncodeRow(store.AssignmentKey("ledger", "/balances", "south"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "south", Number: 101}))
+	w.put("", store.EncodeRow(store.AssignmentKey("ledger", "/pay", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/pay", Region: "north", Number: 100}))
+	w.put("", store.EncodeRow(store.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 101}))
+	w.put("", store.EncodeRow(store.ReplicaSetKey("north"), &schema.ReplicaSet{Region: "north", Number: 1, Members: []*schema.Member{{Id: "k1", Address: "k1"}, {Id: "k2", Address: "k2"}, {Id: "k3", Address: "k3"}}}))
 	for _, b := range backends {
-		w.put("", image.EncodeRow(image.BackendKey(b.Service, b.Instance), b))
+		w.put("", store.EncodeRow(store.BackendKey(b.Service, b.Instance), b))
 	}
 	return w
 }
 
-func (w *world) view() *image.View {
-	table := image.NewTable()
+func (w *world) view() *store.View {
+	table := store.NewTable()
 	if _, err := table.Apply(5, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: w.rows}, nil); err != nil {
 		panic(err)
 	}
-	return image.Compile(table)
+	return store.Compile(table)
 }
 
-func fresh(view *image.View) *core.Local {
-	return &core.Local{View: view, IsFull: true, FreshAt: noon, TickAt: noon, PeersAt: noon, LeaseUntil: noon + constants.LeaseDuration}
+func fresh(view *store.View) *controlplane.Local {
+	return &controlplane.Local{View: view, IsFull: true, FreshAt: noon, TickAt: noon, PeersAt: noon, LeaseUntil: noon + constants.LeaseDuration}
 }
 
 func backend(instance, zone string) *schema.Backend {
@@ -73,10 +73,10 @@
 func TestDecide(t *testing.T) {
 	north := &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}
 	safe := func() *Request {
-		return &Request{Service: "ledger", Path: "/balances/7", Method: "GET", Attempt: "attempt-1", Origin: standing.Origin{Region: "north"}}
+		return &Request{Service: "ledger", Path: "/balances/7", Method: "GET", Attempt: "attempt-1", Origin: failover.Origin{Region: "north"}}
 	}
 	unsafe := func() *Request {
-		return &Request{Service: "ledger", Path: "/pay", Method: "POST", Attempt: "attempt-1", Origin: standing.Origin{Service: "ledger", Path: "/pay"}}
+		return &Request{Service: "ledger", Path: "/pay", Method: "POST", Attempt: "attempt-1", Origin: failover.Origin{Service: "ledger", Path: "/pay"}}
 	}
 	all := []*schema.Backend{backend("l-1", "north-a"), backend("l-2", "north-b"), backend("l-3", "south-a")}
 	for _, c := range []struct {
@@ -112,50 +112,50 @@
 		{"another group's query is forwarded", base(all...), func(s *Situation) { s.Request.Origin.Region = "south" }, safe(), TurnAttempt, "", "l-1"},
 		{"to the group that the number names", func() *world {
 			w := base(all...)
-			w.put("", image.EncodeRow(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
+			w.put("", store.EncodeRow(store.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 			return w
 		}(), nil, safe(), TurnForward, "", ""},
 		{"but a forwarded one is never forwarded again", func() *world {
 			w := base(all...)
-			w.put("", image.EncodeRow(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
+			w.put("", store.EncodeRow(store.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 			return w
-		}(), func(s *Situation) { s.Request.Forwarded = standing.Trail{100}; s.Parked = constants.ParkMost }, safe(), TurnRefuse, "moved", ""},
-		{"a higher forwarded number waits for the image", base(all...), func(s *Situation) { s.Request.Forwarded = standing.Trail{200} }, safe(), TurnPark, "", ""},
+		}(), func(s *Situation) { s.Request.Forwarded = failover.Trail{100}; s.Parked = constants.ParkMost }, safe(), TurnRefuse, "moved", ""},
+		{"a higher forwarded number waits for the image", base(all...), func(s *Situation) { s.Request.Forwarded = failover.Trail{200} }, safe(), TurnPark, "", ""},
 		{"an unsafe query is claimed first", base(all...), nil, unsafe(), TurnReserve, "", ""},
 		{"and then has its leg", base(all...), func(s *Situation) { s.IsReserved = true }, unsafe(), TurnAttempt, "", "l-1"},
 		{"it needs a live grant", base(all...), func(s *Situation) { s.Local.LeaseUntil = noon; s.IsReserved = true }, unsafe(), TurnPark, "", ""},
 		{"and an open fence", func() *world {
 			w := base(all...)
-			w.put("", image.EncodeRow(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Fenced: true}))
+			w.put("", store.EncodeRow(store.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Fenced: true}))
 			return w
 		}(), func(s *Situation) { s.IsReserved = true }, unsafe(), TurnPark, "", ""},
 		{"an old fence is told at once, with when to come back", func() *world {
 			w := base(all...)
-			w.put("", image.EncodeRow(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Fenced: true}))
+			w.put("", store.EncodeRow(store.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Fenced: true}))
 			return w
 		}(), func(s *Situation) {
-			s.Local.Fences = map[string]time.Duration{image.EntityKey("ledger", "/pay"): noon - 2*time.Second}
+			s.Local.Fences = map[string]time.Duration{store.EntityKey("ledger", "/pay"): noon - 2*time.Second}
 		}, unsafe(), TurnRefuse, "fenced", ""},
 		{"an id that is older than its entry's move is doubtful", func() *world {
 			w := base(all...)
-			w.put("", image.EncodeRow(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Far: true}))
+			w.put("", store.EncodeRow(store.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Far: true}))
 			return w
 		}(), func(s *Situation) {
 			s.FirstSent = noon - time.Minute
-			s.Local.Opened = map[string]time.Duration{image.EntityKey("ledger", "/pay"): noon - time.Second}
+			s.Local.Opened = map[string]time.Duration{store.EntityKey("ledger", "/pay"): noon - time.Second}
 		}, unsafe(), TurnRefuse, "attempt-old", ""},
 		{"a younger one is claimed", func() *world {
 			w := base(all...)
-			w.put("", image.EncodeRow(image.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Far: true}))
+			w.put("", store.EncodeRow(store.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Far: true}))
 			return w
 		}(), func(s *Situation) {
 			s.FirstSent = noon - time.Second
-			s.Local.Opened = map[string]time.Duration{image.EntityKey("ledger", "/pay"): noon - time.Minute}
+			s.Local.Opened = map[string]time.Duration{store.EntityKey("ledger", "/pay"): noon - time.Minute}
 		}, unsafe(), TurnReserve, "", ""},
-		{"a region's origin does not fit a bound entry", base(all...), func(s *Situation) { s.Request.Origin = standing.Origin{Region: "north"} }, unsafe(), TurnRefuse, "bad-origin", ""},
+		{"a region's origin does not fit a bound entry", base(all...), func(s *Situation) { s.Request.Origin = failover.Origin{Region: "north"} }, unsafe(), TurnRefuse, "bad-origin", ""},
 		{"an emptied district serves nothing", func() *world {
 			w := base(all...)
-			w.put("", image.EncodeRow(image.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Emptied: true}))
+			w.put("", store.EncodeRow(store.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Emptied: true}))
 			return w
 		}(), nil, safe(), TurnPark, "", ""},
 		{"a draining back end gets nothing", base(func() *schema.Backend {
@@ -366,7 +366,7 @@
 	t.Cleanup(func() { pool.Close() })
 	x := NewExecutor(Options{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Now: now, Pool: pool, Loads: NewLoads(now), Kept: NewKept(), Draw: func(int64) int64 { return 0 },
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Want: func(string) {},
-		Local: func() *core.Local {
+		Local: func() *controlplane.Local {
 			l := fresh(view)
 			l.FreshAt, l.TickAt, l.PeersAt, l.LeaseUntil = now(), now(), now(), now()+time.Second
 			return l
@@ -500,10 +500,10 @@
 	defer server.Close()
 	x := executor(t)
 	w := base()
-	w.put("", image.EncodeRow(image.NodeKey("nnorth-b"), &schema.Node{Id: "nnorth-b", Zone: "north-b", Region: "north", Proxy: strings.TrimPrefix(server.URL, "http://"), State: schema.NodeState_NODE_READY}))
-	w.put("", image.EncodeRow(image.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
+	w.put("", store.EncodeRow(store.NodeKey("nnorth-b"), &schema.Node{Id: "nnorth-b", Zone: "north-b", Region: "north", Proxy: strings.TrimPrefix(server.URL, "http://"), State: schema.NodeState_NODE_READY}))
+	w.put("", store.EncodeRow(store.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 	view, now := w.view(), x.options.Now
-	x.options.Local = func() *core.Local {
+	x.options.Local = func() *controlplane.Local {
 		l := fresh(view)
 		l.FreshAt, l.TickAt, l.PeersAt, l.LeaseUntil = now(), now(), now(), now()+time.Second
 		return l
--- a/internal/proxy/query.go
+++ b/internal/proxy/request.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/standing"
+	"topazshed/internal/failover"
 )
 
 // The headers of queries, legs and outcomes.
@@ -49,10 +49,10 @@
 	Attempt   string
 	Wait      time.Duration
 	Age       time.Duration
-	Origin    standing.Origin
+	Origin    failover.Origin
 	OriginRaw string
 	Key       string
-	Forwarded standing.Trail
+	Forwarded failover.Trail
 	Header    http.Header
 	Body      []byte
 	Digest    []byte
@@ -139,7 +139,7 @@
 		q.Age = time.Duration(age) * time.Millisecond
 	}
 	q.OriginRaw = r.Header.Get(HeaderOrigin)
-	q.Origin, err = standing.ParseOrigin(q.OriginRaw)
+	q.Origin, err = failover.ParseOrigin(q.OriginRaw)
 	if err != nil {
 		return nil, newRefusal(http.StatusBadRequest, "bad-origin", "%v", err)
 	}
@@ -148,7 +148,7 @@
 		return nil, newRefusal(http.StatusBadRequest, "bad-key", "%s has more than 200 bytes; send a shorter key", HeaderKey)
 	}
 	if text := r.Header.Get(HeaderForwarded); text != "" {
-		if q.Forwarded, err = standing.ParseTrail(text); err != nil {
+		if q.Forwarded, err = failover.ParseTrail(text); err != nil {
 			return nil, newRefusal(http.StatusBadRequest, "bad-forward", "%s is for proxies only; leave it out", HeaderForwarded)
 		}
 	}
--- a/internal/proxy/course.go
+++ b/internal/proxy/request_machine.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"topazshed/internal/claim"
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
+	"topazshed/internal/controlplane"
+	"topazshed/internal/idempotency"
 	"topazshed/internal/schema"
 )
 
@@ -113,7 +113,7 @@
 	Repeats    int
 	phase      phase
 	now        time.Duration
-	local      *core.Local
+	local      *controlplane.Local
 	until      time.Duration
 	parkedAt   time.Duration
 	decision   Decision
@@ -146,7 +146,7 @@
 }
 
 // Next takes an event and gives the next order.
-func (c *RequestMachine) Next(now time.Duration, local *core.Local, e Event) Order {
+func (c *RequestMachine) Next(now time.Duration, local *controlplane.Local, e Event) Order {
 	c.now, c.local = now, local
 	if e.Kind == EventGone {
 		if c.phase == phaseForwardPause {
@@ -294,7 +294,7 @@
 
 func (c *RequestMachine) reserve() Order {
 	d := c.decision
-	members := claim.Match(d.Replicas, c.Request.Attempt)
+	members := idempotency.Match(d.Replicas, c.Request.Attempt)
 	c.phase = phaseReserve
 	c.replicas, c.held, c.reservedAt = d.Replicas, members, c.now
 	c.round++
@@ -325,7 +325,7 @@
 	case schema.ReservationState_RESERVATION_UNAVAILABLE:
 		c.sinceBytes = time.Duration(e.Reserved.LeftMs) * time.Millisecond
 	}
-	isTaken := c.taken >= claim.Majority(len(c.held))
+	isTaken := c.taken >= idempotency.Majority(len(c.held))
 	switch {
 	case isTaken && c.now-c.reservedAt < constants.ReservationWait:
 		c.isReserved = true
@@ -510,7 +510,7 @@
 	return Order{Kind: OrderWait, For: 5 * constants.ParkStep}
 }
 
-func isStill(local *core.Local, again, d Decision) bool {
+func isStill(local *controlplane.Local, again, d Decision) bool {
 	if !slices.Equal(again.Owner.Trail, d.Owner.Trail) || again.Owner.Fenced && !d.IsSafe || again.Entry == nil {
 		return false
 	}
--- a/internal/proxy/course_test.go
+++ b/internal/proxy/request_machine_test.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
-	"topazshed/internal/image"
+	"topazshed/internal/controlplane"
+	"topazshed/internal/failover"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
+	"topazshed/internal/store"
 )
 
 func sealed(attempt, instance, body string) *Result {
@@ -43,13 +43,13 @@
 	elsewhereKept.Put(noon, &Request{Attempt: "attempt-1", Digest: []byte("d")}, sealed("attempt-1", "l-1", "before"))
 	again := Event{Kind: EventReplayed, Replayed: elsewhereKept.Replay(&schema.ReplayRequest{Attempt: "attempt-1", Digest: []byte("d")})}
 	torn := Event{Kind: EventReplayed, Replayed: &schema.ReplayResponse{Kept: true, Status: 200, Header: again.Replayed.Header, Body: []byte("bef")}}
-	isolated := func(l *core.Local) { l.View.Version = 0 }
+	isolated := func(l *controlplane.Local) { l.View.Version = 0 }
 	names := map[OrderKind]string{OrderReply: "reply", OrderWait: "wait", OrderConnect: "connect", OrderSend: "send", OrderReserve: "claim", OrderListen: "listen", OrderRelease: "release", OrderReplay: "replay"}
 	for _, c := range []struct {
 		name     string
 		isUnsafe bool
 		wait     time.Duration
-		change   func(*core.Local)
+		change   func(*controlplane.Local)
 		after    time.Duration
 		events   []Event
 		orders   string
@@ -74,9 +74,9 @@
 		{"a wait that is over is told at once, not parked again", false, 100 * time.Millisecond, isolated, 100 * time.Millisecond, []Event{begun, {Kind: EventWoken}}, "wait reply", "declined", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			q := &Request{Service: "ledger", Path: "/balances/7", Method: "GET", Attempt: "attempt-1", Wait: c.wait, Origin: standing.Origin{Region: "north"}}
+			q := &Request{Service: "ledger", Path: "/balances/7", Method: "GET", Attempt: "attempt-1", Wait: c.wait, Origin: failover.Origin{Region: "north"}}
 			if c.isUnsafe {
-				q.Path, q.Method, q.Origin = "/pay", "POST", standing.Origin{Service: "ledger", Path: "/pay"}
+				q.Path, q.Method, q.Origin = "/pay", "POST", failover.Origin{Service: "ledger", Path: "/pay"}
 			}
 			w := base(backend("l-1", "north-a"), backend("l-2", "north-a"), backend("l-3", "north-b"))
 			local := fresh(w.view())
@@ -128,14 +128,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := base(backend("l-1", "north-a"))
-			w.put("", image.EncodeRow(image.EntryKey("ledger", "/keyed"), &schema.Entry{Service: "ledger", Path: "/keyed", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, Keyed: true, ResponseLimit: 4096, ColdRate: 6}))
-			w.put("", image.EncodeRow(image.AssignmentKey("ledger", "/keyed", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/keyed", Region: "north", Number: 100}))
-			w.put("", image.EncodeRow(image.EntityKey("ledger", "/keyed"), &schema.Entity{Service: "ledger", Path: "/keyed", Region: "north", Number: 101}))
-			w.put("", image.EncodeRow(image.ShardSlotKey("ledger", Slot("k")), &schema.ShardSlot{Service: "ledger", Slot: Slot("k"), Instance: "l-1", Number: 1}))
+			w.put("", store.EncodeRow(store.EntryKey("ledger", "/keyed"), &schema.Entry{Service: "ledger", Path: "/keyed", Methods: []string{"GET"}, SafeMethods: []string{"GET"}, Keyed: true, ResponseLimit: 4096, ColdRate: 6}))
+			w.put("", store.EncodeRow(store.AssignmentKey("ledger", "/keyed", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/keyed", Region: "north", Number: 100}))
+			w.put("", store.EncodeRow(store.EntityKey("ledger", "/keyed"), &schema.Entity{Service: "ledger", Path: "/keyed", Region: "north", Number: 101}))
+			w.put("", store.EncodeRow(store.ShardSlotKey("ledger", Slot("k")), &schema.ShardSlot{Service: "ledger", Slot: Slot("k"), Instance: "l-1", Number: 1}))
 			now := noon
 			loads, kept := NewLoads(func() time.Duration { return now }), NewKept()
 			local := fresh(w.view())
-			q := &Request{Service: "ledger", Path: "/keyed", Method: "GET", Key: "k", Attempt: "attempt-1", Wait: time.Second, Origin: standing.Origin{Service: "ledger", Path: "/keyed"}}
+			q := &Request{Service: "ledger", Path: "/keyed", Method: "GET", Key: "k", Attempt: "attempt-1", Wait: time.Second, Origin: failover.Origin{Service: "ledger", Path: "/keyed"}}
 			machine := NewRequestMachine(RequestOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Request: q, Begun: noon})
 			for _, e := range []Event{{Kind: EventBegun}, {Kind: EventConnected}} {
 				machine.Next(now, local, e)
--- a/internal/quorum/quorum.go
+++ b/internal/raft/node.go
@@ -1,5 +1,5 @@
-// Package quorum is the agreement of the disk machines: one leader, one log, as a machine without I/O.
-package quorum
+// Package raft is the agreement of the disk machines: one leader, one log, as a machine without I/O.
+package raft
 
 import (
 	"fmt"
--- a/internal/quorum/read.go
+++ b/internal/raft/read.go
@@ -1,4 +1,4 @@
-package quorum
+package raft
 
 import (
 	"slices"
--- a/internal/routes/read_test.go
+++ b/internal/routes/read_test.go
@@ -4,8 +4,8 @@
 	"strings"
 	"testing"
 
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 func TestReadNamesEveryFault(t *testing.T) {
@@ -41,7 +41,7 @@
 				if config.Version != 5 || config.Base != 4 || string(config.Document) != c.text {
 					t.Errorf("version %d on %d, document %s", config.Version, config.Base, config.Document)
 				}
-				faults = Check(config, 4, image.NewView())
+				faults = Check(config, 4, store.NewView())
 			}
 			var told []string
 			for _, fault := range faults {
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -11,12 +11,12 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // Check gives every fault of a configuration that would follow the newest version.
-func Check(config *schema.RouteConfig, newest uint64, view *image.View) []*schema.Fault {
+func Check(config *schema.RouteConfig, newest uint64, view *store.View) []*schema.Fault {
 	var faults []*schema.Fault
 	add := func(path, form string, args ...any) {
 		faults = append(faults, &schema.Fault{Path: path, Message: fmt.Sprintf(form, args...)})
@@ -74,33 +74,33 @@
 }
 
 // Plan makes the one record that replaces the newest configuration: it holds what changes, guarded against any other put.
-func Plan(table *image.Table, config *schema.RouteConfig, digest []byte) *schema.Record {
-	row := table.Get(image.HeadKey)
-	head := image.DecodeRow[schema.CatalogHead](row)
+func Plan(table *store.Table, config *schema.RouteConfig, digest []byte) *schema.Record {
+	row := table.Get(store.HeadKey)
+	head := store.DecodeRow[schema.CatalogHead](row)
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: fmt.Sprintf("configuration %d", config.Version),
-		Guards: []*schema.Guard{{Key: image.HeadKey, Index: row.GetIndex()}}}
+		Guards: []*schema.Guard{{Key: store.HeadKey, Index: row.GetIndex()}}}
 	kept := map[string]bool{}
 	put := func(key string, message proto.Message) {
 		kept[key] = true
-		fresh := image.EncodeRow(key, message)
+		fresh := store.EncodeRow(key, message)
 		if old := table.Get(key); old == nil || string(old.Value) != string(fresh.Value) {
 			record.Rows = append(record.Rows, fresh)
 		}
 	}
 	for _, route := range config.Routes {
-		put(image.RouteKey(strings.ToLower(route.Host), route.Prefix), route)
+		put(store.RouteKey(strings.ToLower(route.Host), route.Prefix), route)
 	}
 	for _, service := range config.Services {
-		put(image.PolicyKey(service.Service), service)
+		put(store.PolicyKey(service.Service), service)
 	}
 	limits := config.Limits
 	if limits == nil {
 		limits = &schema.Limits{}
 	}
-	put(image.LimitsKey, limits)
+	put(store.LimitsKey, limits)
 	drop := func(row *schema.Row) {
 		if !kept[row.Key] {
-			record.Rows = append(record.Rows, image.Tombstone(row.Key))
+			record.Rows = append(record.Rows, store.Tombstone(row.Key))
 		}
 	}
 	table.Each("route/", drop)
@@ -111,8 +111,8 @@
 	})
 	remember(table, record, head, &schema.AcceptedConfig{Version: config.Version, Digest: digest})
 	recent := append([]*schema.AcceptedConfig{{Version: config.Version, Digest: digest}}, head.GetRecent()...)
-	record.Rows = append(record.Rows, image.EncodeRow(image.HeadKey, &schema.CatalogHead{Version: config.Version, Recent: recent[:min(len(recent), constants.RecentConfigs)]}),
-		image.EncodeRow(image.DocumentKey, &schema.CatalogDocument{Version: config.Version, Document: config.Document}))
+	record.Rows = append(record.Rows, store.EncodeRow(store.HeadKey, &schema.CatalogHead{Version: config.Version, Recent: recent[:min(len(recent), constants.RecentConfigs)]}),
+		store.EncodeRow(store.DocumentKey, &schema.CatalogDocument{Version: config.Version, Document: config.Document}))
 	return record
 }
 
@@ -127,25 +127,25 @@
 )
 
 // Recall tells whether exactly this configuration was accepted before.
-func Recall(table *image.Table, config *schema.RouteConfig, digest []byte) Memory {
+func Recall(table *store.Table, config *schema.RouteConfig, digest []byte) Memory {
 	isSame := func(known *schema.AcceptedConfig) bool {
 		return known.GetVersion() == config.GetVersion() && bytes.Equal(known.GetDigest(), digest)
 	}
-	head := image.DecodeRow[schema.CatalogHead](table.Get(image.HeadKey))
-	known := image.DecodeRow[schema.AcceptedConfig](table.Get(image.AcceptedKey(config.GetVersion())))
+	head := store.DecodeRow[schema.CatalogHead](table.Get(store.HeadKey))
+	known := store.DecodeRow[schema.AcceptedConfig](table.Get(store.AcceptedKey(config.GetVersion())))
 	if isSame(known) || slices.ContainsFunc(head.GetRecent(), isSame) {
 		return Accepted
 	}
 	count, oldest := accepted(table)
-	if count >= constants.AcceptedConfigs && image.AcceptedKey(config.GetVersion()) < oldest && config.GetBase() != head.GetVersion() {
+	if count >= constants.AcceptedConfigs && store.AcceptedKey(config.GetVersion()) < oldest && config.GetBase() != head.GetVersion() {
 		return Forgotten
 	}
 	return NeverAccepted
 }
 
 // accepted counts the remembered configurations and gives the oldest one's key.
-func accepted(table *image.Table) (count int, oldest string) {
-	table.Each(image.AcceptedPrefix, func(row *schema.Row) {
+func accepted(table *store.Table) (count int, oldest string) {
+	table.Each(store.AcceptedPrefix, func(row *schema.Row) {
 		if count == 0 {
 			oldest = row.Key
 		}
@@ -156,13 +156,13 @@
 
 // remember adds to a record the row of the configuration that it puts in force, and takes the oldest one out when there are too many.
 // Those that a program which kept no rows has accepted are taken over.
-func remember(table *image.Table, record *schema.Record, head *schema.CatalogHead, config *schema.AcceptedConfig) {
+func remember(table *store.Table, record *schema.Record, head *schema.CatalogHead, config *schema.AcceptedConfig) {
 	for _, known := range append([]*schema.AcceptedConfig{config}, head.GetRecent()...) {
-		if key := image.AcceptedKey(known.Version); table.Get(key) == nil {
-			record.Rows = append(record.Rows, image.EncodeRow(key, known))
+		if key := store.AcceptedKey(known.Version); table.Get(key) == nil {
+			record.Rows = append(record.Rows, store.EncodeRow(key, known))
 		}
 	}
 	if count, oldest := accepted(table); count >= constants.AcceptedConfigs {
-		record.Rows = append(record.Rows, image.Tombstone(oldest))
+		record.Rows = append(record.Rows, store.Tombstone(oldest))
 	}
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 func route(host, prefix, service string) *schema.Route {
@@ -57,7 +57,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			config := good()
 			c.turn(config)
-			faults := Check(config, 7, image.NewView())
+			faults := Check(config, 7, store.NewView())
 			switch {
 			case c.want == "" && len(faults) > 0:
 				t.Fatalf("declined: %v", faults)
@@ -73,23 +73,23 @@
 	config.Version = 1
 	config.Routes[0].Prefix, config.Routes[0].TimeoutMs = "a", 700000
 	config.Routes[1].Targets[0].Service, config.Routes[2].Targets[0].Weight = "zinc", 0
-	if faults := Check(config, 7, image.NewView()); len(faults) != 5 {
+	if faults := Check(config, 7, store.NewView()); len(faults) != 5 {
 		t.Fatalf("%d faults, want 5: %v", len(faults), faults)
 	}
 }
 
 func TestCheckKnowsServicesFromTheList(t *testing.T) {
-	table := image.NewTable()
+	table := store.NewTable()
 	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
-		image.EncodeRow(image.BackendKey("zinc", "z-1"), &schema.Backend{Service: "zinc", Instance: "z-1", State: schema.BackendState_BACKEND_READY})}})
+		store.EncodeRow(store.BackendKey("zinc", "z-1"), &schema.Backend{Service: "zinc", Instance: "z-1", State: schema.BackendState_BACKEND_READY})}})
 	config := good()
 	config.Routes[0].Targets[0].Service = "zinc"
-	if faults := Check(config, 7, image.Compile(table)); len(faults) > 0 {
+	if faults := Check(config, 7, store.Compile(table)); len(faults) > 0 {
 		t.Fatalf("declined: %v", faults)
 	}
 }
 
-func apply(t *testing.T, table *image.Table, index uint64, record *schema.Record) {
+func apply(t *testing.T, table *store.Table, index uint64, record *schema.Record) {
 	t.Helper()
 	if _, err := table.Apply(index, record, nil); err != nil {
 		t.Fatal(err)
@@ -109,19 +109,19 @@
 	return keys
 }
 
-func placed(t *testing.T) (*image.Table, *schema.RouteConfig) {
+func placed(t *testing.T) (*store.Table, *schema.RouteConfig) {
 	t.Helper()
-	table := image.NewTable()
+	table := store.NewTable()
 	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
-		image.EncodeRow(image.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1", State: schema.BackendState_BACKEND_READY}),
-		image.EncodeRow(image.ShardRangeKey("nickel", 0), &schema.ShardRange{Service: "nickel", Last: 65535, Instance: "n-1"})}})
+		store.EncodeRow(store.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1", State: schema.BackendState_BACKEND_READY}),
+		store.EncodeRow(store.ShardRangeKey("nickel", 0), &schema.ShardRange{Service: "nickel", Last: 65535, Instance: "n-1"})}})
 	config := good()
 	apply(t, table, 2, Plan(table, config, []byte("d8")))
 	return table, config
 }
 
 func TestPlanHoldsOnlyWhatChanges(t *testing.T) {
-	always := []string{image.DocumentKey, image.HeadKey, image.AcceptedKey(9)}
+	always := []string{store.DocumentKey, store.HeadKey, store.AcceptedKey(9)}
 	for _, c := range []struct {
 		name string
 		turn func(*schema.RouteConfig)
@@ -134,7 +134,7 @@
 		{"a service goes, its back ends and spans stay", func(c *schema.RouteConfig) {
 			c.Services, c.Routes[1].Targets[0].Service = c.Services[:1], "copper"
 		}, []string{"-s/nickel/policy", "route/one.example/a/b/"}},
-		{"the limits change", func(c *schema.RouteConfig) { c.Limits.BodyBytes = 5 }, []string{image.LimitsKey}},
+		{"the limits change", func(c *schema.RouteConfig) { c.Limits.BodyBytes = 5 }, []string{store.LimitsKey}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, config := placed(t)
@@ -148,7 +148,7 @@
 				t.Fatalf("rows %v, want %v", got, want)
 			}
 			apply(t, table, 3, record)
-			view := image.Compile(table)
+			view := store.Compile(table)
 			if view.Head.Version != 9 || view.Services["copper"].Backend("c-1") == nil || len(view.Services["nickel"].Spans) != 1 {
 				t.Fatalf("after it: version %d, services %v", view.Head.Version, view.Services)
 			}
@@ -173,7 +173,7 @@
 	if _, err := table.Apply(4, second, nil); err == nil {
 		t.Fatal("both of two changes on top of one version were taken")
 	}
-	view := image.Compile(table)
+	view := store.Compile(table)
 	if view.Head.Version != 9 || view.Route("one.example", "/a/x").TimeoutMs != 111 || view.Route("one.example", "/a/b/x").TimeoutMs != 2000 {
 		t.Fatalf("version %d, %v", view.Head.Version, view.Hosts)
 	}
@@ -181,12 +181,12 @@
 
 // A program of before kept the last ones with the head alone: they are taken over by the next change.
 func TestConfigurationsOfAnEarlierProgramStayKnown(t *testing.T) {
-	table := image.NewTable()
+	table := store.NewTable()
 	head := &schema.CatalogHead{Version: 64}
 	for i := range uint64(64) {
 		head.Recent = append(head.Recent, &schema.AcceptedConfig{Version: 64 - i, Digest: fmt.Append(nil, "digest ", 64-i)})
 	}
-	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.EncodeRow(image.HeadKey, head)}})
+	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.HeadKey, head)}})
 	for next := uint64(65); next < 90; next++ {
 		for version := uint64(1); version < next; version++ {
 			if got := Recall(table, &schema.RouteConfig{Version: version}, fmt.Append(nil, "digest ", version)); got != Accepted {
@@ -198,7 +198,7 @@
 }
 
 func TestPlanRemembersAcceptedConfigurationsAndTheDocument(t *testing.T) {
-	table := image.NewTable()
+	table := store.NewTable()
 	const extra = 9
 	number := func(i uint64) *schema.RouteConfig {
 		return &schema.RouteConfig{Version: i + 1, Base: i, Document: fmt.Append(nil, "document ", i)}
@@ -206,7 +206,7 @@
 	for i := range uint64(constants.AcceptedConfigs + extra) {
 		apply(t, table, i+1, Plan(table, number(i), fmt.Append(nil, "digest ", i)))
 	}
-	head := image.DecodeRow[schema.CatalogHead](table.Get(image.HeadKey))
+	head := store.DecodeRow[schema.CatalogHead](table.Get(store.HeadKey))
 	if len(head.Recent) != constants.RecentConfigs {
 		t.Fatalf("every node is told of %d", len(head.Recent))
 	}
@@ -231,7 +231,7 @@
 	if got := Recall(table, onNewest, []byte("old version")); got != NeverAccepted {
 		t.Errorf("an old version on top of the newest is recalled as %d; it can't have been accepted", got)
 	}
-	document := image.DecodeRow[schema.CatalogDocument](table.Get(image.DocumentKey))
+	document := store.DecodeRow[schema.CatalogDocument](table.Get(store.DocumentKey))
 	if want := fmt.Appendf(nil, "document %d", head.Version-1); document.Version != head.Version || !bytes.Equal(document.Document, want) {
 		t.Fatalf("document %d %q, want %q", document.Version, document.Document, want)
 	}
--- a/internal/keys/homes.go
+++ b/internal/sharding/homes.go
@@ -1,8 +1,8 @@
-package keys
+package sharding
 
 import (
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // homes are the regions that the routes to one service allow: how many of those with home regions allow each.
@@ -11,7 +11,7 @@
 	isFree  bool
 }
 
-func homesOf(view *image.View) map[string]*homes {
+func homesOf(view *store.View) map[string]*homes {
 	all := map[string]*homes{}
 	for _, routes := range view.Hosts {
 		for _, route := range routes {
--- a/internal/keys/homes_test.go
+++ b/internal/sharding/homes_test.go
@@ -1,4 +1,4 @@
-package keys
+package sharding
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // route is a route to service a with home regions, or without.
@@ -18,11 +18,11 @@
 }
 
 func (w *world) setRoutes(version uint64, routes ...*schema.Route) {
-	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.EncodeRow(image.HeadKey, &schema.CatalogHead{Version: version})}}
-	w.table.Each("route/", func(row *schema.Row) { record.Rows = append(record.Rows, image.Tombstone(row.Key)) })
+	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.HeadKey, &schema.CatalogHead{Version: version})}}
+	w.table.Each("route/", func(row *schema.Row) { record.Rows = append(record.Rows, store.Tombstone(row.Key)) })
 	for _, r := range routes {
-		record.Rows = slices.DeleteFunc(record.Rows, func(row *schema.Row) bool { return row.Key == image.RouteKey(r.Host, r.Prefix) })
-		record.Rows = append(record.Rows, image.EncodeRow(image.RouteKey(r.Host, r.Prefix), r))
+		record.Rows = slices.DeleteFunc(record.Rows, func(row *schema.Row) bool { return row.Key == store.RouteKey(r.Host, r.Prefix) })
+		record.Rows = append(record.Rows, store.EncodeRow(store.RouteKey(r.Host, r.Prefix), r))
 	}
 	w.apply(record)
 }
@@ -60,7 +60,7 @@
 			w := newWorld(t, 1, 6, "a")
 			for i := range 3 {
 				zone := fmt.Sprintf("d%d", i)
-				w.put("", image.EncodeRow(image.ZoneKey(zone), &schema.Zone{Name: zone, Region: fmt.Sprintf("r%d", i)}))
+				w.put("", store.EncodeRow(store.ZoneKey(zone), &schema.Zone{Name: zone, Region: fmt.Sprintf("r%d", i)}))
 			}
 			w.setRoutes(1, c.routes...)
 			w.run(4 * time.Second)
@@ -85,7 +85,7 @@
 	w := newWorld(t, 1, 6, "a")
 	for i := range 3 {
 		zone := fmt.Sprintf("d%d", i)
-		w.put("", image.EncodeRow(image.ZoneKey(zone), &schema.Zone{Name: zone, Region: fmt.Sprintf("r%d", i)}))
+		w.put("", store.EncodeRow(store.ZoneKey(zone), &schema.Zone{Name: zone, Region: fmt.Sprintf("r%d", i)}))
 	}
 	w.setRoutes(1, route("/x/", 1, "r0"))
 	w.run(4 * time.Second)
@@ -96,7 +96,7 @@
 	}
 	w.cold = 0
 	w.empty("d1", true)
-	w.put("", image.EncodeRow(image.ZoneKey("d1"), &schema.Zone{Name: "d1", Region: "r1", Emptied: true}))
+	w.put("", store.EncodeRow(store.ZoneKey("d1"), &schema.Zone{Name: "d1", Region: "r1", Emptied: true}))
 	w.run(10 * time.Second)
 	if got := w.holding(); got != "[d2]" || w.unheld() > 0 || w.violations > 0 {
 		t.Fatalf("with an emptied home keys are held in %s, %d not held, %d with two holders", got, w.unheld(), w.violations)
--- a/internal/keys/layout_test.go
+++ b/internal/sharding/layout_test.go
@@ -1,10 +1,10 @@
-package keys
+package sharding
 
 import (
 	"errors"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
+	"topazshed/internal/store"
 )
 
 // layoutError tells that a service's spans do not cover its keys once.
@@ -21,7 +21,7 @@
 var errNotKeyed = errors.New("service has no key spans; mark it keyed in its policy and list a back end")
 
 // checkLayout tells whether a service's spans cover its keys once.
-func checkLayout(service *image.Service) error {
+func checkLayout(service *store.Service) error {
 	if len(service.Spans) == 0 {
 		return errNotKeyed
 	}
--- a/internal/keys/keys.go
+++ b/internal/sharding/sharding.go
@@ -1,5 +1,5 @@
-// Package keys grants ranges of a service's keys to its back ends; it is a pure state machine of the leader.
-package keys
+// Package sharding grants ranges of a service's keys to its back ends; it is a pure state machine of the leader.
+package sharding
 
 import (
 	"maps"
@@ -8,8 +8,8 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // Options make a Granter.
@@ -21,8 +21,8 @@
 // Facts are what the leader knows at one instant.
 type Facts struct {
 	Now   time.Duration
-	View  *image.View
-	Table *image.Table
+	View  *store.View
+	Table *store.Table
 	// IsLeading tells that this node leads and has applied all records of the leaders before.
 	IsLeading bool
 	ElectedAt time.Duration
@@ -175,7 +175,7 @@
 	head      *schema.CatalogHead
 	// listed are the back ends by address, as listedIn lists them.
 	listed   map[string][]string
-	listedIn *image.View
+	listedIn *store.View
 }
 
 // New makes a Granter.
@@ -248,7 +248,7 @@
 		if !strings.Contains(row.Key, "/span/") {
 			return
 		}
-		if span := image.DecodeRow[schema.ShardRange](row); span != nil {
+		if span := store.DecodeRow[schema.ShardRange](row); span != nil {
 			fence := span.Fence
 			if span.Releasing {
 				fence--
--- a/internal/keys/keys_test.go
+++ b/internal/sharding/sharding_test.go
@@ -1,4 +1,4 @@
-package keys
+package sharding
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 func rough(t *testing.T, seed int64, isHasty bool) *world {
@@ -240,7 +240,7 @@
 		{[]*schema.ShardRange{span(0, 9), span(9, constants.LastKey)}, false},
 		{[]*schema.ShardRange{span(0, 9)}, false},
 	} {
-		if err := checkLayout(&image.Service{Spans: c.spans}); (err == nil) != c.isWhole {
+		if err := checkLayout(&store.Service{Spans: c.spans}); (err == nil) != c.isWhole {
 			t.Fatalf("%v: %v", c.spans, err)
 		}
 	}
@@ -256,11 +256,11 @@
 		{"all zones settle", []string{"d0", "d1"}, "d0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			table := image.NewTable()
-			rows := []*schema.Row{image.EncodeRow(image.PolicyKey("a"), &schema.ServicePolicy{Service: "a", Keyed: true})}
+			table := store.NewTable()
+			rows := []*schema.Row{store.EncodeRow(store.PolicyKey("a"), &schema.ServicePolicy{Service: "a", Keyed: true})}
 			for _, zone := range []string{"d0", "d1"} {
-				rows = append(rows, image.EncodeRow(image.ZoneKey(zone), &schema.Zone{Name: zone, Settling: slices.Contains(c.settling, zone)}),
-					image.EncodeRow(image.BackendKey("a", "i-"+zone), &schema.Backend{Service: "a", Instance: "i-" + zone, Address: zone, Zone: zone, State: schema.BackendState_BACKEND_READY}))
+				rows = append(rows, store.EncodeRow(store.ZoneKey(zone), &schema.Zone{Name: zone, Settling: slices.Contains(c.settling, zone)}),
+					store.EncodeRow(store.BackendKey("a", "i-"+zone), &schema.Backend{Service: "a", Instance: "i-" + zone, Address: zone, Zone: zone, State: schema.BackendState_BACKEND_READY}))
 			}
 			if _, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows}, nil); err != nil {
 				t.Fatal(err)
@@ -268,14 +268,14 @@
 			g := New(Options{Most: 10 * time.Second})
 			var record *schema.Record
 			for now := time.Minute; record == nil && now < time.Minute+10*time.Second; now += 100 * time.Millisecond {
-				if effects := g.Step(Facts{Now: now, View: image.Compile(table), Table: table, IsLeading: true, ElectedAt: time.Minute, LeaseAt: now}); len(effects.Records) > 0 {
+				if effects := g.Step(Facts{Now: now, View: store.Compile(table), Table: table, IsLeading: true, ElectedAt: time.Minute, LeaseAt: now}); len(effects.Records) > 0 {
 					record = effects.Records[0]
 				}
 			}
 			if record == nil {
 				t.Fatal("nothing was laid out")
 			}
-			owner := image.DecodeRow[schema.ShardRange](record.Rows[0]).Instance
+			owner := store.DecodeRow[schema.ShardRange](record.Rows[0]).Instance
 			if owner != "i-"+c.want {
 				t.Errorf("the first keys go to %s, want i-%s", owner, c.want)
 			}
--- a/internal/keys/spans_test.go
+++ b/internal/sharding/spans_test.go
@@ -1,4 +1,4 @@
-package keys
+package sharding
 
 import (
 	"maps"
@@ -7,8 +7,8 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 // striped is a settled world whose holders have equal spans in turn.
@@ -17,7 +17,7 @@
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS}
 	for i := range uint32(spans) {
 		first, last := i*(constants.LastKey+1)/uint32(spans), (i+1)*(constants.LastKey+1)/uint32(spans)-1
-		record.Rows = append(record.Rows, image.EncodeRow(image.ShardRangeKey("a", first),
+		record.Rows = append(record.Rows, store.EncodeRow(store.ShardRangeKey("a", first),
 			&schema.ShardRange{Service: "a", First: first, Last: last, Instance: w.owners[int(i)%owners].row.Instance, Fence: 1 + uint64(i%3)}))
 	}
 	w.apply(record)
--- a/internal/keys/step.go
+++ b/internal/sharding/step.go
@@ -1,4 +1,4 @@
-package keys
+package sharding
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 type row struct {
@@ -26,7 +26,7 @@
 	g        *LeaseManager
 	m        *memory
 	f        Facts
-	service  *image.Service
+	service  *store.Service
 	effects  *Effects
 	rows     []row
 	eligible []string
@@ -36,8 +36,8 @@
 }
 
 func (s *step) run() {
-	s.f.Table.Each(image.ServicePrefix(s.service.Name)+"span/", func(r *schema.Row) {
-		if span := image.DecodeRow[schema.ShardRange](r); span != nil {
+	s.f.Table.Each(store.ServicePrefix(s.service.Name)+"span/", func(r *schema.Row) {
+		if span := store.DecodeRow[schema.ShardRange](r); span != nil {
 			s.rows = append(s.rows, row{span, r.Key, r.Index})
 		}
 	})
@@ -79,7 +79,7 @@
 		live[r.identity()] = true
 	}
 	maps.DeleteFunc(s.m.proposed, func(key string, p proposal) bool { return keys[key] != p.index })
-	prefix := image.ServicePrefix(s.service.Name)
+	prefix := store.ServicePrefix(s.service.Name)
 	maps.DeleteFunc(s.g.withdrawn, func(key string, index uint64) bool { return strings.HasPrefix(key, prefix) && keys[key] != index })
 	isOld := func(id identity, p *progress) bool { return !live[id] && !p.isWaiting }
 	maps.DeleteFunc(s.m.leases, isOld)
@@ -111,7 +111,7 @@
 }
 
 // listedAt gives the back ends that are listed at an address.
-func (g *LeaseManager) listedAt(view *image.View, address string) []string {
+func (g *LeaseManager) listedAt(view *store.View, address string) []string {
 	if g.listed == nil || g.listedIn != view {
 		g.listedIn, g.listed = view, map[string][]string{}
 		for _, service := range view.Services {
@@ -174,7 +174,7 @@
 	if !s.m.hasEligible || s.m.eligible != len(s.eligible) {
 		s.m.hasEligible, s.m.eligibleAt, s.m.eligible = true, s.f.Now, len(s.eligible)
 	}
-	key := image.ShardRangeKey(s.service.Name, 0)
+	key := store.ShardRangeKey(s.service.Name, 0)
 	if p, isThere := s.m.proposed[key]; s.f.Now-s.m.eligibleAt < constants.KeyLayoutSettle || isThere && s.f.Now-p.at < constants.KeyProposalPause {
 		return
 	}
@@ -186,7 +186,7 @@
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Guards: []*schema.Guard{{Key: key}}, Reason: "lay out keys"}
 	for i := range count {
 		first, last := i*(constants.LastKey+1)/count, (i+1)*(constants.LastKey+1)/count-1
-		record.Rows = append(record.Rows, image.EncodeRow(image.ShardRangeKey(s.service.Name, first),
+		record.Rows = append(record.Rows, store.EncodeRow(store.ShardRangeKey(s.service.Name, first),
 			&schema.ShardRange{Service: s.service.Name, First: first, Last: last, Instance: s.eligible[int(i)%len(s.eligible)], Fence: 1}))
 	}
 	s.m.proposed[key] = proposal{at: s.f.Now}
@@ -237,16 +237,16 @@
 		width = 0
 	}
 	for _, span := range fresh {
-		key := image.ShardRangeKey(s.service.Name, span.First)
+		key := store.ShardRangeKey(s.service.Name, span.First)
 		has[key] = true
 		if !had[key] {
 			record.Guards = append(record.Guards, &schema.Guard{Key: key})
 		}
-		record.Rows = append(record.Rows, image.EncodeRow(key, span))
+		record.Rows = append(record.Rows, store.EncodeRow(key, span))
 	}
 	for _, r := range old {
 		if !has[r.key] {
-			record.Rows = append(record.Rows, image.Tombstone(r.key))
+			record.Rows = append(record.Rows, store.Tombstone(r.key))
 		}
 	}
 	s.effects.Records = append(s.effects.Records, record)
--- a/internal/keys/silence_test.go
+++ b/internal/sharding/unresponsive_test.go
@@ -1,4 +1,4 @@
-package keys
+package sharding
 
 import (
 	"fmt"
--- a/internal/keys/world_test.go
+++ b/internal/sharding/world_test.go
@@ -1,4 +1,4 @@
-package keys
+package sharding
 
 import (
 	"errors"
@@ -9,8 +9,8 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/image"
 	"topazshed/internal/schema"
+	"topazshed/internal/store"
 )
 
 const (
@@ -45,8 +45,8 @@
 // stale is a leader that does not know that it was replaced.
 type stale struct {
 	node      int
-	table     *image.Table
-	view      *image.View
+	table     *store.Table
+	view      *store.View
 	electedAt time.Duration
 	leaseAt   time.Duration
 	from      time.Duration
@@ -63,8 +63,8 @@
 	leader     int
 	electedAt  time.Duration
 	old        *stale
-	table      *image.Table
-	view       *image.View
+	table      *store.Table
+	view       *store.View
 	index      uint64
 	commits    []commit
 	events     []event
@@ -81,7 +81,7 @@
 }
 
 func newWorld(t *testing.T, seed int64, count int, services ...string) *world {
-	w := &world{t: t, random: rand.New(rand.NewSource(seed)), now: time.Minute, table: image.NewTable(), view: image.NewView(), services: services, leader: 0, electedAt: time.Minute}
+	w := &world{t: t, random: rand.New(rand.NewSource(seed)), now: time.Minute, table: store.NewTable(), view: store.NewView(), services: services, leader: 0, electedAt: time.Minute}
 	w.cells = []uint32{0, 1, constants.LastKey}
 	for range 37 {
 		w.cells = append(w.cells, uint32(w.random.Intn(constants.LastKey+1)))
@@ -91,7 +91,7 @@
 		w.nodes = append(w.nodes, New(Options{Most: 10 * time.Second}))
 	}
 	for _, service := range services {
-		w.apply(&schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{image.EncodeRow(image.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: true})}})
+		w.apply(&schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: true})}})
 		for i := range count {
 			w.start(service, fmt.Sprintf("%s-%d:80", service, i), fmt.Sprintf("d%d", i%3))
 		}
@@ -115,7 +115,7 @@
 		if err := checkLayout(w.view.Services[name]); err != nil && (len(before[name]) > 0 || !errors.Is(err, errNotKeyed)) {
 			w.t.Fatalf("%v: %v", w.now, err)
 		}
-		old := &image.Service{Spans: before[name]}
+		old := &store.Service{Spans: before[name]}
 		for _, span := range spans {
 			if former := old.Span(span.First); former != nil && former.Instance != span.Instance {
 				w.moved += span.Last - span.First + 1
@@ -137,17 +137,17 @@
 }
 
 func (w *world) empty(zone string, isEmptied bool) {
-	w.put("", image.EncodeRow(image.ZoneKey(zone), &schema.Zone{Name: zone, Emptied: isEmptied}))
+	w.put("", store.EncodeRow(store.ZoneKey(zone), &schema.Zone{Name: zone, Emptied: isEmptied}))
 }
 
 func (w *world) list(h *owner) {
 	h.isListed = true
-	w.put("", image.EncodeRow(image.BackendKey(h.row.Service, h.row.Instance), h.row))
+	w.put("", store.EncodeRow(store.BackendKey(h.row.Service, h.row.Instance), h.row))
 }
 
 func (w *world) strike(h *owner) {
 	h.isListed = false
-	w.put("", image.Tombstone(image.BackendKey(h.row.Service, h.row.Instance)))
+	w.put("", store.Tombstone(store.BackendKey(h.row.Service, h.row.Instance)))
 }
 
 func (w *world) start(service, address, zone string) *owner {
@@ -285,10 +285,10 @@
 
 // depose lets another node lead; the old leader may go on unknowing for a while.
 func (w *world) depose() {
-	copied := image.NewTable()
+	copied := store.NewTable()
 	copied.Restore(w.table.Whole())
 	w.settle()
-	old := &stale{node: w.leader, table: copied, view: image.Compile(copied), electedAt: w.electedAt, leaseAt: w.now, from: w.now, until: w.now + 3*time.Second}
+	old := &stale{node: w.leader, table: copied, view: store.Compile(copied), electedAt: w.electedAt, leaseAt: w.now, from: w.now, until: w.now + 3*time.Second}
 	wait := 600*ms + w.span(1500*ms)
 	switch w.random.Intn(4) {
 	case 0: // crashed
--- a/internal/sim/failover.go
+++ b/internal/sim/failover.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"topazshed/internal/standing"
+	"topazshed/internal/failover"
 )
 
 // Failing is how long the loss of an entry's active group was felt, on virtual time from its last machine's end.
@@ -26,11 +26,11 @@
 		f.RunFor(10 * time.Second)
 		view := f.View(f.Leader())
 		entry := view.Services[kind.service].Entry(kind.path)
-		origin := standing.Origin{Region: "r0"}
-		if standing.IsBound(entry) {
-			origin = standing.Origin{Service: entry.Service, Path: entry.Path}
+		origin := failover.Origin{Region: "r0"}
+		if failover.IsBound(entry) {
+			origin = failover.Origin{Service: entry.Service, Path: entry.Path}
 		}
-		owner, err := standing.Resolve(view, entry, origin)
+		owner, err := failover.Resolve(view, entry, origin)
 		if err != nil {
 			return result, err
 		}
@@ -41,7 +41,7 @@
 			f.Request(fmt.Sprintf("failover-%s-%d", kind.service, i), kind.method, kind.service, kind.probe, "r0", 2*time.Second, func(o string) { isServed = isServed || o == "sealed" })
 			f.RunFor(50 * time.Millisecond)
 			if leader := f.Leader(); leader != nil && result.Number == 0 {
-				if now, err := standing.Resolve(f.View(leader), entry, origin); err == nil && now.Trail.IsNewer(owner.Trail) {
+				if now, err := failover.Resolve(f.View(leader), entry, origin); err == nil && now.Trail.IsNewer(owner.Trail) {
 					result.Number = f.Now - at
 				}
 			}
--- a/internal/sim/scenarios.go
+++ b/internal/sim/scenarios.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"topazshed/internal/judge"
+	"topazshed/internal/checker"
+	"topazshed/internal/failover"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
 )
 
 func (f *Fleet) leader() *Node {
@@ -49,16 +49,16 @@
 	return fmt.Errorf("no read-back within 10 s at %v", f.Now)
 }
 
-func (f *Fleet) owner(service, path string) standing.Owner {
+func (f *Fleet) owner(service, path string) failover.Owner {
 	for _, n := range f.Nodes {
 		view := f.View(n)
 		if known := view.Services[service]; n.IsUp && known != nil && known.Entry(path) != nil {
-			if owner, err := standing.Resolve(view, known.Entry(path), standing.Origin{Service: service, Path: path}); err == nil {
+			if owner, err := failover.Resolve(view, known.Entry(path), failover.Origin{Service: service, Path: path}); err == nil {
 				return owner
 			}
 		}
 	}
-	return standing.Owner{Region: "r0", Zone: "r0-d0"}
+	return failover.Owner{Region: "r0", Zone: "r0-d0"}
 }
 
 const finalLoss = 15 * time.Second
@@ -107,7 +107,7 @@
 				continue
 			}
 			a.Attempt, a.Region, a.Wait = fmt.Sprintf("probe-%d-%s-%d", at.Milliseconds(), a.Service, i), "r0", 2*time.Second
-			f.send(a, 1, func(r *judge.Reply) {
+			f.send(a, 1, func(r *checker.Reply) {
 				if r != nil && r.Result == "sealed" && !isServed[a.Service] {
 					isServed[a.Service] = true
 					f.Back[a.Service] = max(f.Back[a.Service], f.Now-at)
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -15,17 +15,17 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/catalog"
-	"topazshed/internal/claim"
+	"topazshed/internal/checker"
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
-	"topazshed/internal/image"
+	"topazshed/internal/controlplane"
+	"topazshed/internal/discovery"
+	"topazshed/internal/failover"
+	"topazshed/internal/idempotency"
 	"topazshed/internal/journal"
-	"topazshed/internal/judge"
+	"topazshed/internal/protocolversion"
 	"topazshed/internal/proxy"
-	"topazshed/internal/roster"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
-	"topazshed/internal/versions"
+	"topazshed/internal/store"
 )
 
 // Options shape a simulated fleet.
@@ -55,9 +55,9 @@
 	address   string
 	ident     string
 	disk      *Disk
-	core      *core.Machine
-	driver    *core.Driver
-	replica   *claim.Replica
+	core      *controlplane.Machine
+	driver    *controlplane.Driver
+	replica   *idempotency.Replica
 	loads     *proxy.Loads
 	kept      *proxy.Kept
 	rate      float64
@@ -102,8 +102,8 @@
 	Now           time.Duration
 	Nodes         []*Node
 	Backends      []*Backend
-	History       *judge.History
-	Verdicts      []*judge.Verdict
+	History       *checker.History
+	Verdicts      []*checker.Verdict
 	Violations    []string
 	Counts        map[string]int
 	Lost          map[string]int
@@ -121,13 +121,13 @@
 	leaders       map[uint64]string
 	applied       map[uint64][32]byte
 	numbers       map[string]uint64
-	trails        map[string]standing.Trail
+	trails        map[string]failover.Trail
 	matches       map[string]*found
 	votes         map[string]string
 	cutAt         map[string]time.Duration
 	accepted      uint64
 	accepts       map[uint64]time.Duration
-	stale         map[string]*core.Local
+	stale         map[string]*controlplane.Local
 	shown         map[string]string
 	log           *slog.Logger
 	listFault     string
@@ -146,8 +146,8 @@
 		writer = io.Discard
 	}
 	f := &Fleet{Options: o, random: rand.New(rand.NewSource(o.Seed)), cuts: map[[2]string]bool{}, lastAt: map[[2]string]time.Duration{}, Counts: map[string]int{}, Lost: map[string]int{}, Back: map[string]time.Duration{},
-		leaders: map[uint64]string{}, applied: map[uint64][32]byte{}, numbers: map[string]uint64{}, trails: map[string]standing.Trail{}, matches: map[string]*found{}, cutAt: map[string]time.Duration{}, votes: map[string]string{}, stale: map[string]*core.Local{}, shown: map[string]string{}, accepts: map[uint64]time.Duration{}}
-	f.History = judge.NewHistory(func() time.Duration { return f.Now }, regionOf)
+		leaders: map[uint64]string{}, applied: map[uint64][32]byte{}, numbers: map[string]uint64{}, trails: map[string]failover.Trail{}, matches: map[string]*found{}, cutAt: map[string]time.Duration{}, votes: map[string]string{}, stale: map[string]*controlplane.Local{}, shown: map[string]string{}, accepts: map[uint64]time.Duration{}}
+	f.History = checker.NewHistory(func() time.Duration { return f.Now }, regionOf)
 	f.log = slog.New(slog.NewTextHandler(writer, nil))
 	var zones []string
 	for r := range o.Regions {
@@ -230,12 +230,12 @@
 	n.ident = fmt.Sprintf("%012x", f.random.Int63()&0xffffffffffff)
 	self := &schema.Node{Id: n.ident, Address: n.address, Proxy: n.address + ":p", Admin: n.address + ":d", Zone: n.Zone, Region: n.Region, Disk: n.HasDisk,
 		Incarnation: uint64(f.Now.Milliseconds()) + 1, State: schema.NodeState_NODE_READY}
-	options := core.Options{Self: self, Seeds: f.seeds(), Draw: n.random.Int63n, Log: f.log.With("node", n.Name)}
+	options := controlplane.Options{Self: self, Seeds: f.seeds(), Draw: n.random.Int63n, Log: f.log.With("node", n.Name)}
 	var j *journal.Journal
 	if n.HasDisk {
 		sizes := journal.Options{Files: 4, FileBytes: 128 << 10, SnapshotBytes: 512 << 10}
 		opened, state, err := journal.Open(n.disk, sizes)
-		var newer *versions.DiskError
+		var newer *protocolversion.DiskError
 		if errors.As(err, &newer) {
 			f.Counts["disk of a newer version"]++
 			n.IsUp = false
@@ -257,16 +257,16 @@
 			self.Id = n.ident
 		}
 	}
-	n.replica = claim.NewReplica(n.ident, options.Restart)
+	n.replica = idempotency.NewReplica(n.ident, options.Restart)
 	n.loads = proxy.NewLoads(func() time.Duration { return f.clock(n) })
 	n.kept = proxy.NewKept()
 	n.fails = map[string]int{}
 	n.calls = map[uint64]func(*schema.Frame){}
-	n.core = core.New(f.clock(n), options)
+	n.core = controlplane.New(f.clock(n), options)
 	boot := n.Boot
-	n.driver = &core.Driver{Core: n.core, Journal: j, Now: func() time.Duration { return f.clock(n) },
+	n.driver = &controlplane.Driver{Core: n.core, Journal: j, Now: func() time.Duration { return f.clock(n) },
 		Send:   func(to string, frame *schema.Frame) { f.transmit(n, to, frame) },
-		Answer: func(o core.LocalResponse) { f.answer(n, o) },
+		Answer: func(o controlplane.LocalResponse) { f.answer(n, o) },
 		Synced: func(took time.Duration, err error) {
 			if took > constants.SlowSync {
 				n.core.SlowDisk(f.clock(n))
@@ -381,14 +381,14 @@
 func (f *Fleet) list(n *Node, boot int) {
 	f.on(n, boot, func() {
 		if n.core.IsLeading() {
-			page := roster.Page{Pages: 1, Revision: 1}
+			page := discovery.Page{Pages: 1, Revision: 1}
 			for _, b := range f.Backends {
 				if b.State != "gone" {
-					page.Backends = append(page.Backends, roster.Item{Service: b.Service, Instance: b.Instance, Address: b.Address, Zone: b.Zone, State: b.State})
+					page.Backends = append(page.Backends, discovery.Item{Service: b.Service, Instance: b.Instance, Address: b.Address, Zone: b.Zone, State: b.State})
 				}
 			}
 			page.Total = len(page.Backends)
-			pages := []roster.Page{page}
+			pages := []discovery.Page{page}
 			switch f.listFault {
 			case "empty":
 				pages[0].Backends, pages[0].Total = nil, 0
@@ -405,7 +405,7 @@
 			if f.listFault == "" {
 				f.show(page)
 			}
-			n.core.SetListRead(f.clock(n), roster.Join(pages))
+			n.core.SetListRead(f.clock(n), discovery.Join(pages))
 		}
 		f.after(constants.ListReadEvery, func() { f.list(n, boot) })
 	})
@@ -554,7 +554,7 @@
 	return leader
 }
 
-func (f *Fleet) answer(n *Node, o core.LocalResponse) {
+func (f *Fleet) answer(n *Node, o controlplane.LocalResponse) {
 	if take := n.calls[o.Ticket]; take != nil {
 		delete(n.calls, o.Ticket)
 		take(&schema.Frame{Body: &schema.Frame_OperatorResponse{OperatorResponse: o.Response}})
@@ -594,7 +594,7 @@
 }
 
 func (f *Fleet) notified(n *Node, at time.Duration, base uint64, request *schema.OperatorRequest, o *schema.OperatorResponse) {
-	e := judge.OperatorEvent{At: at, End: f.Now, Zone: request.Zone, Version: o.Version, Base: base, Status: 200, Node: n.Name}
+	e := checker.OperatorEvent{At: at, End: f.Now, Zone: request.Zone, Version: o.Version, Base: base, Status: 200, Node: n.Name}
 	switch request.Kind {
 	case schema.OperatorKind_OPERATOR_PUT:
 		e.What = "put"
@@ -603,7 +603,7 @@
 			e.What = "bad-put"
 		}
 		for _, entry := range document.Entries {
-			e.Entries = append(e.Entries, judge.EntrySeen{Service: entry.Service, Path: entry.Path, Methods: entry.Methods, Safe: entry.RepeatSafe, Homes: entry.HomeRegions})
+			e.Entries = append(e.Entries, checker.EntrySeen{Service: entry.Service, Path: entry.Path, Methods: entry.Methods, Safe: entry.RepeatSafe, Homes: entry.HomeRegions})
 		}
 	case schema.OperatorKind_OPERATOR_SHOW:
 		e.What = "show"
@@ -820,4 +820,4 @@
 }
 
 // View gives a machine's compiled image.
-func (f *Fleet) View(n *Node) *image.View { return n.core.Local().View }
+func (f *Fleet) View(n *Node) *store.View { return n.core.Local().View }
--- a/internal/sim/traffic.go
+++ b/internal/sim/traffic.go
@@ -11,14 +11,14 @@
 	"strings"
 	"time"
 
+	"topazshed/internal/checker"
 	"topazshed/internal/constants"
-	"topazshed/internal/core"
+	"topazshed/internal/controlplane"
 	"topazshed/internal/directory"
-	"topazshed/internal/image"
-	"topazshed/internal/judge"
+	"topazshed/internal/failover"
 	"topazshed/internal/proxy"
 	"topazshed/internal/schema"
-	"topazshed/internal/standing"
+	"topazshed/internal/store"
 )
 
 type found struct {
@@ -60,7 +60,7 @@
 	return list
 }
 
-func (f *Fleet) local(n *Node) *core.Local {
+func (f *Fleet) local(n *Node) *controlplane.Local {
 	local := n.core.Local()
 	switch f.Options.Fault {
 	case "grants":
@@ -74,7 +74,7 @@
 		local.View = old.View
 	case "cold", "home":
 		view := *local.View
-		view.Services = map[string]*image.Service{}
+		view.Services = map[string]*store.Service{}
 		for name, service := range local.View.Services {
 			copied := *service
 			copied.Backends = nil
@@ -293,7 +293,7 @@
 	if q.Method == http.MethodGet {
 		return
 	}
-	trail, err := standing.ParseTrail(number)
+	trail, err := failover.ParseTrail(number)
 	if name := q.Service + q.Path; err != nil || f.trails[name].IsNewer(trail) {
 		f.addViolation("an unsafe leg of %s began under %q after one under %v", name, number, f.trails[name])
 	} else {
@@ -339,12 +339,12 @@
 	}
 	f.Kill(n)
 	n.isSilent = false
-	f.History.Fleet = append(f.History.Fleet, judge.FleetEvent{At: at, End: f.Now, What: "stop", Node: n.Name, Proxy: n.address + ":p"})
+	f.History.Fleet = append(f.History.Fleet, checker.FleetEvent{At: at, End: f.Now, What: "stop", Node: n.Name, Proxy: n.address + ":p"})
 }
 
 // Query is one simulated sending; done is told its outcome: sealed, declined, doubtful, unreached, broken or late.
 func (f *Fleet) Request(attempt, method, service, path string, region string, wait time.Duration, done func(result string)) {
-	f.send(Ask{Attempt: attempt, Method: method, Service: service, Path: path, Region: region, Wait: wait}, 1, func(r *judge.Reply) {
+	f.send(Ask{Attempt: attempt, Method: method, Service: service, Path: path, Region: region, Wait: wait}, 1, func(r *checker.Reply) {
 		switch {
 		case r == nil:
 			done("unreached")
@@ -356,7 +356,7 @@
 	})
 }
 
-func (f *Fleet) send(a Ask, serial int, done func(*judge.Reply)) {
+func (f *Fleet) send(a Ask, serial int, done func(*checker.Reply)) {
 	name := a.Region + "/" + a.Service + a.Path
 	until := f.Now + a.Wait
 	if m := f.matches[name]; m != nil && f.Now < m.until {
@@ -384,7 +384,7 @@
 	return between(region, n.Region)
 }
 
-func (f *Fleet) match(n *Node, boot int, a Ask, serial int, until, parked time.Duration, done func(*judge.Reply)) {
+func (f *Fleet) match(n *Node, boot int, a Ask, serial int, until, parked time.Duration, done func(*checker.Reply)) {
 	isOver := false
 	f.after(min(time.Second, max(until-f.Now, 0)), func() {
 		if !isOver {
@@ -409,12 +409,12 @@
 				return
 			}
 			isOver = true
-			seen := judge.MatchSeen{At: f.Now, Admin: n.Name, Service: a.Service, Path: a.Path, Status: http.StatusOK, Boot: boot, IsCutOff: f.isOutOfReach(n)}
+			seen := checker.MatchSeen{At: f.Now, Admin: n.Name, Service: a.Service, Path: a.Path, Status: http.StatusOK, Boot: boot, IsCutOff: f.isOutOfReach(n)}
 			f.after(f.far(a.Region, n), func() {
 				if fault != nil {
 					seen.Status = fault.Status
 					f.History.Matches = append(f.History.Matches, seen)
-					done(&judge.Reply{At: f.Now, End: f.Now, Attempt: a.Attempt, Service: a.Service, Path: a.Path, Result: proxy.ResultRefused, Kind: fault.Kind, Status: fault.Status, Later: fault.RetryAfter, IsCutOff: seen.IsCutOff})
+					done(&checker.Reply{At: f.Now, End: f.Now, Attempt: a.Attempt, Service: a.Service, Path: a.Path, Result: proxy.ResultRefused, Kind: fault.Kind, Status: fault.Status, Later: fault.RetryAfter, IsCutOff: seen.IsCutOff})
 					return
 				}
 				seen.Version, seen.Zone = match.Version, match.Proxies[0].Zone
@@ -428,12 +428,12 @@
 	try()
 }
 
-func (f *Fleet) post(a Ask, serial int, m *found, until time.Duration, done func(*judge.Reply)) {
+func (f *Fleet) post(a Ask, serial int, m *found, until time.Duration, done func(*checker.Reply)) {
 	match := m.match
 	chosen := match.Proxies[f.random.Intn(len(match.Proxies))]
 	n := f.Node(strings.TrimSuffix(chosen.Address, ":p"))
 	left := until - f.Now
-	r := &judge.Reply{At: f.Now, Service: a.Service, Path: a.Path, Method: a.Method, Attempt: a.Attempt, Send: fmt.Sprintf("%s/%d", a.Attempt, serial), Zone: chosen.Zone, Proxy: chosen.Address,
+	r := &checker.Reply{At: f.Now, Service: a.Service, Path: a.Path, Method: a.Method, Attempt: a.Attempt, Send: fmt.Sprintf("%s/%d", a.Attempt, serial), Zone: chosen.Zone, Proxy: chosen.Address,
 		IsUnsafe: a.isUnsafe(), IsProper: true, IsCutOff: m.isCutOff || f.isOutOfReach(n)}
 	limit := left
 	if !r.IsUnsafe {
@@ -492,7 +492,7 @@
 
 // Attempt carries one attempt to its end as an honest caller would.
 func (f *Fleet) Attempt(a Ask) {
-	call := &judge.Call{At: f.Now, Service: a.Service, Path: a.Path, Attempt: a.Attempt, IsUnsafe: a.isUnsafe()}
+	call := &checker.Call{At: f.Now, Service: a.Service, Path: a.Path, Attempt: a.Attempt, IsUnsafe: a.isUnsafe()}
 	until := f.Now + a.Wait
 	kind := "safe "
 	if call.IsUnsafe {
@@ -524,7 +524,7 @@
 		if isDoubtful && call.IsUnsafe {
 			ask.Age = f.Now - call.At
 		}
-		f.send(ask, call.Sends, func(r *judge.Reply) {
+		f.send(ask, call.Sends, func(r *checker.Reply) {
 			pause := time.Duration(100+f.random.Intn(100)*min(call.Sends, 6)) * time.Millisecond
 			if r == nil {
 				f.after(300*time.Millisecond, try)
@@ -583,7 +583,7 @@
 					late := a
 					late.Age = time.Duration(8+f.random.Intn(24)) * time.Second
 					f.after(late.Age, func() {
-						f.send(late, 92, func(r *judge.Reply) {
+						f.send(late, 92, func(r *checker.Reply) {
 							if r != nil {
 								f.Counts["late repeat "+r.Result]++
 							}
@@ -595,7 +595,7 @@
 					a.HasTwin = true
 					twin.Region, twin.Wait = fmt.Sprintf("r%d", f.random.Intn(f.Options.Regions)), 4*time.Second
 					f.after(time.Duration(f.random.Intn(400))*time.Millisecond, func() {
-						f.send(twin, 91, func(r *judge.Reply) {
+						f.send(twin, 91, func(r *checker.Reply) {
 							if r != nil {
 								f.Counts["impatient "+r.Result]++
 							}
@@ -613,8 +613,8 @@
 }
 
 // Judge has the outside history judged and adds what it finds to the breaches.
-func (f *Fleet) Judge() []*judge.Verdict {
-	verdicts := judge.Check(f.History)
+func (f *Fleet) Judge() []*checker.Verdict {
+	verdicts := checker.Check(f.History)
 	for _, v := range verdicts {
 		for _, text := range v.Broken[:min(5, len(v.Broken))] {
 			f.addViolation("rule %s: %s", v.Rule, text)
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -10,9 +10,9 @@
 	"syscall"
 	"time"
 
-	"topazshed/internal/judge"
+	"topazshed/internal/checker"
+	"topazshed/internal/discovery"
 	"topazshed/internal/proxy"
-	"topazshed/internal/roster"
 )
 
 // Mode is how a simulated back end answers.
@@ -49,7 +49,7 @@
 	working                          int
 	waiting                          []func()
 	open                             map[uint64]func(error)
-	running                          map[*judge.Arrival]bool
+	running                          map[*checker.Arrival]bool
 }
 
 // AddBackend puts a back end into the platform's list.
@@ -58,7 +58,7 @@
 }
 
 func (f *Fleet) addBackend(service, zone, address string) *Backend {
-	b := &Backend{Service: service, Instance: fmt.Sprintf("%s-%d", service, len(f.Backends)), Zone: zone, Address: address, IsUp: true, State: "ready", open: map[uint64]func(error){}, running: map[*judge.Arrival]bool{}}
+	b := &Backend{Service: service, Instance: fmt.Sprintf("%s-%d", service, len(f.Backends)), Zone: zone, Address: address, IsUp: true, State: "ready", open: map[uint64]func(error){}, running: map[*checker.Arrival]bool{}}
 	if f.Now > 0 {
 		f.warm(b)
 	}
@@ -116,7 +116,7 @@
 	for a := range b.running {
 		a.End = f.Now
 	}
-	b.running = map[*judge.Arrival]bool{}
+	b.running = map[*checker.Arrival]bool{}
 	for _, id := range slices.Sorted(maps.Keys(b.open)) {
 		lose := b.open[id]
 		delete(b.open, id)
@@ -147,19 +147,19 @@
 	return f.addBackend(service, b.Zone, b.Address)
 }
 
-func (f *Fleet) show(page roster.Page) {
+func (f *Fleet) show(page discovery.Page) {
 	seen := map[string]string{}
 	for _, item := range page.Backends {
 		seen[item.Instance] = item.State
 	}
 	for _, instance := range slices.Sorted(maps.Keys(seen)) {
 		if f.shown[instance] != seen[instance] {
-			f.History.Platform = append(f.History.Platform, judge.PlatformEvent{At: f.Now, Instance: instance, What: seen[instance]})
+			f.History.Platform = append(f.History.Platform, checker.PlatformEvent{At: f.Now, Instance: instance, What: seen[instance]})
 		}
 	}
 	for _, instance := range slices.Sorted(maps.Keys(f.shown)) {
 		if seen[instance] == "" {
-			f.History.Platform = append(f.History.Platform, judge.PlatformEvent{At: f.Now, Instance: instance, What: "gone"})
+			f.History.Platform = append(f.History.Platform, checker.PlatformEvent{At: f.Now, Instance: instance, What: "gone"})
 		}
 	}
 	f.shown = seen
@@ -167,7 +167,7 @@
 
 func (f *Fleet) arrive(b *Backend, from *Node, order proxy.Order, method string, finish func(proxy.Event)) {
 	h := order.Header
-	a := &judge.Arrival{At: f.Now, End: f.Now, Service: b.Service, Instance: b.Instance, Path: order.Path, Method: method, Attempt: h.Get(proxy.HeaderAttempt), Send: h.Get("X-Send"),
+	a := &checker.Arrival{At: f.Now, End: f.Now, Service: b.Service, Instance: b.Instance, Path: order.Path, Method: method, Attempt: h.Get(proxy.HeaderAttempt), Send: h.Get("X-Send"),
 		Key: h.Get(proxy.HeaderKey), Proxy: from.Name, IsUnsafe: method != http.MethodGet, IsCutOff: f.isOutOfReach(from)}
 	f.History.Arrivals = append(f.History.Arrivals, a)
 	f.order++
@@ -256,7 +256,7 @@
 	work()
 }
 
-func (f *Fleet) worked(b *Backend, a *judge.Arrival, mode Mode, answer func(int, string, Mode)) {
+func (f *Fleet) worked(b *Backend, a *checker.Arrival, mode Mode, answer func(int, string, Mode)) {
 	if !b.running[a] {
 		return
 	}
--- a/internal/image/table.go
+++ b/internal/store/table.go
@@ -1,5 +1,5 @@
-// Package image holds the shared state as rows with indexes, its slices, digests and compiled views.
-package image
+// Package store holds the shared state as rows with indexes, its slices, digests and compiled views.
+package store
 
 import (
 	"bytes"
--- a/internal/image/table_test.go
+++ b/internal/store/table_test.go
@@ -1,4 +1,4 @@
-package image
+package store
 
 import (
 	"fmt"
--- a/internal/image/view.go
+++ b/internal/store/view.go
@@ -1,4 +1,4 @@
-package image
+package store
 
 import (
 	"hash/fnv"
@@ -7,8 +7,8 @@
 	"sort"
 	"strings"
 
+	"topazshed/internal/protocolversion"
 	"topazshed/internal/schema"
-	"topazshed/internal/versions"
 )
 
 // Service is the compiled slice of one service; it is never changed once published.
@@ -83,7 +83,7 @@
 func NewView() *View {
 	return &View{Head: &schema.CatalogHead{}, Nodes: map[string]*schema.Node{}, Regions: map[string]*schema.Region{},
 		Zones: map[string]*schema.Zone{}, ReplicaSets: map[string]*schema.ReplicaSet{}, Services: map[string]*Service{},
-		Groups: map[string]*schema.Group{}, Hosts: map[string][]*schema.Route{}, Limits: &schema.Limits{}, Defaults: map[string]*schema.FailoverAssignment{}, Fleet: versions.First}
+		Groups: map[string]*schema.Group{}, Hosts: map[string][]*schema.Route{}, Limits: &schema.Limits{}, Defaults: map[string]*schema.FailoverAssignment{}, Fleet: protocolversion.First}
 }
 
 // Entry matches a path to the service's entry with the longest fitting path.
@@ -142,7 +142,7 @@
 			fresh.System = string(row.Value)
 		case "catalog":
 			if row.Key == VersionKey {
-				fresh.Fleet = versions.InUse(DecodeRow[schema.FleetVersion](row).GetVersion())
+				fresh.Fleet = protocolversion.InUse(DecodeRow[schema.FleetVersion](row).GetVersion())
 			}
 			if row.Key == HeadKey {
 				if head := DecodeRow[schema.CatalogHead](row); head != nil {
--- a/internal/kernel/kernel.go
+++ b/internal/supervisor/supervisor.go
@@ -1,5 +1,5 @@
-// Package kernel lets the services of one process find each other by name and ends them in order.
-package kernel
+// Package supervisor lets the services of one process find each other by name and ends them in order.
+package supervisor
 
 import (
 	"errors"
--- a/internal/kernel/kernel_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -1,4 +1,4 @@
-package kernel
+package supervisor
 
 import (
 	"errors"
