--- a/cmd/testfleet/fleet.go
+++ b/cmd/testfleet/fleet.go
@@ -84,7 +84,7 @@
 	spawns   chan func()
 }
 
-// link names are machine names; callers and the rest use their district.
+// link names are machine names; callers and the rest use their zone.
 func (f *Fleet) placeOf(ip string) string {
 	parts := strings.Split(ip, ".")
 	zone, _ := strconv.Atoi(parts[2])
--- a/cmd/testfleet/main.go
+++ b/cmd/testfleet/main.go
@@ -53,7 +53,7 @@
 	flags.Int64Var(&c.seed, "seed", 1, "seed of the load and the world")
 }
 
-// Report is the outcome of a run.
+// Report is the response of a run.
 type Report struct {
 	Deployment string             `json:"deployment"`
 	Seed       int64              `json:"seed"`
--- a/cmd/topazshed/rollout.go
+++ b/cmd/topazshed/rollout.go
@@ -37,7 +37,7 @@
 	Waits    []string               `json:"waits"`
 }
 
-// assess reads a roll-out's standing off a node's status.
+// assess reads a roll-out's failover assignment off a node's status.
 func assess(s *adminapi.Status) rollout {
 	r := rollout{InUse: s.Fleet, Newest: s.Newest, Holds: []protocolversion.Hold{}, Waits: []string{}}
 	wait := func(form string, args ...any) { r.Waits = append(r.Waits, fmt.Sprintf(form, args...)) }
--- a/internal/adminapi/routed.go
+++ b/internal/adminapi/routed.go
@@ -27,7 +27,7 @@
 	IsReady func() bool
 }
 
-// Change is one change of standing, as the log tells it.
+// Change is one change of failover assignment, as the log tells it.
 type Change struct {
 	Service string `json:"service,omitempty"`
 	Path    string `json:"path,omitempty"`
@@ -75,7 +75,7 @@
 	Residue uint32   `json:"residue"`
 }
 
-// SpanStatus is a span of keys with its holder; Fence is the number under which it holds them.
+// SpanStatus is a span of keys with its owner; Fence is the number under which it holds them.
 type SpanStatus struct {
 	Service   string `json:"service"`
 	First     uint32 `json:"first"`
@@ -221,7 +221,7 @@
 	})
 }
 
-// StandingAnswer is what one origin region resolves to for a service now, and its newest changes.
+// AssignmentsAnswer is what one origin region resolves to for a service now, and its newest changes.
 type AssignmentsAnswer struct {
 	Service string   `json:"service,omitempty"`
 	Origin  string   `json:"origin"`
@@ -232,7 +232,7 @@
 	Trail   string   `json:"trail"`
 	Reason  string   `json:"reason"`
 	Changes []Change `json:"changes"`
-	// LeaderSilent tells why the changes are missing.
+	// LeaderUnreachable tells why the changes are missing.
 	LeaderUnreachable string `json:"leader_silent,omitempty"`
 }
 
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -59,11 +59,11 @@
 	Kind    string  `json:"kind,omitempty"`
 	Message string  `json:"message,omitempty"`
 	Faults  []Fault `json:"faults,omitempty"`
-	// Unconfirmed are the districts whose proxies have not all told that they have the change.
+	// Unconfirmed are the zones whose proxies have not all told that they have the change.
 	Unconfirmed []string `json:"unconfirmed,omitempty"`
 }
 
-// Standing is one row of the region map or of the entity rows, with the reason of its last change.
+// Assignment is one row of the region map or of the entity rows, with the reason of its last change.
 type Assignment struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
@@ -88,13 +88,13 @@
 	// SpeaksLow and SpeaksHigh are the versions that the node told.
 	SpeaksLow  uint32 `json:"speaks_low"`
 	SpeaksHigh uint32 `json:"speaks_high"`
-	// Index, HeardMs and InForce are the leader's word: the image that the node had, how long ago it told, and whether the newest configuration is in force there. HeardMs is -1 if the leader has not heard from it.
+	// Index, HeardMs and InForce are the leader's word: the snapshot that the node had, how long ago it told, and whether the newest configuration is in force there. HeardMs is -1 if the leader has not heard from it.
 	Index   uint64 `json:"index,omitempty"`
 	HeardMs int64  `json:"heard_ms,omitempty"`
 	InForce bool   `json:"in_force,omitempty"`
 }
 
-// DistrictStatus is a district as this node knows it.
+// ZoneStatus is a zone as this node knows it.
 type ZoneStatus struct {
 	Name    string `json:"name"`
 	Region  string `json:"region"`
@@ -145,17 +145,17 @@
 	Entries        []string          `json:"entries"`
 	Backends       []BackendStatus   `json:"backends"`
 	Unconfirmed    []string          `json:"unconfirmed,omitempty"`
-	// LossesBorne is how many more voters may be lost before there is no majority; SilentVoters are those that the leader does not hear.
+	// ToleratedLosses is how many more voters may be lost before there is no majority; UnresponsiveVoters are those that the leader does not hear.
 	LossesBorne        uint32   `json:"losses_borne"`
 	UnresponsiveVoters []string `json:"silent_voters,omitempty"`
-	// LeaderSilent tells why the leader's part is missing: the changes, and what each machine has.
+	// LeaderUnreachable tells why the leader's part is missing: the changes, and what each machine has.
 	LeaderUnreachable string        `json:"leader_silent,omitempty"`
 	Changes           []Change      `json:"changes,omitempty"`
 	Resting           []string      `json:"resting,omitempty"`
 	Routed            *RoutedStatus `json:"routed,omitempty"`
 }
 
-// Door serves directory and operators.
+// Server serves directory and operators.
 type Server struct{ options Options }
 
 // New makes the door's handler.
@@ -176,7 +176,7 @@
 	return router
 }
 
-// NewInsight makes the part of the door that only reads and asks no operator's leave: status, standings, metrics.
+// NewInsight makes the part of the door that only reads and asks no operator's leave: status, failover assignments, metrics.
 func NewInsight(options Options) http.Handler { return (&Server{options}).insight() }
 
 func (d *Server) insight() *chi.Mux {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -244,7 +244,7 @@
 	return record, version, nil
 }
 
-// Standings makes the first standing rows of entries, so that a configuration and its standing take effect together.
+// Assignments makes the first failover assignment rows of entries, so that a configuration and its failover assignment take effect together.
 func Assignments(view *store.View, table *store.Table, record *schema.Record) {
 	scratch := store.NewTable()
 	scratch.Restore(table.Whole())
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -56,7 +56,7 @@
 	Last     string
 }
 
-// MatchSeen is a directory's outcome as a caller saw it.
+// MatchSeen is a directory's response as a caller saw it.
 type MatchSeen struct {
 	At       time.Duration
 	Admin    string
@@ -119,7 +119,7 @@
 	Births    map[string][]time.Duration
 }
 
-// NewHistory makes an empty history on a clock and a way to tell a district's region.
+// NewHistory makes an empty history on a clock and a way to tell a zone's region.
 func NewHistory(now func() time.Duration, regionOf func(zone string) string) *History {
 	return &History{Now: now, RegionOf: regionOf, Places: map[string]string{}, Births: map[string][]time.Duration{}}
 }
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -28,7 +28,7 @@
 	SnapshotWindow = 4
 	// SnapshotBytesMost (bytes) is the largest snapshot that is received: above any that the size to design for has (55 MB packed), below a size that is noise.
 	SnapshotBytesMost = 1 << 30
-	// RaftImageEvery (items) is the log length after which a new image is written.
+	// RaftSnapshotEvery (items) is the log length after which a new snapshot is written.
 	RaftSnapshotEvery = 4096
 	// RaftLogBytes (bytes) of log in memory above which a new snapshot is written, whatever their number: an eighth of the smallest machines' memory.
 	RaftLogBytes = 24 << 20
@@ -36,33 +36,33 @@
 	LearnerGap = 16
 	// MemberLostAfter (time) is the silence after which a voter is replaced if a learner stands by.
 	MemberLostAfter = 6 * time.Second
-	// ProposalWait (time) is how long an operator's query may wait for its commit before it is doubtful.
+	// ProposalWait (time) is how long an operator's request may wait for its commit before it is doubtful.
 	ProposalWait = 5 * time.Second
 
-	// BeatEvery (time) is a node's report to the leader: ten in a grant; each tells the image it has.
+	// HeartbeatEvery (time) is a node's report to the leader: ten in a lease; each tells the snapshot it has.
 	HeartbeatEvery = 400 * time.Millisecond
-	// NodeLostAfter (time) is the silence after which the leader takes a node as lost: five beats and a far link.
+	// NodeLostAfter (time) is the silence after which the leader takes a node as lost: five heartbeats and a far link.
 	NodeLostAfter = 2400 * time.Millisecond
-	// GrantTime (time) is how long a node may start unsafe legs after it sent the beat that was granted: ten beats, and grant, margin and claim window together stay under 15 s.
+	// LeaseDuration (time) is how long a node may start unsafe attempts after it sent the heartbeat that was granted: ten heartbeats, and lease, margin and reservation window together stay under 15 s.
 	LeaseDuration = 4 * time.Second
-	// GrantMargin (time) covers a clock-rate error of 5 per cent on a grant, twice.
+	// LeaseClockMargin (time) covers a clock-rate error of 5 per cent on a lease, twice.
 	LeaseClockMargin = 500 * time.Millisecond
-	// IsolatedAfter (time) is the age of the last word from core or region at which a proxy declines all.
+	// IsolatedAfter (time) is the age of the last word from core or region at which a proxy refuses all.
 	IsolatedAfter = 4 * time.Second
-	// ConfirmWait (time) is how long an accepted operator's query waits for every proxy's word before it tells who has not given it.
+	// ConfirmWait (time) is how long an accepted operator's request waits for every proxy's word before it tells who has not given it.
 	ConfirmWait = time.Second
 	// BehindMost (time) is how long a disk machine serves on although it was told of changes that it can't apply yet: with the way there it stays below 2.5 s.
 	BehindMost = 1500 * time.Millisecond
-	// StandingPlanEvery (time) is how often the leader's watcher derives the standing.
+	// FailoverPlanEvery (time) is how often the leader's watcher derives the failover assignment.
 	FailoverPlanEvery = 200 * time.Millisecond
-	// StandingSettle (time) keeps a fresh leader from judging nodes that could not have reported yet.
+	// FailoverSettle (time) keeps a fresh leader from judging nodes that could not have reported yet.
 	FailoverSettle = 2 * time.Second
 	// GroupIncrement (numbers) is the failover increment of routed fleets: 46 regions with 182 zones need 46 + 182 + 46 residues, some zones lost at once many more.
 	GroupIncrement = 10000
 	// Increment (numbers) is the failover increment: the source's example, room for 50 groups and 50 regions.
 	Increment = 100
 
-	// ShuffleEvery (time) is how often a node shuffles its partial view with one neighbour.
+	// ShuffleEvery (time) is how often a node shuffles its partial view with one peer.
 	ShuffleEvery = time.Second
 	// ActiveView (nodes) is the size of the small view whose members are probed.
 	ActiveView = 5
@@ -70,9 +70,9 @@
 	PassiveView = 24
 	// ShuffleSample (nodes) travel in one shuffle.
 	ShuffleSample = 8
-	// ProbeEvery (time) is the probing period of one neighbour.
+	// ProbeEvery (time) is the probing period of one peer.
 	ProbeEvery = 500 * time.Millisecond
-	// ProbeWait (time) is the silence after which a probed neighbour is suspected: three probes.
+	// ProbeWait (time) is the silence after which a probed peer is suspected: three probes.
 	ProbeWait = 1600 * time.Millisecond
 	// SuspectWitnesses (nodes) must agree before the leader treats a suspicion as a loss.
 	SuspectWitnesses = 2
@@ -85,9 +85,9 @@
 	DeltaEvery = 250 * time.Millisecond
 	// SubscribeEvery (time) renews a subscription; the server forgets one after four missed renewals.
 	SubscribeEvery = 500 * time.Millisecond
-	// SubscriptionLife (time) is when the server forgets a silent subscriber.
+	// SubscriptionTTL (time) is when the server forgets a silent subscriber.
 	SubscriptionTTL = 2 * time.Second
-	// SourceSilent (time) is when a subscriber turns to another source of deltas.
+	// SourceTimeout (time) is when a subscriber turns to another source of deltas.
 	SourceTimeout = 900 * time.Millisecond
 	// SourceTryPause (time) more passes before each further machine is tried as a source, so that a fleet without a majority does not storm the few that have the log.
 	SourceTryPause = 150 * time.Millisecond
@@ -100,95 +100,95 @@
 	// DigestEvery (time) is how often a subscriber compares its ranges with its source.
 	DigestEvery = 2 * time.Second
 
-	// RosterEvery (time) is the pause between sweeps of the platform's list.
+	// ListReadEvery (time) is the pause between sweeps of the platform's list.
 	ListReadEvery = 500 * time.Millisecond
-	// RosterMissing (sweeps) is how many whole sweeps must lack a back end before it is taken out.
+	// EndpointMissingReads (sweeps) is how many whole sweeps must lack a back end before it is taken out.
 	EndpointMissingReads = 2
-	// RosterFloor (percent) of a service may vanish in one sweep; more needs the probes' agreement too.
+	// EndpointFloor (percent) of a service may vanish in one sweep; more needs the probes' agreement too.
 	EndpointFloor = 50
-	// RosterCall (time) bounds one page's call.
+	// ListCallTimeout (time) bounds one page's call.
 	ListCallTimeout = 800 * time.Millisecond
-	// VitalsEvery (time) is the probing period of a back end by one proxy.
+	// HealthCheckEvery (time) is the probing period of a back end by one proxy.
 	HealthCheckEvery = 700 * time.Millisecond
-	// VitalsWait (time) bounds one probe.
+	// HealthCheckTimeout (time) bounds one probe.
 	HealthCheckTimeout = 600 * time.Millisecond
-	// VitalsFails (probes) in a row make a back end failing at one proxy.
+	// HealthCheckFailures (probes) in a row make a back end failing at one proxy.
 	HealthCheckFailures = 2
 
-	// ClaimWindow (time) is the longest wait of an unsafe query, and what must be waited out when most keepers of an id are lost: short, since service must be back in 15 s.
+	// ReservationWindow (time) is the longest wait of an unsafe request, and what must be waited out when most replicas of an id are lost: short, since service must be back in 15 s.
 	ReservationWindow = 6 * time.Second
-	// ClaimKept (time) is how long a keeper remembers a claim: a caller's person who tries again within two minutes is still held off; at 300 unsafe queries a second and three keepers of five it is 27000 claims a keeper.
+	// ReservationKept (time) is how long a replica remembers a reservation: a caller's person who tries again within two minutes is still held off; at 300 unsafe requests a second and three replicas of five it is 27000 reservations a replica.
 	ReservationKept = 150 * time.Second
-	// ClaimKeptLeast (time) is how long a claim is remembered even by a keeper that has no more room.
+	// ReservationKeptLeast (time) is how long a reservation is remembered even by a replica that has no more room.
 	ReservationKeptLeast = 2 * ReservationWindow
-	// ClaimsMost (claims) a keeper holds: 32 MiB; above it the oldest beyond ClaimKeptLeast are forgotten first.
+	// ReservationsMost (reservations) a replica holds: 32 MiB; above it the oldest beyond ReservationKeptLeast are forgotten first.
 	ReservationsMost = 200000
-	// ClaimPage (claims) are copied to another keeper at once, and the rest of one shard: a quarter of a frame at the most.
+	// ReservationPage (reservations) are copied to another replica at once, and the rest of one shard: a quarter of a frame at the most.
 	ReservationPage = 8192
-	// KeptBytes (bytes) of sealed outcomes of unsafe queries a proxy keeps for repeats of their ids; the oldest go first.
+	// KeptBytes (bytes) of sealed responses of unsafe requests a proxy keeps for repeats of their ids; the oldest go first.
 	KeptBytes = 16 << 20
-	// KeptOutcome (bytes) is the largest outcome that is kept.
+	// KeptResponse (bytes) is the largest response that is kept.
 	KeptResponse = 64 << 10
 	// AgeMost (time) is the oldest first sending that a caller may tell.
 	AgeMost = 24 * time.Hour
-	// ClaimReplicas (keepers) hold one claim.
+	// ReservationReplicas (replicas) hold one reservation.
 	ReservationReplicas = 3
-	// ClaimWait (time) bounds one claim round: keepers are 1 ms away, the rest is for a busy machine.
+	// ReservationWait (time) bounds one reservation round: replicas are 1 ms away, the rest is for a busy machine.
 	ReservationWait = 400 * time.Millisecond
-	// ClaimCopyEvery (time) is how often a new keeper asks the former ones.
+	// ReservationCopyEvery (time) is how often a new replica asks the former ones.
 	ReservationCopyEvery = 200 * time.Millisecond
 
-	// MatchLife (time) is how long a caller may use a directory's outcome.
+	// MatchTTL (time) is how long a caller may use a directory's response.
 	MatchTTL = 2 * time.Second
 	// MatchProxies (proxies) are handed out at most.
 	MatchProxies = 3
 	// WaitMost (time) is the longest wait a caller may name.
 	WaitMost = 15 * time.Second
-	// ParkMost (time) is how long a query waits for a standing that is being moved.
+	// ParkMost (time) is how long a request waits for a failover assignment that is being moved.
 	ParkMost = 1500 * time.Millisecond
-	// ParkShort (time) is how long a query waits for a grant or for keepers; another proxy may have them, so the caller is told soon.
+	// ParkShort (time) is how long a request waits for a lease or for replicas; another proxy may have them, so the caller is told soon.
 	ParkShort = 500 * time.Millisecond
 	// AnswerMargin (time) before the end of a caller's wait its final answer is given, so that it arrives: two far links and a busy machine.
 	AnswerMargin = 150 * time.Millisecond
 	// AnswerShare (parts) of a wait is the most that the margin may take.
 	AnswerShare = 5
-	// ParkStep (time) is how often a parked query is asked about again.
+	// ParkStep (time) is how often a parked request is asked about again.
 	ParkStep = 20 * time.Millisecond
-	// RetryAfter (time) is what a declined caller is told to wait: one failover is mostly over by then.
+	// RetryAfter (time) is what a refused caller is told to wait: one failover is mostly over by then.
 	RetryAfter = time.Second
-	// BodyLimit (bytes) is the default for a query's body.
+	// BodyLimit (bytes) is the default for a request's body.
 	BodyLimit = 1 << 20
-	// OutcomeLimit (bytes) is the default for a back end's outcome.
+	// ResponseLimit (bytes) is the default for a back end's response.
 	ResponseLimit = 4 << 20
 	// BodyLimitMost (bytes) is the most an entry may ask for.
 	BodyLimitMost = 16 << 20
-	// RepeatShare (percent) of first legs may be repeated: a fifth.
+	// RepeatShare (percent) of first attempts may be repeated: a fifth.
 	RepeatShare = 20
-	// RepeatAllowance (legs) a service and window, shared by all proxies.
+	// RepeatAllowance (attempts) a service and window, shared by all proxies.
 	RepeatAllowance = 10
 	// RepeatWindow (time) is the sliding window of the repeat budget.
 	RepeatWindow = 10 * time.Second
-	// RepeatMargin (time) lengthens the window of repeats, and is how long first legs after a repeat may still count before it, since a leg arrives later than it was counted.
+	// RepeatMargin (time) lengthens the window of repeats, and is how long first attempts after a repeat may still count before it, since an attempt arrives later than it was counted.
 	RepeatMargin = 250 * time.Millisecond
-	// ColdRamp (time) is how long a new back end is held below its full share: from as many legs a second as it works on at once (each may take it a second) to twice that.
+	// ColdRamp (time) is how long a new back end is held below its full share: from as many attempts a second as it works on at once (each may take it a second) to twice that.
 	ColdRamp = 10 * time.Second
-	// ColdMargin (time) lengthens the second in which a cold back end's legs are counted, since a leg arrives later than it was counted.
+	// ColdMargin (time) lengthens the second in which a cold back end's attempts are counted, since an attempt arrives later than it was counted.
 	ColdMargin = 100 * time.Millisecond
-	// Bearable (legs) a warm back end works on at once, the entry's default.
+	// Bearable (attempts) a warm back end works on at once, the entry's default.
 	ColdRate = 6
-	// KeyShare (percent) of a proxy's legs in flight to a service one key may hold.
+	// KeyShare (percent) of a proxy's attempts in flight to a service one key may hold.
 	KeyShare = 40
 	// ConnectWait (time) bounds a connection with its identity exchange.
 	ConnectWait = 700 * time.Millisecond
-	// SafeLegMost (time) bounds one repeat-safe leg so that another back end can still be tried.
+	// SafeAttemptMost (time) bounds one repeat-safe attempt so that another back end can still be tried.
 	SafeAttemptMost = 2 * time.Second
-	// IdleLife (time) is how long a proved connection may lie idle.
+	// IdleTTL (time) is how long a proved connection may lie idle.
 	IdleTTL = 4 * time.Second
 	// IdlePerBackend (connections) are kept at most.
 	IdlePerBackend = 8
-	// LegsMost (tries) bounds the legs of one repeat-safe query.
+	// AttemptsMost (tries) bounds the attempts of one repeat-safe request.
 	AttemptsMost = 4
-	// KeyedAfterglow (time) is how long a keyed leg without a whole answer counts as running: its back end can't be asked, and was told of no longer wait.
+	// KeyedAfterglow (time) is how long a keyed attempt without a whole answer counts as running: its back end can't be asked, and was told of no longer wait.
 	KeyedAfterglow = ReservationWindow
 	// KeyMoves (slots) of a service are moved at once to even out its back ends; a newly warm one so gets its share little by little.
 	KeyMoves = 4
@@ -197,11 +197,11 @@
 
 	// FrameLimit (bytes) is the largest frame between processes.
 	FrameLimit = 16 << 20
-	// FrameQueue (frames) waits for one peer at most; older queries are worth nothing.
+	// FrameQueue (frames) waits for one peer at most; older requests are worth nothing.
 	FrameQueue = 1024
 	// DialWait (time) bounds a connection to a peer.
 	DialWait = 800 * time.Millisecond
-	// FrameSilence (time) without word that sent bytes arrived after which a connection to a peer is given up and dialled anew: after a healed cut its own next try may be seconds away.
+	// FrameIdleTimeout (time) without word that sent bytes arrived after which a connection to a peer is given up and dialled anew: after a healed cut its own next try may be seconds away.
 	FrameIdleTimeout = time.Second
 	// DialPause (time) passes after a connection to a peer failed before the next is tried: a process that starts is found soon, one that is gone costs little.
 	DialPause = 100 * time.Millisecond
@@ -222,13 +222,13 @@
 	JournalFiles = 4
 	// JournalFileBytes (bytes) of one preallocated file: a put of the largest document fits four times.
 	JournalFileBytes = 8 << 20
-	// JournalDiskParts (parts) of a bounded disk: one for each ring file, two for each image area; three quarters stay free.
+	// JournalDiskParts (parts) of a bounded disk: one for each ring file, two for each snapshot area; three quarters stay free.
 	JournalDiskParts = 32
 	// PackFrom (bytes) is the payload above which a journal's record is packed: whole configurations shrink tenfold, small records are not worth the time.
 	PackFrom = 16 << 10
 	// JournalMargin (bytes) of a ring file are left beside its largest record: its head and the state that goes along.
 	JournalMargin = 8 << 10
-	// ImageFileBytes (bytes) of one of the two preallocated image areas.
+	// SnapshotFileBytes (bytes) of one of the two preallocated snapshot areas.
 	SnapshotFileBytes = 16 << 20
 	// FullDiskPause (time) between two tries to write to a full disk.
 	FullDiskPause = 50 * time.Millisecond
@@ -246,13 +246,13 @@
 
 	// Keys (keys) of a keyed service of a routed fleet: 0 to 65535.
 	Keys = 1 << 16
-	// HeatBuckets (buckets) in which a node notes the work of a keyed service: 64 keys each, fine enough to divide a hot range; beats carry only those that had work.
+	// LoadBuckets (buckets) in which a node notes the work of a keyed service: 64 keys each, fine enough to divide a hot range; heartbeats carry only those that had work.
 	LoadBuckets = 1024
-	// HeatEvery (time) is how often a beat carries them.
+	// LoadEvery (time) is how often a heartbeat carries them.
 	LoadEvery = 600 * time.Millisecond
-	// HeatReports (reports) of a node are averaged: fewer follow chance, more come late.
+	// LoadReports (reports) of a node are averaged: fewer follow chance, more come late.
 	LoadReports = 5
-	// HeatCap (times) the usual time is the most that one request adds to the heat of its key.
+	// LoadCap (times) the usual time is the most that one request adds to the heat of its key.
 	LoadCap = 2
 	// UsualStep (parts) is how far the usual time, a running median, moves at each request: a twentieth.
 	UsualStep = 20
@@ -268,7 +268,7 @@
 	DelayWeight = 0.12
 	// UnknownDelay (parts of the aim) is taken for a back end that has served nothing yet.
 	UnknownDelay = 0.25
-	// DistrictPenalty (parts of the aim) is what a back end in another district must be quicker by: bytes between districts are paid for.
+	// ZonePenalty (parts of the aim) is what a back end in another zone must be quicker by: bytes between zones are paid for.
 	ZonePenalty = 0.2
 	// RegionPenalty (parts of the aim) is the same for another region: eight times as dear.
 	RegionPenalty = 1.2
@@ -294,7 +294,7 @@
 	OutlierShare = 0.2
 	// OutlierOver (times) the share of the others that fail is added, so that a trouble of all ejects none.
 	OutlierOver = 2.0
-	// OutlierDeclines (attempts) that a back end must have declined before that counts, faded: two within some seconds, since full ones decline too.
+	// OutlierRefusals (attempts) that a back end must have refused before that counts, faded: two within some seconds, since full ones refuse too.
 	OutlierRefusals = 1.5
 	// OutlierOut (time) of a first ejection, doubled at each further one: a crashed back end is back in some seconds.
 	OutlierOut = 800 * time.Millisecond
@@ -314,31 +314,31 @@
 	OutlierFloor = 30
 	// OutlierPenalty (times) makes a back end dearer that is used although it is out.
 	OutlierPenalty = 3.0
-	// JuryVotes (nodes) whose requests a back end failed within the window make it failing for all: one loses a request now and then, three seldom the same one's.
+	// EjectionVotes (nodes) whose requests a back end failed within the window make it failing for all: one loses a request now and then, three seldom the same one's.
 	EjectionVotes = 3
-	// JuryWindow (time) for which a node's word counts: two beats through a relay.
+	// EjectionVoteWindow (time) for which a node's word counts: two heartbeats through a relay.
 	EjectionVoteWindow = 2 * time.Second
-	// JuryOut (time) of a first verdict, doubled at each further one: several beats, so that one that is well again is soon back.
+	// EjectionTime (time) of a first verdict, doubled at each further one: several heartbeats, so that one that is well again is soon back.
 	EjectionTime = 2500 * time.Millisecond
-	// JuryOutHolder (time) of a first verdict on a holder of keys: its keys went elsewhere, and each return moves them twice more if it is still ill.
+	// EjectionTimeOwner (time) of a first verdict on an owner of keys: its keys went elsewhere, and each return moves them twice more if it is still ill.
 	EjectionTimeOwner = 10 * time.Second
-	// JuryOutMost (time) of a verdict.
+	// MaxEjectionTime (time) of a verdict.
 	MaxEjectionTime = 20 * time.Second
-	// JuryTrial (time) after which a failing back end that nobody tried is cleared.
+	// EjectionTrial (time) after which a failing back end that nobody tried is cleared.
 	EjectionTrial = 3 * time.Second
-	// JuryGoods (requests) that must go well on trial.
+	// OutlierQuorumGoods (requests) that must go well on trial.
 	OutlierQuorumGoods = 2
-	// JurySponsors (nodes) may try a failing back end.
+	// TrialSenders (nodes) may try a failing back end.
 	TrialSenders = 2
-	// JuryForgiven (time) that a back end must have been clear before its former verdicts count no more: several periods of one that goes down and up.
+	// OutlierQuorumForgiven (time) that a back end must have been clear before its former verdicts count no more: several periods of one that goes down and up.
 	OutlierQuorumForgiven = 30 * time.Second
-	// JuryFloor (percent) of a service's back ends that may be failing by verdict: the rest bear a third more then. If more are doubted, the trouble may be elsewhere and twice the votes are needed.
+	// OutlierQuorumFloor (percent) of a service's back ends that may be failing by verdict: the rest bear a third more then. If more are doubted, the trouble may be elsewhere and twice the votes are needed.
 	OutlierQuorumFloor = 25
 	// SearchesMost (back ends) are sought for one request, connected or not.
 	SearchesMost = 5
 	// BackendConnect (time) bounds a connection to a back end: two ways over the longest link and a busy machine.
 	BackendConnect = 400 * time.Millisecond
-	// BackendSilence (time) without word that sent bytes arrived after which a connection is given up: eight ways over the longest link.
+	// BackendIdleTimeout (time) without word that sent bytes arrived after which a connection is given up: eight ways over the longest link.
 	BackendIdleTimeout = 700 * time.Millisecond
 	// KeepAliveIdle (time) of silence before a connection is probed.
 	KeepAliveIdle = time.Second
@@ -408,29 +408,29 @@
 	RecentConfigs = 8
 	// ColdAfter (time) is added to what the list says that a back end stays cold: its clock, the way and a row's spread.
 	ColdAfter = 200 * time.Millisecond
-	// SettleMargin (time) beyond the list's lag after which it tells of a district that was given back.
+	// SettleMargin (time) beyond the list's lag after which it tells of a zone that was given back.
 	SettleMargin = 300 * time.Millisecond
-	// SponsorsMost (nodes) share what a cold back end bears: whole requests a second remain for each.
+	// SlowStartSendersMost (nodes) share what a cold back end bears: whole requests a second remain for each.
 	SlowStartSendersMost = 4
-	// OperatorPatience (time) is how long a node seeks a leader for an operator's query before it says that there is none: below the second after which operators turn elsewhere.
+	// OperatorPatience (time) is how long a node seeks a leader for an operator's request before it says that there is none: below the second after which operators turn elsewhere.
 	OperatorPatience = 900 * time.Millisecond
-	// PassOnWait (time) without an answer from the leader after which a query is passed on again: a commit over the longest links and a slow disk.
+	// PassOnWait (time) without an answer from the leader after which a request is passed on again: a commit over the longest links and a slow disk.
 	PassOnWait = 400 * time.Millisecond
 	// PassOnPause (time) after a node said that it does not lead.
 	PassOnPause = 100 * time.Millisecond
-	// FarNeighbours (nodes) of other regions are probed at most where the own region has too few: bytes between regions are dear.
+	// FarPeers (nodes) of other regions are probed at most where the own region has too few: bytes between regions are dear.
 	FarPeers = 1
-	// RoutedHeartbeat (time) keeps a routed fleet's leader known: four fit into the shortest election wait.
+	// RoutedRaftHeartbeat (time) keeps a routed fleet's leader known: four fit into the shortest election wait.
 	RoutedRaftHeartbeat = 250 * time.Millisecond
 	// RoutedElectionLeast (time) is the shortest silence before a voter of a routed fleet asks for votes: its keys stay held for seconds, so it may wait.
 	RoutedElectionLeast = time.Second
 	// RoutedElectionSpread (time) is drawn on top.
 	RoutedElectionSpread = 600 * time.Millisecond
-	// RoutedBeat (time) is how often a routed fleet's nodes report to their relay, and relays to the leader: three in the silence after which a node is lost.
+	// RoutedHeartbeat (time) is how often a routed fleet's nodes report to their relay, and relays to the leader: three in the silence after which a node is lost.
 	RoutedHeartbeat = 700 * time.Millisecond
-	// RoutedLostAfter (time) is the silence after which the leader of a routed fleet takes a node as lost: two beats, each through a relay.
+	// RoutedLostAfter (time) is the silence after which the leader of a routed fleet takes a node as lost: two heartbeats, each through a relay.
 	RoutedLostAfter = 2100 * time.Millisecond
-	// RoutedProbe (time) is the probing period of one neighbour in a routed fleet.
+	// RoutedProbe (time) is the probing period of one peer in a routed fleet.
 	RoutedProbe = 700 * time.Millisecond
 	// RoutedProbeWait (time) is the silence after which it is suspected.
 	RoutedProbeWait = 1500 * time.Millisecond
@@ -438,13 +438,13 @@
 	RoutedShuffle = 8 * time.Second
 	// RoutedTick (time) is how often a routed fleet's control machine looks at the clock: a fifth of its heartbeat; each look is a wake-up.
 	RoutedTick = 50 * time.Millisecond
-	// RoutedDelta (time) is the longest pause between two deltas to a subscriber of a routed fleet: two fit into SourceSilent.
+	// RoutedDelta (time) is the longest pause between two deltas to a subscriber of a routed fleet: two fit into SourceTimeout.
 	RoutedDelta = 400 * time.Millisecond
-	// RoutedSubscribe (time) renews a subscription of a routed fleet: two fit into SubscriptionLife.
+	// RoutedSubscribe (time) renews a subscription of a routed fleet: two fit into SubscriptionTTL.
 	RoutedSubscribe = 900 * time.Millisecond
 	// RoutedDigest (time) is how often a subscriber of a routed fleet compares its ranges: they differ only after a fault.
 	RoutedDigest = 6 * time.Second
-	// WholeBeats (beats) one of which tells a node's addresses; the others only its state.
+	// FullHeartbeatEvery (heartbeats) one of which tells a node's addresses; the others only its state.
 	FullHeartbeatEvery = 12
 	// FarSourceAfter (time) without a source in the own region after which a reader turns to another region's.
 	FarSourceAfter = 2500 * time.Millisecond
@@ -478,13 +478,13 @@
 	SettingsEvery = 2 * time.Second
 	// RequestBytes (bytes) that a request in flight may take: what is kept of its body and its answer, buffers and stacks, and their garbage.
 	RequestBytes = 256 << 10
-	// RoomParts (parts) of the process's memory, one of which requests in flight may take.
+	// CapacityParts (parts) of the process's memory, one of which requests in flight may take.
 	CapacityParts = 2
-	// RoomLeast (requests) a node may have in flight however little memory it has.
+	// CapacityLeast (requests) a node may have in flight however little memory it has.
 	CapacityLeast = 64
-	// RoomMost (requests) a node may have in flight however much memory it has: each takes two descriptors.
+	// CapacityMost (requests) a node may have in flight however much memory it has: each takes two descriptors.
 	CapacityMost = 4096
-	// RoomRankParts (parts) of the room, one of which each lower rank leaves to the higher ones.
+	// CapacityPriorityParts (parts) of the room, one of which each lower rank leaves to the higher ones.
 	CapacityPriorityParts = 8
 	// CallerHead (time) that a request's head may take if the configuration says nothing.
 	CallerHead = 5 * time.Second
@@ -502,9 +502,9 @@
 	RefusedApart = 150 * time.Millisecond
 	// DrainShare (parts) of a stop's grace in which requests in flight may still end.
 	DrainShare = 0.9
-	// ResolveLife (time) is how long a caller of a routed fleet may use a directory's answer: a lost node is out of them all soon.
+	// ResolveTTL (time) is how long a caller of a routed fleet may use a directory's answer: a lost node is out of them all soon.
 	ResolveTTL = 2 * time.Second
-	// ResolveLeast (nodes) of the caller's own district are enough for an answer; with fewer, the region's others are added.
+	// ResolveLeast (nodes) of the caller's own zone are enough for an answer; with fewer, the region's others are added.
 	ResolveLeast = 2
 	// ResolveMost (nodes) are handed out at most.
 	ResolveMost = 64
@@ -516,8 +516,8 @@
 	GarbagePercent = 40
 	// MemoryShare (parts) of a machine's memory the runtime may take before it collects harder.
 	MemoryShare = 0.6
-	// ChangesKept (changes) of standing are remembered for operators: an afternoon of troubles in a few KiB.
+	// ChangesKept (changes) of failover assignment are remembered for operators: an afternoon of troubles in a few KiB.
 	ChangesKept = 32
-	// EvidenceMost (districts) are named in the evidence of one change; of more only the count is told, so that a record stays small.
+	// EvidenceMost (zones) are named in the evidence of one change; of more only the count is told, so that a record stays small.
 	EvidenceMost = 4
 )
--- a/internal/constants/keys.go
+++ b/internal/constants/keys.go
@@ -5,7 +5,7 @@
 const (
 	// LastKey (key) is the greatest key of a service.
 	LastKey = 65535
-	// KeyHoldMost (time) is the longest hold given: a change of leader fits between two renewals, and a lost holder's keys are back in 6 s.
+	// KeyHoldMost (time) is the longest hold given: a change of leader fits between two renewals, and a lost owner's keys are back in 6 s.
 	KeyHoldMost = 4500 * time.Millisecond
 	// KeyHoldShare (percent) of the greatest allowed hold is used, so that a shorter allowed one still leaves room.
 	KeyHoldShare = 60
@@ -13,9 +13,9 @@
 	KeyRenewParts = 3
 	// KeyLeaseTime (time) is how long after a majority's last word calls may be sent: below the shortest election wait of 600 ms.
 	KeyLeaseTime = 500 * time.Millisecond
-	// KeyGrantWait (time) bounds a grant's call: a far link and a busy machine.
+	// KeyLeaseWait (time) bounds a lease's call: a far link and a busy machine.
 	KeyLeaseWait = 600 * time.Millisecond
-	// KeyDoubt (time) without an answer to a grant after which its back end's other spans are not renewed before that answer: twice there and back over a far link, and a busy machine.
+	// KeyDoubt (time) without an answer to a lease after which its back end's other spans are not renewed before that answer: twice there and back over a far link, and a busy machine.
 	KeyDoubt = 200 * time.Millisecond
 	// KeyReleaseWait (time) bounds a release's call, which waits for running work.
 	KeyReleaseWait = 5 * time.Second
@@ -37,21 +37,21 @@
 	KeyLayoutSettle = 1500 * time.Millisecond
 	// KeyStripes (spans) of a back end in the first layout, if there is room: busy keys sit close together, so one span each would give most of them to one.
 	KeyStripes = 3
-	// KeyUnreachableAfter (time) without any taken grant or probe a holder is given up: two calls.
+	// KeyUnreachableAfter (time) without any taken lease or probe an owner is given up: two calls.
 	KeyUnreachableAfter = 1300 * time.Millisecond
 	// KeyProbeWait (time) bounds a probe: two ways over the longest link and a busy machine.
 	KeyProbeWait = 400 * time.Millisecond
 	// KeyUnreachableKept (time) is how long a given-up back end gets no keys: longer than a hold, so that it does not get its own back at once.
 	KeyUnreachableKept = 10 * time.Second
-	// KeyLeaveParts (parts) are what a leaving holder's keys are released in, one after the other.
+	// KeyLeaveParts (parts) are what a leaving owner's keys are released in, one after the other.
 	KeyLeaveParts = 4
 	// KeyLeaveStep (time) lies between two such parts: all are under way in 0.75 s of the 2.5 s that a draining back end serves.
 	KeyLeaveStep = 250 * time.Millisecond
 	// KeyPiecesMost (spans) are what a freed span is split into at the most.
 	KeyPiecesMost = 8
-	// KeyHeatLeast (requests in flight) is the sum below which heat tells nothing.
+	// KeyLoadLeast (requests in flight) is the sum below which heat tells nothing.
 	KeyLoadLeast = 2.0
-	// KeyHeatUneven (requests in flight) is the least difference from the mean worth a move.
+	// KeyLoadUneven (requests in flight) is the least difference from the mean worth a move.
 	KeyLoadUneven = 0.8
 	// KeyHotShare (parts of the mean) is the load above which a back end gives keys away.
 	KeyHotShare = 1.35
@@ -63,9 +63,9 @@
 	KeyMovesMost = 2
 	// KeyMovePart (parts of the mean) is the least heat worth a move.
 	KeyMovePart = 0.05
-	// KeyMoveDensity (parts) of the hottest bucket's density a neighbour must have to go with it: lukewarm keys stay, since their share is priced.
+	// KeyMoveDensity (parts) of the hottest bucket's density a peer must have to go with it: lukewarm keys stay, since their share is priced.
 	KeyMoveDensity = 0.5
-	// KeySpansMost (spans) of a service above which only a holder far above the mean gives keys away: each span is granted again and again.
+	// KeySpansMost (spans) of a service above which only an owner far above the mean gives keys away: each span is granted again and again.
 	KeySpansMost = 64
 	// KeyFarShare (parts of the mean) is the load above which a back end gives keys away however many spans there are.
 	KeyFarShare = 2
--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -18,7 +18,7 @@
 	return len(parts) == 4 && parts[0] == "s" && parts[2] == "standing"
 }
 
-// numbersOf are the failover numbers of the standings that a record would change.
+// numbersOf are the failover numbers of the failover assignments that a record would change.
 func (c *Machine) numbersOf(record *schema.Record) map[string]uint64 {
 	var numbers map[string]uint64
 	for _, row := range record.GetRows() {
@@ -32,7 +32,7 @@
 	return numbers
 }
 
-// noteChanges remembers the newest changes of standing as they are applied from the log.
+// noteChanges remembers the newest changes of failover assignment as they are applied from the log.
 func (c *Machine) noteChanges(item *schema.LogItem, before map[string]uint64, rows []*schema.Row) {
 	if len(before) == 0 {
 		return
--- a/internal/controlplane/changes_test.go
+++ b/internal/controlplane/changes_test.go
@@ -29,7 +29,7 @@
 		Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}}
 }
 
-// run lets time pass; the machines whose districts are named report in the meantime.
+// run lets time pass; the machines whose zones are named report in the meantime.
 func (s *solo) run(span time.Duration, zones ...string) {
 	for until := s.now + span; s.now < until; s.now += 20 * time.Millisecond {
 		s.core.Tick(s.now)
--- a/internal/controlplane/health_test.go
+++ b/internal/controlplane/health_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, c := range []struct {
 		name string
-		// told by the leader itself, straight to it, and through a relay in one beat.
+		// told by the leader itself, straight to it, and through a relay in one heartbeat.
 		own, straight, relayed []*schema.HealthReport
 		want                   bool
 	}{
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -68,7 +68,7 @@
 	return constants.RoutedLostAfter
 }
 
-// beatRouted reports to the relay, a disk machine of the own region; relays report to the leader what they were told since.
+// sendRelayedHeartbeat reports to the relay, a disk machine of the own region; relays report to the leader what they were told since.
 func (c *Machine) sendRelayedHeartbeat(b *schema.Heartbeat) {
 	r := c.routed
 	to := c.heartbeatTarget()
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -1,4 +1,4 @@
-// Package controlplane is the control machine of one node: agreement, membership, spread and standing without I/O.
+// Package controlplane is the control machine of one node: agreement, membership, spread and failover assignment without I/O.
 package controlplane
 
 import (
@@ -21,7 +21,7 @@
 	"topazshed/internal/store"
 )
 
-// Options make a Core. Hard, Image and Items are what the journal held; Draw is the seeded source.
+// Options make a Core. Hard, Snapshot and Items are what the journal held; Draw is the seeded source.
 type Options struct {
 	Self     *schema.Node
 	Seeds    []string
@@ -34,9 +34,9 @@
 	Restart  bool
 	// Rejoin says that the system was founded before, so that this node never founds one.
 	Rejoin bool
-	// Routed says that this fleet carries routes: attempt ids are never sent twice, so that claims and fences are not needed.
+	// Routed says that this fleet carries routes: attempt ids are never sent twice, so that reservations and fences are not needed.
 	Routed *Routed
-	// Epoch is the time of day at which this node's clock would have stood at 0; records of standing tell by it when they were made.
+	// Epoch is the time of day at which this node's clock would have stood at 0; records of failover assignment tell by it when they were made.
 	Epoch time.Time
 	// Speaks are the versions that this process speaks; the zero value is the program's own.
 	Speaks protocolversion.Span
@@ -50,7 +50,7 @@
 	Frame *schema.Frame
 }
 
-// Outcome answers a local operator's query.
+// LocalResponse answers a local operator's request.
 type LocalResponse struct {
 	Ticket   uint64
 	Response *schema.OperatorResponse
@@ -144,14 +144,14 @@
 	sentAt   time.Duration
 }
 
-// questionsKept (questions) of a kind are remembered until their answers come: beats and subscriptions of half a minute.
+// questionsKept (questions) of a kind are remembered until their answers come: heartbeats and subscriptions of half a minute.
 const questionsKept = 64
 
 // FirstNumberMost bounds the first number of a life's questions: two lives in hundreds of millions begin within reach of each other, and five
 // bytes hold it.
 const FirstNumberMost = 1 << 34
 
-// Core is the machine.
+// Machine is the machine.
 type Machine struct {
 	options            Options
 	log                *slog.Logger
@@ -255,7 +255,7 @@
 // firstNumber draws where this life of the process begins to number its questions, so that an answer to a former life's is known as such.
 func (c *Machine) firstNumber() uint64 { return uint64(c.options.Draw(FirstNumberMost)) }
 
-// Whole gives the image at the applied index, for a follower or for the disk.
+// Whole gives the snapshot at the applied index, for a follower or for the disk.
 func (c *Machine) Whole() *schema.Snapshot {
 	whole := c.table.Whole()
 	c.quorum.Describe(whole)
@@ -303,17 +303,17 @@
 	c.log.Info("other seeds are asked from now on", "seeds", seeds)
 }
 
-// SetVitals takes this node's probes of back ends.
+// SetHealthReports takes this node's probes of back ends.
 func (c *Machine) SetHealthReports(healthReports []*schema.HealthReport) {
 	c.healthReports = healthReports
 }
 
-// SetKeeper takes this node's state as a keeper.
+// SetReservationReplica takes this node's state as a replica.
 func (c *Machine) SetReservationReplica(number uint64, isReady bool) {
 	c.reservationSet, c.isReservationReady = number, isReady
 }
 
-// SetFloor takes the lowest image version that a keyed leg in flight was begun on; none is 0.
+// SetOldestIndex takes the lowest snapshot version that a keyed attempt in flight was begun on; none is 0.
 func (c *Machine) SetOldestIndex(floor uint64) { c.oldestIndex = floor }
 
 // Stop marks the node as stopping: it is told to the leader and no match names it any more.
@@ -338,7 +338,7 @@
 	}
 }
 
-// SetSweep takes a read of the platform's list; only the leader uses it.
+// SetListRead takes a read of the platform's list; only the leader uses it.
 func (c *Machine) SetListRead(now time.Duration, sweep discovery.ListRead) {
 	c.now = now
 	c.listFault = sweep.Reason
@@ -899,7 +899,7 @@
 	c.resumeDeferred()
 }
 
-// Compactable tells whether a new image should be written.
+// Compactable tells whether a new snapshot should be written.
 func (c *Machine) Compactable() bool {
 	if c.quorum == nil || c.table.Version() <= c.snapshotAt {
 		return false
@@ -907,7 +907,7 @@
 	return c.table.Version() >= c.snapshotAt+constants.RaftSnapshotEvery || c.quorum.LogBytes() > constants.RaftLogBytes
 }
 
-// Compacted tells that an image of that index is on disk.
+// Compacted tells that a snapshot of that index is on disk.
 func (c *Machine) Compacted(index uint64) {
 	c.snapshotAt = index
 	c.quorum.Compact(index)
--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -16,7 +16,7 @@
 // votersLeast (voters) are kept even if some are silent: of fewer none may be lost.
 const votersLeast = 3
 
-// heirOf gives the newer process with a disk that speaks at a voter's address under another identity: the voter's disk is gone, so that it never votes again.
+// replacementOf gives the newer process with a disk that speaks at a voter's address under another identity: the voter's disk is gone, so that it never votes again.
 func (c *Machine) replacementOf(m *schema.Member) string {
 	if c.routed == nil || m.Id == c.self.Id {
 		return ""
@@ -118,7 +118,7 @@
 	return ""
 }
 
-// dropSilentVoter takes out a voter that has been silent for long. Where the majority of the voters gets smaller without the silent ones, so that
+// dropUnresponsiveVoter takes out a voter that has been silent for long. Where the majority of the voters gets smaller without the silent ones, so that
 // one more loss is borne, that is done sooner: of four voters three must live, and of three that are left only two.
 func (c *Machine) dropUnresponsiveVoter(members *schema.Members) string {
 	if len(members.Voters) <= votersLeast {
@@ -150,7 +150,7 @@
 // majority is how many of so many voters must agree.
 func majority(voters int) int { return voters/2 + 1 }
 
-// lossesBorne is how many more voters may be lost before there is no majority, and the voters that are silent already.
+// toleratedLosses is how many more voters may be lost before there is no majority, and the voters that are silent already.
 func (c *Machine) toleratedLosses() (borne uint32, unresponsive []string) {
 	voters := c.quorum.Members().Voters
 	for _, m := range voters {
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -17,7 +17,7 @@
 
 // Operators' orders: the leader decides them, the other nodes pass them on to it.
 
-// Operate takes a local operator's query.
+// Operate takes a local operator's request.
 func (c *Machine) Operate(now time.Duration, ticket uint64, request *schema.OperatorRequest) {
 	c.now = now
 	c.operate(&pendingRequest{ticket: ticket, request: request})
@@ -376,7 +376,7 @@
 	}
 }
 
-// passOn sends an operator's query to the leader, if one is known.
+// passOn sends an operator's request to the leader, if one is known.
 func (c *Machine) passOn(w *pendingRequest) {
 	w.sentAt = c.now
 	w.hasWay = c.leader != "" && c.leader != c.self.Address && c.now-c.leaderAt <= constants.NodeLostAfter
@@ -388,7 +388,7 @@
 	}
 }
 
-// takeOutcome takes another node's answer to an order that was passed on. Only an answer to an order of this life, from a node that it was
+// takeResponse takes another node's answer to an order that was passed on. Only an answer to an order of this life, from a node that it was
 // passed on to, is given to whoever waits for it.
 func (c *Machine) takeResponse(f *schema.Frame, response *schema.OperatorResponse) {
 	at := slices.IndexFunc(c.operations, func(w *pendingRequest) bool {
@@ -416,7 +416,7 @@
 	return true
 }
 
-// askAgain passes on what found no leader or no answer; the leader takes a query that comes twice as one.
+// askAgain passes on what found no leader or no answer; the leader takes a request that comes twice as one.
 func (c *Machine) askAgain() {
 	if c.routed == nil {
 		return
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -88,7 +88,7 @@
 	return names[nth%len(names)]
 }
 
-// order gives a query to a machine, and its ticket.
+// order gives a request to a machine, and its ticket.
 func (f *fleet) order(at string, request *schema.OperatorRequest) uint64 {
 	f.ticket++
 	f.cores[at].Operate(f.now, f.ticket, request)
--- a/internal/controlplane/routed.go
+++ b/internal/controlplane/routed.go
@@ -18,11 +18,11 @@
 	HoldMost time.Duration
 	// ListLag is how far the list is behind what it tells of.
 	ListLag time.Duration
-	// Districts are the deployment's, each with its region; back ends may lie in one that has no machine.
+	// Zones are the deployment's, each with its region; back ends may lie in one that has no machine.
 	Zones map[string]string
 	// Quiet is how long after trouble a calm machine must keep every bound again; 0 is unknown.
 	Quiet time.Duration
-	// ColdBearable is how many requests a second the whole fleet may send to a cold back end.
+	// ColdRate is how many requests a second the whole fleet may send to a cold back end.
 	ColdRate func(*schema.ServicePolicy) int
 	// Fits tells whether a record can be logged; nil is always.
 	Fits func(*schema.Record) bool
@@ -30,7 +30,7 @@
 	FitsWhole func(*schema.Snapshot) bool
 	// Heat gives the requests by key since it was last asked.
 	Load func(since time.Duration) []*schema.ShardLoad
-	// Vitals give the back ends that failed this node's requests, or served it although they are failing, since it was last asked; nil is none.
+	// Health reports give the back ends that failed this node's requests, or served it although they are failing, since it was last asked; nil is none.
 	HealthReports func() []*schema.HealthReport
 }
 
@@ -39,7 +39,7 @@
 	loads []*schema.ShardLoad
 }
 
-// GrantCall is a call to a back end, with the granter's life that made it.
+// LeaseCall is a call to a back end, with the granter's life that made it.
 type LeaseCall struct {
 	sharding.Call
 	Incarnation uint64
@@ -56,7 +56,7 @@
 	loadAt        time.Duration
 	dead          map[string]bool
 	deferred      []*pendingRequest
-	// relayed are the beats that this node took for the leader since it last told it.
+	// relayed are the heartbeats that this node took for the leader since it last told it.
 	relayed        map[string]*schema.Heartbeat
 	heartbeatTo    string
 	heartbeatState schema.NodeState
@@ -148,7 +148,7 @@
 	}
 }
 
-// Granted takes what became of a call to a back end; an answer for a former granter is worth nothing.
+// LeaseAnswered takes what became of a call to a back end; an answer for a former granter is worth nothing.
 func (c *Machine) LeaseAnswered(now time.Duration, incarnation uint64, answer sharding.Answer) {
 	c.now = now
 	if c.routed != nil && c.routed.incarnation == incarnation {
@@ -185,7 +185,7 @@
 	}
 }
 
-// noteHolders lets the leader look at its keys at once when a record changes who holds them or who may: each move of keys takes two records.
+// noteOwners lets the leader look at its keys at once when a record changes who holds them or who may: each move of keys takes two records.
 func (c *Machine) noteOwners(rows []*schema.Row) {
 	if c.routed != nil && slices.ContainsFunc(rows, func(row *schema.Row) bool { return strings.HasPrefix(row.Key, "s/") }) {
 		c.planAt = 0
--- a/internal/controlplane/startup_world_test.go
+++ b/internal/controlplane/startup_world_test.go
@@ -41,7 +41,7 @@
 )
 
 // startupFleet starts empty routed nodes on virtual time: production cores, drivers, journals and wire encoding, with a listing, one keyed
-// service with heat, and back ends that take every grant. Its run depends on nothing but the seed.
+// service with heat, and back ends that take every lease. Its run depends on nothing but the seed.
 type startupFleet struct {
 	t       *testing.T
 	now     time.Duration
@@ -54,7 +54,7 @@
 	putAt     map[uint64]time.Duration
 	spread    []time.Duration
 	lastRowAt time.Duration
-	// history sums up each frame that was sent and each grant call.
+	// history sums up each frame that was sent and each lease call.
 	history hash.Hash
 }
 
--- a/internal/controlplane/zones_test.go
+++ b/internal/controlplane/zones_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Back ends may lie in a district without a machine; as long as it had no row, they got no requests and it could not be emptied.
+// Back ends may lie in a zone without a machine; as long as it had no row, they got no requests and it could not be emptied.
 func TestALeaderTakesTheZonesWithoutMachines(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -23,7 +23,7 @@
 	Region  string `json:"region"`
 }
 
-// Match is the directory's outcome: proxies, the origin record to send along, and its time to live.
+// Match is the directory's response: proxies, the origin record to send along, and its time to live.
 type Match struct {
 	Proxies   []Proxy `json:"proxies"`
 	Origin    string  `json:"origin"`
@@ -47,7 +47,7 @@
 // New makes one.
 func New(options Options) *Directory { return &Directory{options} }
 
-// Decide is the pure part: a match, or a final decline, or neither to be asked again.
+// Decide is the pure part: a match, or a final refuse, or neither to be asked again.
 func Decide(now time.Duration, local *controlplane.Local, region, service, path string, parked time.Duration, draw func(int64) int64) (*Match, *proxy.RefusalError, string) {
 	entry, early := proxy.Entry(now, local, service, path, parked)
 	if early != nil {
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -44,7 +44,7 @@
 	Backends []RoutedItem `json:"backends"`
 }
 
-// Sweep is a whole read of the list.
+// ListRead is a whole read of the list.
 type ListRead struct {
 	Items   []Item
 	IsWhole bool
@@ -90,14 +90,14 @@
 	return listRead
 }
 
-// Roster remembers at the leader how long a back end has been missing and who finds it failing.
+// Endpoints remembers at the leader how long a back end has been missing and who finds it failing.
 type Endpoints struct {
 	missing       map[string]int
 	healthReports map[string]map[string]bool
 	coldAt        map[string]time.Duration
 }
 
-// New makes an empty roster.
+// New makes an empty endpoint list.
 func New() *Endpoints {
 	return &Endpoints{missing: map[string]int{}, healthReports: map[string]map[string]bool{}, coldAt: map[string]time.Duration{}}
 }
--- a/internal/discovery/outlier_quorum.go
+++ b/internal/discovery/outlier_quorum.go
@@ -33,14 +33,14 @@
 	zone string
 }
 
-// Jury decides for a routed fleet which back ends are failing, by what nodes tell of their own attempts. A node that meets one seldom so gains by the others' losses.
+// OutlierQuorum decides for a routed fleet which back ends are failing, by what nodes tell of their own attempts. A node that meets one seldom so gains by the others' losses.
 // It is a pure state machine of the leader; a new leader's takes over the rows that it finds.
 type OutlierQuorum struct {
 	votes  map[string]map[string]vote
 	trials map[string]*trial
 }
 
-// NewJury makes one without votes.
+// NewOutlierQuorum makes one without votes.
 func NewOutlierQuorum() *OutlierQuorum {
 	return &OutlierQuorum{votes: map[string]map[string]vote{}, trials: map[string]*trial{}}
 }
@@ -203,7 +203,7 @@
 	return sum
 }
 
-// isSeenWidely tells that nodes of the back end's own district see it fail too, or those of several; one that fails the callers of one other district is avoided by those.
+// isSeenWidely tells that nodes of the back end's own zone see it fail too, or those of several; one that fails the callers of one other zone is avoided by those.
 func isSeenWidely(backend *schema.Backend, votes map[string]vote, ready map[string][]string) bool {
 	zones := map[string]bool{}
 	for _, v := range votes {
@@ -212,7 +212,7 @@
 	return len(zones) > 1 || zones[backend.Zone] || len(ready[backend.Zone]) == 0
 }
 
-// sponsors are the nodes that alone may try a failing back end: few of its district, others at each trial.
+// sponsors are the nodes that alone may try a failing back end: few of its zone, others at each trial.
 func slowStartSenders(backend *schema.Backend, view *store.View, ready map[string][]string, turn int) []string {
 	near := ready[backend.Zone]
 	if len(near) == 0 {
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -10,7 +10,7 @@
 	"topazshed/internal/store"
 )
 
-// evidence tells what a region's standing rests on: which of its districts are emptied or dark, and whether a service has ready back ends in the others.
+// evidence tells what a region's failover assignment rests on: which of its zones are emptied or dark, and whether a service has ready back ends in the others.
 func evidence(view *store.View, service *store.Service, region string, all, open []string) string {
 	var facts []string
 	for _, name := range all {
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -21,7 +21,7 @@
 	return number
 }
 
-// Origin is the immutable record that travels with a query: a region, or the entry itself.
+// Origin is the immutable record that travels with a request: a region, or the entry itself.
 type Origin struct {
 	Region  string
 	Service string
@@ -248,7 +248,7 @@
 	return homes
 }
 
-// Usable tells which districts of a region could be an entry's active group, best first.
+// Usable tells which zones of a region could be an entry's active group, best first.
 func Usable(view *store.View, entry *schema.Entry, region string) []string {
 	service := view.Services[entry.Service]
 	if service == nil {
@@ -294,7 +294,7 @@
 	return names
 }
 
-// Released tells the planner whether every grant that was given before an index has been given back or has lapsed, and since when in milliseconds.
+// Released tells the planner whether every lease that was given before an index has been given back or has lapsed, and since when in milliseconds.
 type Released func(index uint64) (isReleased bool, sinceMillis uint64)
 
 // Plan derives the rows that should change now, with their guards; it never lowers a number.
--- a/internal/failover/place.go
+++ b/internal/failover/place.go
@@ -18,7 +18,7 @@
 	Trail  Trail
 }
 
-// Holds tells whether a district belongs to the place's group.
+// Holds tells whether a zone belongs to the place's group.
 func (p Place) Holds(zone string) bool { return slices.Contains(p.Zones, zone) }
 
 func nextOf(old uint64, residue uint32) uint64 {
@@ -122,7 +122,7 @@
 	return region + ":" + strings.Join(zones, "+")
 }
 
-// PlanPlaces gives the records that bring the rows of a routed fleet in line with its districts, machines and back ends.
+// PlanPlaces gives the records that bring the rows of a routed fleet in line with its zones, machines and back ends.
 func PlanPlaces(view *store.View, table *store.Table) []*schema.Record {
 	all, open := map[string][]string{}, map[string][]string{}
 	for name, zone := range view.Zones {
--- a/internal/failover/place_test.go
+++ b/internal/failover/place_test.go
@@ -255,7 +255,7 @@
 	}
 }
 
-// A routed fleet's increment is chosen for 46 regions with 182 districts; each of them must get a residue.
+// A routed fleet's increment is chosen for 46 regions with 182 zones; each of them must get a residue.
 func TestCheckTakesTheRegionsAndZonesOfTheSizeToDesignFor(t *testing.T) {
 	table := store.NewTable()
 	for i := range uint32(46) {
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -2,7 +2,7 @@
 
 import "topazshed/internal/constants"
 
-// Room is how many requests a node may have in flight with so many bytes of memory for the whole process.
+// Capacity is how many requests a node may have in flight with so many bytes of memory for the whole process.
 func Capacity(memory int64) int {
 	return int(max(constants.CapacityLeast, min(memory/constants.CapacityParts/constants.RequestBytes, constants.CapacityMost)))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -109,7 +109,7 @@
 	g.pressure.Keep(isKnown)
 }
 
-// Vitals are the back ends that failed this node's requests, or served it although they are failing, since it was last asked.
+// HealthReports reports are the back ends that failed this node's requests, or served it although they are failing, since it was last asked.
 func (g *Gateway) HealthReports() []*schema.HealthReport {
 	failing := map[string]bool{}
 	for _, service := range g.options.Local().View.Services {
--- a/internal/gateway/outliers.go
+++ b/internal/gateway/outliers.go
@@ -15,24 +15,24 @@
 
 // The verdicts on attempts.
 const (
-	// VerdictSound: a whole answer that may be passed on.
+	// VerdictHealthy: a whole answer that may be passed on.
 	VerdictHealthy Verdict = iota
 	// VerdictFailed: an error of the back end's own, a broken or untrustworthy answer, silence, or no connection.
 	VerdictFailed
-	// VerdictDeclined: the back end says that it did not run the request. Full ones say so too, so that it counts only beside the others of the service.
+	// VerdictRefused: the back end says that it did not run the request. Full ones say so too, so that it counts only beside the others of the service.
 	VerdictRefused
 )
 
-// Standing is how a node takes a back end.
+// OutlierStatus assignment is how a node takes a back end.
 type OutlierStatus int
 
-// The standings of a back end at a node.
+// The failover assignments of a back end at a node.
 const (
-	// StandingSound: it gets its share.
+	// OutlierHealthy: it gets its share.
 	OutlierHealthy OutlierStatus = iota
-	// StandingOut: it is ejected, and gets a request only if nothing else is left.
+	// OutlierEjected: it is ejected, and gets a request only if nothing else is left.
 	OutlierEjected
-	// StandingTrial: its time out is over, and one request at a time shows whether it is well.
+	// OutlierOnTrial: its time out is over, and one request at a time shows whether it is well.
 	OutlierOnTrial
 )
 
@@ -167,7 +167,7 @@
 	s.strikes++
 }
 
-// Standing is how a back end stands now, and until when it is out. One that has not answered for much longer than is usual counts as out until it does.
+// Status assignment is how a back end stands now, and until when it is out. One that has not answered for much longer than is usual counts as out until it does.
 func (o *Outliers) Status(now time.Duration, service, id string) (OutlierStatus, time.Duration) {
 	s := o.suspects[id]
 	switch {
@@ -193,7 +193,7 @@
 	return len(s.started) > 0 && o.IsOverdue(service, now-s.started[0])
 }
 
-// TakeVitals gives the back ends that were ejected or did not answer since it was last asked, and those that served although they are failing for the whole fleet.
+// TakeHealthReports gives the back ends that were ejected or did not answer since it was last asked, and those that served although they are failing for the whole fleet.
 func (o *Outliers) TakeHealthReports(now time.Duration, isFailing func(id string) bool) []*schema.HealthReport {
 	var healthReports []*schema.HealthReport
 	for _, id := range slices.Sorted(maps.Keys(o.suspects)) {
--- a/internal/gateway/outliers_test.go
+++ b/internal/gateway/outliers_test.go
@@ -14,7 +14,7 @@
 func TestOutliers(t *testing.T) {
 	const out = constants.OutlierOut
 	standings := map[OutlierStatus]string{OutlierHealthy: "sound", OutlierEjected: "out", OutlierOnTrial: "trial"}
-	// A step is "good", "bad" or "full" (an attempt at i-1 judged so), "others-good" or "others-bad" or "others-full" (ten at the others), "start" and "stop", a time to wait, or a standing to be seen.
+	// A step is "good", "bad" or "full" (an attempt at i-1 judged so), "others-good" or "others-bad" or "others-full" (ten at the others), "start" and "stop", a time to wait, or a failover assignment to be seen.
 	for _, c := range []struct{ name, steps string }{
 		{"nothing is known", "sound"},
 		{"one failure of a few is enough while the others are well", "others-good good good bad out"},
--- a/internal/gateway/request_machine.go
+++ b/internal/gateway/request_machine.go
@@ -69,7 +69,7 @@
 	IsForgotten bool
 }
 
-// CourseOptions make a Course.
+// RequestOptions make a Course.
 type RequestOptions struct {
 	Self  *schema.Node
 	Loads *Loads
@@ -89,7 +89,7 @@
 	IsReplayable bool
 }
 
-// Course is one request's way through a gateway: events in, orders out, without I/O.
+// RequestMachine is one request's way through a gateway: events in, orders out, without I/O.
 type RequestMachine struct {
 	RequestOptions
 	sent     int
@@ -103,7 +103,7 @@
 	Repeats  int
 }
 
-// NewCourse begins a request's course.
+// NewRequestMachine begins a request's course.
 func NewRequestMachine(options RequestOptions) *RequestMachine {
 	return &RequestMachine{RequestOptions: options}
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -133,14 +133,14 @@
 	return l.judged.Outliers.IsOverdue(service, took)
 }
 
-// TakeVitals gives the back ends that failed requests, or that served although they are failing, since it was last asked.
+// TakeHealthReports gives the back ends that failed requests, or that served although they are failing, since it was last asked.
 func (l *Loads) TakeHealthReports(now time.Duration, isFailing func(id string) bool) []*schema.HealthReport {
 	l.judged.lock.Lock()
 	defer l.judged.lock.Unlock()
 	return l.judged.Outliers.TakeHealthReports(now, isFailing)
 }
 
-// Standing is how this node takes a back end.
+// OutlierStatus assignment is how this node takes a back end.
 func (l *Loads) OutlierStatus(now time.Duration, service, id string) (OutlierStatus, time.Duration) {
 	l.judged.lock.Lock()
 	defer l.judged.lock.Unlock()
@@ -192,7 +192,7 @@
 	return ids
 }
 
-// ColdBearable is how many requests all nodes together may send in a second to a cold back end.
+// ColdRate is how many requests all nodes together may send in a second to a cold back end.
 func (l *Loads) ColdRate(policy *schema.ServicePolicy) int {
 	return int(policy.GetColdRate()*l.bounds.ColdExcess+l.bounds.ColdMargin) - constants.ColdSpare
 }
@@ -255,7 +255,7 @@
 	return w.Take(now, int(l.bounds.RetrySlack*budget.Whole)/nodes, l.bounds.RetryWindow+constants.RepeatMargin)
 }
 
-// Heat notes how long a back end worked on a key. What is far above the usual was spent in a queue, and what was turned away tells nothing
+// KeyLoad notes how long a back end worked on a key. What is far above the usual was spent in a queue, and what was turned away tells nothing
 // of its work, so that both count as bounded by the usual.
 func (l *Loads) KeyLoad(service string, key uint32, busy time.Duration, isServed bool) {
 	s, free := l.in(service)
@@ -281,7 +281,7 @@
 	of[key/(constants.Keys/constants.LoadBuckets)%constants.LoadBuckets] += uint32(busy.Milliseconds())
 }
 
-// TakeHeat gives what was noted since it was last asked.
+// TakeKeyLoad gives what was noted since it was last asked.
 func (l *Loads) TakeKeyLoad(span time.Duration) []*schema.ShardLoad {
 	var keyLoads []*schema.ShardLoad
 	for n := range l.shards {
--- a/internal/idempotency/replica.go
+++ b/internal/idempotency/replica.go
@@ -1,4 +1,4 @@
-// Package idempotency lets an attempt id that must not be repeated run at most once: a majority of its keepers holds it.
+// Package idempotency lets an attempt id that must not be repeated run at most once: a majority of its replicas holds it.
 package idempotency
 
 import (
@@ -30,7 +30,7 @@
 	forgot       time.Duration
 }
 
-// Keeper is one node's part in the claims of its region.
+// Replica is one node's part in the reservations of its region.
 type Replica struct {
 	id         string
 	lock       sync.RWMutex
@@ -50,7 +50,7 @@
 	shards     [shards]shard
 }
 
-// NewKeeper makes a silent keeper; one that has lived before under its id must not believe in a first set.
+// NewReplica makes a silent replica; one that has lived before under its id must not believe in a first set.
 func NewReplica(id string, hasLived bool) *Replica {
 	k := &Replica{id: id, hasLived: hasLived, copied: map[string]bool{}, copiedIn: map[string]bool{}, pages: map[string]uint32{}}
 	for i := range k.shards {
@@ -59,7 +59,7 @@
 	return k
 }
 
-// Match chooses the keepers of an attempt id by rendezvous, never all in one district where there are two.
+// Match chooses the replicas of an attempt id by rendezvous, never all in one zone where there are two.
 func Match(set *schema.ReplicaSet, attempt string) []*schema.Member {
 	members := slices.Clone(set.Members)
 	slices.SortFunc(members, func(a, b *schema.Member) int {
@@ -78,10 +78,10 @@
 	return members[:count]
 }
 
-// Majority is how many of a set's keepers of one id must agree.
+// Majority is how many of a set's replicas of one id must agree.
 func Majority(count int) int { return min(count, constants.ReservationReplicas)/2 + 1 }
 
-// Adopt takes the region's newest keeper set; a changed set makes the keeper silent until it has copied or waited.
+// Adopt takes the region's newest replica set; a changed set makes the replica silent until it has copied or waited.
 func (k *Replica) Adopt(now time.Duration, set *schema.ReplicaSet) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -127,13 +127,13 @@
 	}
 }
 
-// Asking is one keeper to be asked for its claims, and the query for it.
+// Asking is one replica to be asked for its reservations, and the request for it.
 type Asking struct {
 	Member  *schema.Member
 	Message *schema.ReservationCopyRequest
 }
 
-// Ask gives the keepers that must still be asked for their claims.
+// Ask gives the replicas that must still be asked for their reservations.
 func (k *Replica) Ask(now time.Duration) []Asking {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -153,7 +153,7 @@
 	return list
 }
 
-// Copy answers a keeper of the set that this one has adopted too, a page at a time; from then on older sets are declined here.
+// Copy answers a replica of the set that this one has adopted too, a page at a time; from then on older sets are refused here.
 func (k *Replica) Copy(now time.Duration, request *schema.ReservationCopyRequest) *schema.ReservationCopyResponse {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
@@ -187,7 +187,7 @@
 	return response
 }
 
-// Copied takes a former keeper's claims.
+// Copied takes a former replica's reservations.
 func (k *Replica) Copied(now time.Duration, from string, response *schema.ReservationCopyResponse) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -229,7 +229,7 @@
 	return max(constants.RetryAfter, k.adoptedAt+constants.LeaseDuration+constants.LeaseClockMargin+constants.ReservationWindow-now)
 }
 
-// Take decides one claim; isGranted is false when this node has no live grant.
+// Take decides one reservation; isGranted is false when this node has no live lease.
 func (k *Replica) Take(now time.Duration, c *schema.ReservationRequest, isGranted bool) *schema.ReservationResponse {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
@@ -309,7 +309,7 @@
 	}
 }
 
-// State describes a keeper for status: set number, membership, readiness and claims held.
+// State describes a replica for status: set number, membership, readiness and reservations held.
 func (k *Replica) State() (number uint64, isMember, isReady bool, reservations int) {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,4 +1,4 @@
-// Package journal keeps a voter's log on a ring of preallocated files and its images in two areas.
+// Package journal keeps a voter's log on a ring of preallocated files and its snapshots in two areas.
 package journal
 
 import (
@@ -72,7 +72,7 @@
 	return size <= o.FileBytes-constants.JournalMargin
 }
 
-// FitsImage tells whether a snapshot, packed, fits its area with a quarter to spare: rows that no operator puts are added to it later.
+// FitsSnapshot tells whether a snapshot, packed, fits its area with a quarter to spare: rows that no operator puts are added to it later.
 func (o Options) FitsSnapshot(snapshot *schema.Snapshot) bool {
 	limit := (o.SnapshotBytes - snapshotHead) * 3 / 4
 	if int64(proto.Size(snapshot)) <= limit {
@@ -114,7 +114,7 @@
 	return "the journal ring is full; an image must be written before more is logged"
 }
 
-// LargeError says that an image does not fit its area.
+// LargeError says that a snapshot does not fit its area.
 type LargeError struct{ Size, Limit int64 }
 
 func (e *LargeError) Error() string {
@@ -559,7 +559,7 @@
 	return nil
 }
 
-// PutImage writes a whole image to the older area, reads it back, and releases the files behind it.
+// WriteSnapshot writes a whole snapshot to the older area, reads it back, and releases the files behind it.
 func (j *Journal) WriteSnapshot(snapshot *schema.Snapshot) error {
 	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(snapshot)
 	if err != nil {
@@ -589,10 +589,10 @@
 	return nil
 }
 
-// ImageIndex is the index of the newest image on disk.
+// SnapshotIndex is the index of the newest snapshot on disk.
 func (j *Journal) SnapshotIndex() uint64 { return j.snapshotIndex }
 
-// NeedsImage tells whether the next file of the ring is still held.
+// NeedsSnapshot tells whether the next file of the ring is still held.
 func (j *Journal) NeedsSnapshot() bool {
 	held := 0
 	for _, file := range j.files {
--- a/internal/membership/sampler.go
+++ b/internal/membership/sampler.go
@@ -20,7 +20,7 @@
 	Pace  Pace
 }
 
-// Pace is how often neighbours are probed and shuffled, and whether those of the own region are taken first; the zero value is the pace of the constants.
+// Pace is how often peers are probed and shuffled, and whether those of the own region are taken first; the zero value is the pace of the constants.
 type Pace struct {
 	Probe   time.Duration
 	Wait    time.Duration
@@ -41,7 +41,7 @@
 	since    time.Duration
 }
 
-// Neighbours is one node's machine.
+// Sampler is one node's machine.
 type Sampler struct {
 	options   Options
 	self      *schema.Node
--- a/internal/node/native.go
+++ b/internal/node/native.go
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("the list was not read whole: %s; mend the list if it lasts", e.Reason)
 }
 
-// NativeSeam speaks the product's own interface, for a fleet whose settings say that it carries routes.
+// NativePlatform speaks the product's own interface, for a fleet whose settings say that it carries routes.
 func NativePlatform(s *settings.Settings) *Platform {
 	bounds := s.Routes
 	milliseconds := func(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
@@ -106,7 +106,7 @@
 	Handover string `json:"handover,omitempty"`
 }
 
-// HandoverHeader carries what the next holder of released keys is given.
+// HandoverHeader carries what the next owner of released keys is given.
 const HandoverHeader = "Topazshed-Handover"
 
 type caller struct {
--- a/internal/node/native_test.go
+++ b/internal/node/native_test.go
@@ -20,7 +20,7 @@
 	"topazshed/internal/settings"
 )
 
-// nativeHolder answers the product's own key calls beside the requests.
+// nativeOwner answers the product's own key calls beside the requests.
 type nativeOwner struct {
 	*ownerStandIn
 	leases, releases int
@@ -222,7 +222,7 @@
 		return status == 200 && json.Unmarshal([]byte(text), &match) == nil && match.LiveMS > 0 && len(match.Proxies) == 2 && strings.Contains(text, machines[1].settings.Proxy) && strings.Contains(text, machines[3].settings.Proxy)
 	})
 
-	// A district is emptied: its back ends get nothing, the standing tells why, and it comes back.
+	// A zone is emptied: its back ends get nothing, the failover assignment tells why, and it comes back.
 	var before adminapi.AssignmentsAnswer
 	machines[0].read(t, "/v1/standings/mu?service=copper", &before)
 	if status, _, text := machines[3].admin("POST", "/v1/districts/mu-a/empty?reason=new+racks", ""); status != 200 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -441,7 +441,7 @@
 	n.net.Send(to.Address, f)
 }
 
-// Call sends a frame and waits for its outcome; a call to this node itself is answered at once.
+// Call sends a frame and waits for its response; a call to this node itself is answered at once.
 func (n *Node) Call(ctx context.Context, address string, f *schema.Frame) (*schema.Frame, error) {
 	waiting := &call{address, make(chan *schema.Frame, 1)}
 	f.Call = n.serial.Add(1)
@@ -635,7 +635,7 @@
 	return 0, nil
 }
 
-// Wait blocks until the context ends or the disk fails, then stops the process without dropping a query.
+// Wait blocks until the context ends or the disk fails, then stops the process without dropping a request.
 func (n *Node) Wait(ctx context.Context) error {
 	select {
 	case err := <-n.fatal:
--- a/internal/node/routed.go
+++ b/internal/node/routed.go
@@ -36,16 +36,16 @@
 	DrainWithin time.Duration
 }
 
-// Seam is how the outside of a routed fleet is spoken to: names, formats and calls; it decides nothing.
+// Platform is how the outside of a routed fleet is spoken to: names, formats and calls; it decides nothing.
 type Platform struct {
 	Names  gateway.Names
 	Bounds Bounds
-	// Districts are the deployment's, each with its region, also those without a machine.
+	// Zones are the deployment's, each with its region, also those without a machine.
 	Zones map[string]string
 	// List reads the platform's whole list once, and tells how many calls it took. It takes its turn before each call; an error of the turn
 	// ends the read.
 	List func(ctx context.Context, turn Turn) ([]discovery.Listed, int, error)
-	// Grant carries out one call to a back end; the error tells why there was no answer.
+	// Lease carries out one call to a back end; the error tells why there was no answer.
 	GrantLease func(ctx context.Context, call sharding.Call) (sharding.Answer, error)
 	// Serve gives the handlers of a node by the addresses that they listen on.
 	Serve func(*Outside) map[string]http.Handler
@@ -58,13 +58,13 @@
 type Outside struct {
 	// Requests takes callers' requests.
 	Requests http.Handler
-	// Operate carries an operator's query to the leader.
+	// Operate carries an operator's request to the leader.
 	Operate func(ctx context.Context, request *schema.OperatorRequest) (*schema.OperatorResponse, error)
 	// Resolve gives the addresses of nodes for a caller and how long they may be used; none if this node does not know.
 	Resolve func(region, zone string) ([]string, time.Duration)
 	// IsReady tells whether this node may get requests.
 	IsReady func() bool
-	// Door is the product's own door for directory and operators; Insight is the part of it that only reads: status and standings.
+	// Door is the product's own door for directory and operators; Insight is the part of it that only reads: status and failover assignments.
 	Admin   http.Handler
 	Insight http.Handler
 }
--- a/internal/protocolversion/span.go
+++ b/internal/protocolversion/span.go
@@ -13,9 +13,9 @@
 const (
 	// SenderOnce: a frame names its sender only where it differs from what its connection has told.
 	SenderOnce Feature = "senders are told once a connection"
-	// SpanTold: the first frame of a connection, whole beats and the rows of nodes tell the span of versions that a process speaks.
+	// SpanAnnounced: the first frame of a connection, whole heartbeats and the rows of nodes tell the span of versions that a process speaks.
 	SpanAnnounced Feature = "spans are told in first frames and whole beats"
-	// FleetRow: the version that the fleet uses is a row; images and hard states carry it.
+	// FleetRow: the version that the fleet uses is a row; snapshots and hard states carry it.
 	FleetRow Feature = "the fleet's version is a row, and stands on disks"
 )
 
@@ -70,7 +70,7 @@
 	return low, high
 }
 
-// ImpossibleError says that a peer claims a span that no process can speak.
+// ImpossibleError says that a peer reservations a span that no process can speak.
 type ImpossibleError struct{ Low, High uint32 }
 
 func (e *ImpossibleError) Error() string {
@@ -123,7 +123,7 @@
 	return fmt.Sprintf("record %d of the log is of the unknown kind %d; this node can't go on without it: start the program that the other voters run", e.Index, e.Kind)
 }
 
-// Told reads the two fields that tell a span.
+// ReadSpan reads the two fields that tell a span.
 func ReadSpan(low, high uint32) (Span, error) {
 	span := Span{max(low, First), max(high, First)}
 	if span.Low > span.High || span.High > Most {
@@ -149,7 +149,7 @@
 // InUse reads the fleet's version; an absent one is the first.
 func InUse(announced uint32) uint32 { return max(announced, First) }
 
-// CheckFleet declines a fleet that uses what a process does not speak.
+// CheckFleet refuses a fleet that uses what a process does not speak.
 func CheckFleet(own Span, fleet uint32) error {
 	if own.Has(InUse(fleet)) {
 		return nil
@@ -157,7 +157,7 @@
 	return &FleetError{InUse(fleet), own}
 }
 
-// CheckDisk declines a disk that a process may not read. An older one is always read: a version that can't be must convert it.
+// CheckDisk refuses a disk that a process may not read. An older one is always read: a version that can't be must convert it.
 func CheckDisk(own Span, what string, disk uint32) error {
 	if InUse(disk) <= own.High {
 		return nil
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -38,7 +38,7 @@
 	all      map[string]int
 }
 
-// Loads are the hot tables of a proxy: legs in flight, ramps, budgets and keys, in shards with a lock each.
+// Loads are the hot tables of a proxy: attempts in flight, ramps, budgets and keys, in shards with a lock each.
 type Loads struct {
 	shards [shards]loadShard
 	now    func() time.Duration
@@ -67,21 +67,21 @@
 	return s, s.lock.Unlock
 }
 
-// InFlight is the count of legs that this proxy has at a back end.
+// InFlight is the count of attempts that this proxy has at a back end.
 func (l *Loads) InFlight(instance string) int {
 	s, free := l.in(instance)
 	defer free()
 	return s.inFlight[instance]
 }
 
-// Begin counts a leg, End takes it off.
+// Begin counts an attempt, End takes it off.
 func (l *Loads) Begin(instance string) {
 	s, free := l.in(instance)
 	defer free()
 	s.inFlight[instance]++
 }
 
-// End takes a leg off.
+// End takes an attempt off.
 func (l *Loads) End(instance string) {
 	s, free := l.in(instance)
 	defer free()
@@ -90,7 +90,7 @@
 	}
 }
 
-// Report takes a probe's or leg's result for a back end; one that was down and answers again is taken as cold here.
+// Report takes a probe's or attempt's result for a back end; one that was down and answers again is taken as cold here.
 func (l *Loads) Report(instance string, err error) {
 	s, free := l.in(instance)
 	defer free()
@@ -116,7 +116,7 @@
 	return s.bad[instance] >= constants.HealthCheckFailures
 }
 
-// MayBegin holds a cold back end to this proxy's part of a rising rate and counts the leg where it may begin; the part is asked for only then.
+// MayBegin holds a cold back end to this proxy's part of a rising rate and counts the attempt where it may begin; the part is asked for only then.
 func (l *Loads) MayBegin(now time.Duration, backend *schema.Backend, ask func() Part, coldRate uint32) bool {
 	s, free := l.in(backend.Instance)
 	defer free()
@@ -162,7 +162,7 @@
 	return r.begun[len(r.begun)-1]
 }
 
-// First counts a first leg of a service.
+// First counts a first attempt of a service.
 func (l *Loads) First(now time.Duration, service string) {
 	s, free := l.in(service)
 	defer free()
@@ -184,7 +184,7 @@
 	return share
 }
 
-// Repeat tells whether one more leg fits the repeat budget, and counts it; the allowance is shared out in whole legs.
+// Repeat tells whether one more attempt fits the repeat budget, and counts it; the allowance is shared out in whole attempts.
 func (l *Loads) Repeat(now time.Duration, service string, part Part) bool {
 	s, free := l.in(service)
 	defer free()
@@ -192,14 +192,14 @@
 	return w != nil && w.Take(now, part.Share(constants.RepeatAllowance)*budget.Whole, constants.RepeatWindow+constants.RepeatMargin)
 }
 
-// KeyInFlight gives the legs in flight of one key and of its whole service.
+// KeyInFlight gives the attempts in flight of one key and of its whole service.
 func (l *Loads) KeyInFlight(service, key string) (int, int) {
 	s, free := l.in(service)
 	defer free()
 	return s.keys[service+"\x00"+key], s.all[service]
 }
 
-// BeginKey counts a leg of a key; EndKey takes it off.
+// BeginKey counts an attempt of a key; EndKey takes it off.
 func (l *Loads) BeginKey(service, key string) {
 	s, free := l.in(service)
 	defer free()
@@ -209,7 +209,7 @@
 	}
 }
 
-// EndKey takes a leg of a key off.
+// EndKey takes an attempt of a key off.
 func (l *Loads) EndKey(service, key string) {
 	s, free := l.in(service)
 	defer free()
@@ -221,7 +221,7 @@
 	}
 }
 
-// BeginKeyed notes the image version that a keyed leg was begun on; the closure ends it, at once or, without a whole answer, after its afterglow.
+// BeginKeyed notes the snapshot version that a keyed attempt was begun on; the closure ends it, at once or, without a whole answer, after its afterglow.
 func (l *Loads) BeginKeyed(version uint64) func(isOpen bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -239,7 +239,7 @@
 	}
 }
 
-// Floor is the lowest image version that a running keyed leg was begun on, or none.
+// Floor is the lowest snapshot version that a running keyed attempt was begun on, or none.
 func (l *Loads) Floor() uint64 {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/internal/proxy/decider.go
+++ b/internal/proxy/decider.go
@@ -17,7 +17,7 @@
 // Turn is what the executor must do next.
 type Turn int
 
-// The turns of a query.
+// The turns of a request.
 const (
 	TurnRefuse Turn = iota
 	TurnPark
@@ -104,7 +104,7 @@
 	return entry, nil
 }
 
-// Decide is asked at each turn of a query.
+// Decide is asked at each turn of a request.
 func Decide(s Situation) Decision {
 	d, isOwn := Check(s)
 	if !isOwn {
@@ -113,7 +113,7 @@
 	return match(s, d)
 }
 
-// Check tells whether this proxy may begin a leg of the query now, or else what is to be done.
+// Check tells whether this proxy may begin an attempt of the request now, or else what is to be done.
 func Check(s Situation) (Decision, bool) {
 	q := s.Request
 	entry, early := Entry(s.Now, s.Local, q.Service, q.Path, s.Parked)
--- a/internal/proxy/executor.go
+++ b/internal/proxy/executor.go
@@ -35,7 +35,7 @@
 	Log   *slog.Logger
 }
 
-// Executor carries out the orders of each query's course with real connections.
+// Executor carries out the orders of each request's course with real connections.
 type Executor struct {
 	options Options
 	serial  atomic.Uint64
@@ -45,19 +45,19 @@
 // NewExecutor makes one.
 func NewExecutor(options Options) *Executor { return &Executor{options: options} }
 
-// Stats are the counts of sealed, declined, doubtful and repeated legs.
+// Stats are the counts of sealed, refused, doubtful and repeated attempts.
 func (x *Executor) Stats() map[string]uint64 {
 	return map[string]uint64{"sealed": x.stats[0].Load(), "declined": x.stats[1].Load(), "doubtful": x.stats[2].Load(), "repeats": x.stats[3].Load()}
 }
 
-// Outcome is a whole answer: a back end's, or what a caller is told.
+// Result is a whole answer: a back end's, or what a caller is told.
 type Result struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// ServeHTTP takes one query from a caller or from another proxy.
+// ServeHTTP takes one request from a caller or from another proxy.
 func (x *Executor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	begun := x.options.Now()
 	result, fault := x.run(r, begun)
@@ -77,7 +77,7 @@
 	w.Write(told.Body)
 }
 
-// Tell makes the answer to a caller out of a sealed outcome or a fault.
+// Tell makes the answer to a caller out of a sealed response or a fault.
 func Tell(self, attempt string, result *Result, fault *RefusalError) *Result {
 	told := &Result{Header: http.Header{}}
 	if fault != nil {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// Run carries a query until it has its one outcome.
+// Run carries a request until it has its one response.
 func (x *Executor) Run(ctx context.Context, q *Request, begun time.Duration) (*Result, *RefusalError) {
 	machine := NewRequestMachine(RequestOptions{Self: x.options.Self, Loads: x.options.Loads, Kept: x.options.Kept, Draw: x.options.Draw, Request: q, Begun: begun,
 		Owner: fmt.Sprintf("%s/%d", x.options.Self.Id, x.serial.Add(1))})
--- a/internal/proxy/kept.go
+++ b/internal/proxy/kept.go
@@ -25,7 +25,7 @@
 	weight int
 }
 
-// Kept are the sealed outcomes of unsafe queries that this proxy still has, for repeats of their attempt ids.
+// Kept are the sealed responses of unsafe requests that this proxy still has, for repeats of their attempt ids.
 type Kept struct {
 	shards [shards]keptShard
 }
@@ -39,7 +39,7 @@
 	return k
 }
 
-// Put keeps an outcome within the bound of bytes.
+// Put keeps a response within the bound of bytes.
 func (k *Kept) Put(now time.Duration, q *Request, o *Result) {
 	size := len(o.Body) + len(q.Attempt) + 512
 	if size > constants.KeptResponse {
@@ -62,7 +62,7 @@
 	}
 }
 
-// Get gives the outcome of an attempt id for the same query, or nil.
+// Get gives the response of an attempt id for the same request, or nil.
 func (k *Kept) Get(attempt string, digest []byte) *Result {
 	s := &k.shards[shardOf(attempt)]
 	s.lock.Lock()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -1,4 +1,4 @@
-// Package proxy carries queries to back ends: a decider is asked, an executor obeys.
+// Package proxy carries requests to back ends: a decider is asked, an executor obeys.
 package proxy
 
 import (
@@ -16,7 +16,7 @@
 	"topazshed/internal/failover"
 )
 
-// The headers of queries, legs and outcomes.
+// The headers of requests, attempts and responses.
 const (
 	HeaderAttempt   = "Topazshed-Attempt"
 	HeaderWait      = "Topazshed-Wait"
@@ -33,14 +33,14 @@
 	HeaderProxy     = "Topazshed-Proxy"
 )
 
-// The kinds of outcome that a caller is told.
+// The kinds of response that a caller is told.
 const (
 	ResultSealed    = "sealed"
 	ResultRefused   = "declined"
 	ResultAmbiguous = "doubtful"
 )
 
-// Query is a caller's request as it was read.
+// Request is a caller's request as it was read.
 type Request struct {
 	Service   string
 	Path      string
@@ -58,7 +58,7 @@
 	Digest    []byte
 }
 
-// DeclineError is a final outcome that is not the back end's: declined surely did not run, doubtful may have run.
+// RefusalError is a final response that is not the back end's: refused surely did not run, doubtful may have run.
 type RefusalError struct {
 	Status     int
 	Kind       string
@@ -89,7 +89,7 @@
 	return told
 }
 
-// Write gives the outcome to the caller.
+// Write gives the response to the caller.
 func (e *RefusalError) Write(w http.ResponseWriter) {
 	told := e.describe()
 	for name, values := range told.Header {
@@ -111,7 +111,7 @@
 
 var compileAttemptForm = sync.OnceValue(func() *regexp.Regexp { return regexp.MustCompile(`^[A-Za-z0-9_.:-]{8,64}$`) })
 
-// ReadQuery reads what does not need the entry; the body follows once the entry is known.
+// ReadRequest reads what does not need the entry; the body follows once the entry is known.
 func ReadRequest(r *http.Request) (*Request, *RefusalError) {
 	q := &Request{Method: r.Method, RawQuery: r.URL.RawQuery, Header: r.Header}
 	service, path, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
@@ -155,7 +155,7 @@
 	return q, nil
 }
 
-// Seal fixes the digest of the query, which a claim is bound to.
+// Seal fixes the digest of the request, which a reservation is bound to.
 func (q *Request) Seal() {
 	sum := sha256.New()
 	for _, part := range []string{q.Method, q.Service, q.Path, q.RawQuery, q.Key} {
--- a/internal/proxy/request_machine.go
+++ b/internal/proxy/request_machine.go
@@ -16,7 +16,7 @@
 	"topazshed/internal/schema"
 )
 
-// OrderKind is what the shell must do for a query next.
+// OrderKind is what the shell must do for a request next.
 type OrderKind int
 
 // The orders of a course; each but OrderReply is answered by an event.
@@ -31,7 +31,7 @@
 	OrderReplay
 )
 
-// ClaimCall is one claim for one keeper.
+// ReservationCall is one reservation for one replica.
 type ReservationCall struct {
 	Member  *schema.Member
 	Request *schema.ReservationRequest
@@ -55,7 +55,7 @@
 	Keeps        bool
 }
 
-// EventKind is what has happened to a query.
+// EventKind is what has happened to a request.
 type EventKind int
 
 // The events that a course takes.
@@ -70,7 +70,7 @@
 	EventReplayed
 )
 
-// Event answers an order: a connection or its fault, a whole answer or its fault, a keeper's word or none.
+// Event answers an order: a connection or its fault, a whole answer or its fault, a replica's word or none.
 type Event struct {
 	Kind      EventKind
 	Err       error
@@ -96,7 +96,7 @@
 	phaseReplay
 )
 
-// CourseOptions make a Course.
+// RequestOptions make a Course.
 type RequestOptions struct {
 	Self    *schema.Node
 	Loads   *Loads
@@ -107,7 +107,7 @@
 	Begun   time.Duration
 }
 
-// Course is one query's way through a proxy: events in, orders out, without I/O. The shell and the simulator both drive it.
+// RequestMachine is one request's way through a proxy: events in, orders out, without I/O. The shell and the simulator both drive it.
 type RequestMachine struct {
 	RequestOptions
 	Repeats    int
@@ -138,7 +138,7 @@
 	isFinal    bool
 }
 
-// NewCourse begins a query's course.
+// NewRequestMachine begins a request's course.
 func NewRequestMachine(options RequestOptions) *RequestMachine {
 	wait := options.Request.Wait
 	wait -= min(constants.AnswerMargin, wait/constants.AnswerShare)
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -68,7 +68,7 @@
 	ticket, round, index uint64
 }
 
-// Quorum is one member's machine.
+// Node is one member's machine.
 type Node struct {
 	options     Options
 	id          string
@@ -194,7 +194,7 @@
 // LogBytes is the size of the log in memory.
 func (q *Node) LogBytes() int { return q.logBytes }
 
-// First is the index of the image below the log in memory.
+// First is the index of the snapshot below the log in memory.
 func (q *Node) First() uint64 { return q.first }
 
 // ElectedAt is when this leader was elected.
@@ -381,7 +381,7 @@
 	}
 }
 
-// Describe fills index, term and members of an image taken at the applied index.
+// Describe fills index, term and members of a snapshot taken at the applied index.
 func (q *Node) Describe(snapshot *schema.Snapshot) {
 	snapshot.Index = q.handed
 	snapshot.Term, _ = q.termAt(q.handed)
@@ -430,7 +430,7 @@
 }
 
 // Committed gives the items to apply next. They are on the disks of a majority, though perhaps not on this one yet;
-// none follow an image that is still to be installed.
+// none follow a snapshot that is still to be installed.
 func (q *Node) Committed() []*schema.LogItem {
 	until := q.commit
 	if until <= q.handed || q.isBehind {
--- a/internal/sharding/holds_test.go
+++ b/internal/sharding/holds_test.go
@@ -7,7 +7,7 @@
 	"topazshed/internal/constants"
 )
 
-// Deployments may allow much shorter holds, or longer ones; keys stay held in the calm, and none has two holders.
+// Deployments may allow much shorter holds, or longer ones; keys stay held in the calm, and none has two owners.
 func TestHoldsOfOtherDeployments(t *testing.T) {
 	for _, most := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second, 10 * time.Second, 40 * time.Second, 0} {
 		t.Run(most.String(), func(t *testing.T) {
--- a/internal/sharding/homes.go
+++ b/internal/sharding/homes.go
@@ -61,7 +61,7 @@
 	return s.f.View.Zones[backend.GetZone()].GetRegion()
 }
 
-// isAbroad tells that a holder lies where fewer routes allow it than where an eligible one lies.
+// isAbroad tells that an owner lies where fewer routes allow it than where an eligible one lies.
 func (s *step) isAbroad(backend *schema.Backend) bool {
 	h := s.g.homes[s.service.Name]
 	if h == nil || len(h.allowed) == 0 || len(s.eligible) == 0 {
--- a/internal/sharding/homes_test.go
+++ b/internal/sharding/homes_test.go
@@ -27,7 +27,7 @@
 	w.apply(record)
 }
 
-// holding are the districts whose back ends hold keys, and by how many.
+// holding are the zones whose back ends hold keys, and by how many.
 func (w *world) holding() string {
 	held := map[string]uint32{}
 	for _, span := range w.view.Services["a"].Spans {
--- a/internal/sharding/sharding.go
+++ b/internal/sharding/sharding.go
@@ -1,4 +1,4 @@
-// Package sharding grants ranges of a service's keys to its back ends; it is a pure state machine of the leader.
+// Package sharding leases ranges of a service's keys to its back ends; it is a pure state machine of the leader.
 package sharding
 
 import (
@@ -41,8 +41,8 @@
 const (
 	GrantLease Kind = iota + 1
 	ReleaseLease
-	// Probe only asks whether the back end can be reached; it gives nothing. After a grant without answer it goes before the next one of
-	// any of its spans, so that a holder that is out of reach is not given its keys longer and longer.
+	// Probe only asks whether the back end can be reached; it gives nothing. After a lease without answer it goes before the next one of
+	// any of its spans, so that an owner that is out of reach is not given its keys longer and longer.
 	Probe
 )
 
@@ -61,10 +61,10 @@
 	Wait     time.Duration
 }
 
-// Outcome is how a call ended.
+// CallResult is how a call ended.
 type CallResult int
 
-// The outcomes of calls.
+// The responses of calls.
 const (
 	// Done tells that the back end took the call.
 	Done CallResult = iota + 1
@@ -98,7 +98,7 @@
 	fence       uint64
 }
 
-// exposure is what a back end may hold because of one call.
+// outstanding call is what a back end may hold because of one call.
 type outstandingCall struct {
 	service, instance, address string
 
@@ -125,7 +125,7 @@
 	isFreed   bool
 }
 
-// silence is a back end that left a grant unanswered: only probes go to it until one comes through.
+// silence is a back end that left a lease unanswered: only probes go to it until one comes through.
 type unresponsiveOwner struct {
 	next      time.Duration
 	isWaiting bool
@@ -160,7 +160,7 @@
 	isUneven     bool
 }
 
-// Granter decides which back end holds which keys.
+// LeaseManager decides which back end holds which keys.
 type LeaseManager struct {
 	hold             time.Duration
 	isLeading        bool
@@ -169,7 +169,7 @@
 	pending          map[uint64]*pending
 	outstandingCalls []*outstandingCall
 	services         map[string]*memory
-	// withdrawn are the rows, at an index, whose holder may lose them by a record that is still on its way; they get no more grants.
+	// withdrawn are the rows, at an index, whose owner may lose them by a record that is still on its way; they get no more leases.
 	withdrawn map[string]uint64
 	homes     map[string]*homes
 	head      *schema.CatalogHead
@@ -195,7 +195,7 @@
 	g.pending, g.outstandingCalls, g.services = map[uint64]*pending{}, nil, map[string]*memory{}
 }
 
-// lapse is how long after a grant's arrival its holder may hold on.
+// lapse is how long after a lease's arrival its owner may hold on.
 func lapse(hold time.Duration) time.Duration {
 	return hold*100/(100-constants.KeyClockSlow) + constants.KeyHoldMargin
 }
@@ -324,7 +324,7 @@
 	}
 }
 
-// released takes a range off what its holder may hold: it refuses every lower fence from now on.
+// released takes a range off what its owner may hold: it refuses every lower fence from now on.
 func (g *LeaseManager) released(call Call) {
 	for _, e := range g.outstandingCalls {
 		if e.service != call.Service || e.instance != call.Instance || e.fence >= call.Fence {
--- a/internal/sharding/spans_test.go
+++ b/internal/sharding/spans_test.go
@@ -11,7 +11,7 @@
 	"topazshed/internal/store"
 )
 
-// striped is a settled world whose holders have equal spans in turn.
+// striped is a settled world whose owners have equal spans in turn.
 func striped(t *testing.T, seed int64, owners, spans int) *world {
 	w := newWorld(t, seed, owners, "a")
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS}
--- a/internal/sharding/step.go
+++ b/internal/sharding/step.go
@@ -123,7 +123,7 @@
 	return g.listed[address]
 }
 
-// isMoot tells that what a call gave is surely held by nobody: its holder has ended, and no other process at its address took the call.
+// isVoid tells that what a call gave is surely held by nobody: its owner has ended, and no other process at its address took the call.
 func (s *step) isVoid(e *outstandingCall) bool {
 	if !s.f.Dead(e.instance) {
 		return false
@@ -193,7 +193,7 @@
 	s.effects.Records = append(s.effects.Records, record)
 }
 
-// heir is the instance that a span's load counts for.
+// replacement is the instance that a span's load counts for.
 func (s *step) replacement(r row) string {
 	if target, isThere := s.m.targets[r.First]; r.Releasing && isThere {
 		return target
@@ -339,7 +339,7 @@
 	s.send(Call{Kind: GrantLease, Instance: r.Instance, Address: backend.Address, First: r.First, Last: r.Last, Fence: r.Fence, Hold: s.g.hold, Handover: r.Handover, Wait: constants.KeyLeaseWait}, e)
 }
 
-// isDoubted tells that an instance has left a grant unanswered for so long that its other spans had better wait for that answer.
+// isDoubted tells that an instance has left a lease unanswered for so long that its other spans had better wait for that answer.
 func (s *step) isDoubted(instance string) bool {
 	if s.doubted == nil {
 		s.doubted = map[string]bool{}
@@ -366,7 +366,7 @@
 	s.send(Call{Kind: ReleaseLease, Instance: r.Instance, Address: backend.Address, First: r.First, Last: r.Last, Fence: r.Fence, Wait: constants.KeyReleaseWait}, nil)
 }
 
-// free proposes to take a part of a span off its holder.
+// free proposes to take a part of a span off its owner.
 func (s *step) free(r row, first, last uint32, target, reason string) {
 	var plan []piece
 	if first > r.First {
@@ -379,7 +379,7 @@
 	s.freeParts(r, plan, reason)
 }
 
-// freeParts proposes to take those parts of a span off its holder that have a target.
+// freeParts proposes to take those parts of a span off its owner that have a target.
 func (s *step) freeParts(r row, plan []piece, reason string) {
 	handover := r.Handover
 	if p := s.m.leases[r.identity()]; p != nil && p.isDone {
@@ -402,7 +402,7 @@
 	s.propose(reason, width, []row{r}, spans)
 }
 
-// mustLeave tells whether a holder is to lose all its keys, and whether a part at a time.
+// mustLeave tells whether an owner is to lose all its keys, and whether a part at a time.
 func (s *step) mustLeave(backend *schema.Backend) (bool, bool) {
 	_, isExcluded := s.m.excluded[backend.Instance]
 	return isExcluded || backend.Failing || backend.State == schema.BackendState_BACKEND_DRAINING || s.isEmptied(backend) || s.isAbroad(backend), !isExcluded
@@ -602,7 +602,7 @@
 	return 0, false
 }
 
-// gather gives a small lukewarm span to a neighbour's holder, one after the other in the calm, so that hot ranges may be cut out again.
+// gather gives a small lukewarm span to a peer's owner, one after the other in the calm, so that hot ranges may be cut out again.
 func (s *step) gather(loads map[string]float64, mean float64, moves int) {
 	if len(s.rows)*constants.KeyGatherParts <= s.spansMost()*(constants.KeyGatherParts-1) || moves > 0 || s.f.Now-s.m.unevenAt < constants.KeyGatherPause {
 		return
@@ -629,7 +629,7 @@
 	}
 }
 
-// merge joins neighbours of one holder, also of differing fences: the greatest is above all that it has seen on any of them.
+// merge joins peers of one owner, also of differing fences: the greatest is above all that it has seen on any of them.
 func (s *step) merge() {
 	for i := 0; i < len(s.rows); {
 		a := s.rows[i]
--- a/internal/sharding/world_test.go
+++ b/internal/sharding/world_test.go
@@ -19,7 +19,7 @@
 	buckets = 256
 )
 
-// holder is a back end of the simulated world.
+// owner is a back end of the simulated world.
 type owner struct {
 	row      *schema.Backend
 	isAlive  bool
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -25,7 +25,7 @@
 	areas map[string]*area
 	Syncs int
 	Fault error
-	// Only, where it is set, is the one kind of file that Fault strikes: ring or image.
+	// Only, where it is set, is the one kind of file that Fault strikes: ring or snapshot.
 	Only   string
 	isHeld bool
 	left   int
--- a/internal/sim/scenarios.go
+++ b/internal/sim/scenarios.go
@@ -693,10 +693,10 @@
 	}},
 }
 
-// Breach is a protection that can be switched off, the scenario that then shows it, and the rule or invariant whose check must fail.
+// Fault is a protection that can be switched off, the scenario that then shows it, and the rule or invariant whose check must fail.
 type Fault struct{ Name, About, Scenario, Caught string }
 
-// Breaches are the deliberate ones, at least one for each rule.
+// Faults are the deliberate ones, at least one for each rule.
 var Faults = []Fault{
 	{"claims", "keepers take every claim", "calm", "rule once"},
 	{"grants", "proxies act as if they always held a grant", "region-cut", "began under"},
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -561,7 +561,7 @@
 	}
 }
 
-// Operate sends an operator's query to a machine and keeps what was told.
+// Operate sends an operator's request to a machine and keeps what was told.
 func (f *Fleet) Operate(n *Node, request *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
 	at := f.Now
 	if f.Options.Fault == "race" && request.Kind == schema.OperatorKind_OPERATOR_PUT {
@@ -631,7 +631,7 @@
 {"service":"service3","path":"/book","methods":["POST"],"repeat_safe":[],"keyed":true},
 {"service":"service2","path":"/home","methods":["GET"],"repeat_safe":["GET"],"home_regions":["r0","r1"]}]}`
 
-// Put puts a configuration through a machine until it is accepted, declined for good, or a time is over.
+// Put puts a configuration through a machine until it is accepted, refused for good, or a time is over.
 func (f *Fleet) Put(n *Node, document string, base uint64) *schema.OperatorResponse {
 	var result *schema.OperatorResponse
 	f.Operate(n, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(document), Base: base}, func(o *schema.OperatorResponse) {
@@ -661,7 +661,7 @@
 	return result
 }
 
-// Move empties or restores a district through any machine, trying until it is accepted.
+// Move empties or restores a zone through any machine, trying until it is accepted.
 func (f *Fleet) Move(zone string, isEmpty bool) bool {
 	kind := schema.OperatorKind_OPERATOR_RESTORE
 	if isEmpty {
@@ -819,5 +819,5 @@
 	return wasOut && f.Now-at < 2500*time.Millisecond
 }
 
-// View gives a machine's compiled image.
+// View gives a machine's compiled snapshot.
 func (f *Fleet) View(n *Node) *store.View { return n.core.Local().View }
--- a/internal/sim/traffic.go
+++ b/internal/sim/traffic.go
@@ -342,7 +342,7 @@
 	f.History.Fleet = append(f.History.Fleet, checker.FleetEvent{At: at, End: f.Now, What: "stop", Node: n.Name, Proxy: n.address + ":p"})
 }
 
-// Query is one simulated sending; done is told its outcome: sealed, declined, doubtful, unreached, broken or late.
+// Request is one simulated sending; done is told its response: sealed, refused, doubtful, unreached, broken or late.
 func (f *Fleet) Request(attempt, method, service, path string, region string, wait time.Duration, done func(result string)) {
 	f.send(Ask{Attempt: attempt, Method: method, Service: service, Path: path, Region: region, Wait: wait}, 1, func(r *checker.Reply) {
 		switch {
@@ -563,7 +563,7 @@
 	try()
 }
 
-// Load sends queries at a rate for a while; one unsafe caller in seven is impatient and sends its attempt id twice at once.
+// Load sends requests at a rate for a while; one unsafe caller in seven is impatient and sends its attempt id twice at once.
 func (f *Fleet) Load(name string, perSecond int, span time.Duration) {
 	total := int(span.Seconds() * float64(perSecond))
 	for i := range total {
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -10,7 +10,7 @@
 
 const tcpUserTimeout = 18
 
-// Silence makes a dialer's control that gives a connection up once sent bytes stay so long without word of their arrival.
+// IdleTimeout makes a dialer's control that gives a connection up once sent bytes stay so long without word of their arrival.
 func IdleTimeout(most time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var fault error
--- a/internal/store/table.go
+++ b/internal/store/table.go
@@ -28,7 +28,7 @@
 // ServicePrefix is the slice of one service.
 func ServicePrefix(service string) string { return "s/" + service + "/" }
 
-// Key functions name the rows.
+// NodeKey functions name the rows.
 func NodeKey(id string) string           { return "node/" + id }
 func RegionKey(name string) string       { return "region/" + name }
 func ZoneKey(name string) string         { return "district/" + name }
@@ -72,7 +72,7 @@
 	VersionKey = "catalog/head/version"
 )
 
-// Put makes a row of a message.
+// EncodeRow makes a row of a message.
 func EncodeRow(key string, message proto.Message) *schema.Row {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
@@ -81,10 +81,10 @@
 	return &schema.Row{Key: key, Value: value}
 }
 
-// Gone makes a row that takes another out.
+// Tombstone makes a row that takes another out.
 func Tombstone(key string) *schema.Row { return &schema.Row{Key: key, Gone: true} }
 
-// Decode reads a row's message; a missing row gives nil.
+// DecodeRow reads a row's message; a missing row gives nil.
 func DecodeRow[T any, P interface {
 	*T
 	proto.Message
@@ -226,7 +226,7 @@
 	return rows
 }
 
-// Merge takes a delta from another node; an older one or one with a gap is declined.
+// Merge takes a delta from another node; an older one or one with a gap is refused.
 func (t *Table) Merge(delta *schema.Delta) ([]*schema.Row, bool) {
 	if delta.To < t.version || !delta.All && delta.From > t.version {
 		return nil, false
@@ -274,12 +274,12 @@
 	return gone
 }
 
-// Whole gives an image of everything.
+// Whole gives a snapshot of everything.
 func (t *Table) Whole() *schema.Snapshot {
 	return &schema.Snapshot{Index: t.version, Rows: t.Rows(All)}
 }
 
-// Restore replaces everything by an image.
+// Restore replaces everything by a snapshot.
 func (t *Table) Restore(snapshot *schema.Snapshot) {
 	t.rows.Clear()
 	for _, row := range snapshot.Rows {
--- a/internal/store/view.go
+++ b/internal/store/view.go
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// View is the compiled image that queries are decided on; it is never changed once published.
+// View is the compiled snapshot that requests are decided on; it is never changed once published.
 type View struct {
 	Version     uint64
 	System      string
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -40,14 +40,14 @@
 	return errors.Join(faults...)
 }
 
-// Kernel is the table of a process's services.
+// Supervisor is the table of a process's services.
 type Supervisor struct {
 	Stack
 	lock     sync.RWMutex
 	services map[string]any
 }
 
-// New makes an empty kernel.
+// New makes an empty supervisor.
 func New() *Supervisor { return &Supervisor{services: map[string]any{}} }
 
 // MissingError says that a service was sought before it was registered.
--- a/test.sh
+++ b/test.sh
@@ -22,7 +22,7 @@
 go build -o bin/ ./cmd/...
 go test -race $(go list ./... | grep -v internal/sim)
 go test ./internal/sim
-bin/rig sim -scenario all -seeds 1-20
-bin/rig run -deployment office -rate 100 -seconds 32 -seed 1 -scenario scenarios/ci.txt
-bin/rig run -deployment port -rate 200 -seconds 50 -seed 1 -scenario scenarios/ci-port.txt
-bin/rig routed -seconds 24 -seed 1
+bin/testfleet sim -scenario all -seeds 1-20
+bin/testfleet run -deployment office -rate 100 -seconds 32 -seed 1 -scenario scenarios/ci.txt
+bin/testfleet run -deployment port -rate 200 -seconds 50 -seed 1 -scenario scenarios/ci-port.txt
+bin/testfleet routed -seconds 24 -seed 1
