--- a/cmd/testfleet/caller.go
+++ b/cmd/testfleet/caller.go
@@ -60,7 +60,9 @@
 
 type matched struct {
 	Proxies []struct {
-		Address, Zone, Region string
+		Address string
+		Zone    string `json:"district"`
+		Region  string
 	} `json:"proxies"`
 	Origin  string `json:"origin"`
 	Version uint64 `json:"version"`
--- a/internal/node/native_test.go
+++ b/internal/node/native_test.go
@@ -270,7 +270,9 @@
 		status, _ := machines[0].ask("/n/x", "7")
 		return status == 200
 	})
-	var all struct{ Assignments []adminapi.Assignment }
+	var all struct {
+		Assignments []adminapi.Assignment `json:"standings"`
+	}
 	machines[2].read(t, "/v1/standings", &all)
 	if len(all.Assignments) < 2 {
 		t.Errorf("%+v", all)
