--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -314,7 +314,7 @@
 func (d *Server) Status() *Status {
 	now, local := d.options.Now(), d.options.Local()
 	view := local.View
-	s := &Status{Node: d.options.Self.Id, System: local.System, Role: local.Role, Term: local.Term, Leader: local.Leader, Index: view.Version, Rows: local.Rows,
+	s := &Status{Node: d.options.Self.Id, System: local.System, Role: local.Role, Term: local.Term, Leader: local.Leader, Index: uint64(view.Version), Rows: local.Rows,
 		Configuration: view.Head.Version, Fleet: view.Fleet, Newest: protocolversion.Newest, Fit: d.isFit(now, local), ClockMs: now.Milliseconds(), FreshMs: (now - local.FreshAt).Milliseconds(), StaleResponses: local.StaleResponses, LeaseMs: max(0, local.LeaseUntil-now).Milliseconds(),
 		ListMs: -1, ListFault: local.ListFault, Suspects: local.Suspects, Results: d.options.Stats()}
 	if local.ListAt > 0 {
--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -66,7 +66,7 @@
 	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
 		report := &schema.NodeReport{Id: id, NeverHeard: true}
 		if id == c.self.Id {
-			report.Index, report.NeverHeard = c.table.Version(), false
+			report.Index, report.NeverHeard = uint64(c.table.Version()), false
 		} else if g := c.nodes[id]; g != nil && g.heard > 0 {
 			report.Index, report.HeardMs, report.NeverHeard = g.version, uint32((c.now - g.heard).Milliseconds()), false
 		}
--- a/internal/controlplane/changes_test.go
+++ b/internal/controlplane/changes_test.go
@@ -10,6 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -35,7 +36,7 @@
 		s.core.Tick(s.now)
 		if s.core.IsLeading() {
 			for _, zone := range zones {
-				s.core.noteHeartbeat(&schema.Heartbeat{Version: s.core.table.Version(), Node: &schema.Node{Id: "of-" + zone, Address: zone, Proxy: zone, Admin: zone, Zone: zone, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
+				s.core.noteHeartbeat(&schema.Heartbeat{Version: uint64(s.core.table.Version()), Node: &schema.Node{Id: "of-" + zone, Address: zone, Proxy: zone, Admin: zone, Zone: zone, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
 			}
 		}
 		for range 8 {
@@ -126,7 +127,7 @@
 	for i := range uint64(3 * constants.ChangesKept) {
 		record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: i + 1})}}
 		before := s.core.numbersOf(record)
-		rows, err := s.core.table.Apply(i+1, record, nil)
+		rows, err := s.core.table.Apply(raft.Index(i+1), record, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/driver.go
+++ b/internal/controlplane/driver.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"topazshed/internal/journal"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
@@ -65,7 +66,7 @@
 
 func (d *Driver) store(effects Effects, isAgain bool) {
 	d.write(func() error {
-		if snapshot := effects.Quorum.Snapshot; snapshot != nil && d.Journal.SnapshotIndex() < snapshot.Index {
+		if snapshot := effects.Quorum.Snapshot; snapshot != nil && uint64(d.Journal.SnapshotIndex()) < snapshot.Index {
 			if err := d.Journal.WriteSnapshot(snapshot); err != nil {
 				return err
 			}
@@ -104,7 +105,7 @@
 
 func (d *Driver) compact(next func()) {
 	whole := d.Core.Whole()
-	if whole.Index == 0 || d.Journal.SnapshotIndex() >= whole.Index {
+	if whole.Index == 0 || uint64(d.Journal.SnapshotIndex()) >= whole.Index {
 		next()
 		return
 	}
@@ -113,7 +114,7 @@
 			d.failed = err
 			return
 		}
-		d.Core.Compacted(whole.Index)
+		d.Core.Compacted(raft.Index(whole.Index))
 		next()
 	})
 }
--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -9,6 +9,7 @@
 
 	"topazshed/internal/constants"
 	"topazshed/internal/failover"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -18,7 +19,7 @@
 		if c.wasLeader {
 			c.nodes = map[string]*nodeRecord{}
 			c.releasedAt = map[uint64]time.Duration{}
-			c.pending = map[string]uint64{}
+			c.pending = map[string]raft.Index{}
 		}
 		if c.wasLeader {
 			c.log.Info("this machine leads no more", "term", c.quorum.Term())
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -138,7 +138,7 @@
 type subscriber struct {
 	prefixes []string
 	wanted   []string
-	sent     uint64
+	sent     raft.Index
 	serial   uint64
 	renewed  time.Duration
 	sentAt   time.Duration
@@ -205,10 +205,10 @@
 	isReservationReady bool
 	oldestIndex        uint64
 	peers              map[string]time.Duration
-	pending            map[string]uint64
+	pending            map[string]raft.Index
 	verdicts           map[uint64]string
-	snapshotAt         uint64
-	knownCommit        uint64
+	snapshotAt         raft.Index
+	knownCommit        raft.Index
 	fences             map[string]time.Duration
 	behindAt           time.Duration
 	opened             map[string]time.Duration
@@ -231,7 +231,7 @@
 		table: store.NewTable(), view: store.NewView(), endpoints: discovery.New(), heartbeats: map[uint64]asked{}, held: map[string]bool{},
 		wanted: map[string]time.Duration{}, subs: map[uint64]asked{}, subscriber: map[string]*subscriber{}, nodes: map[string]*nodeRecord{},
 		releasedAt: map[uint64]time.Duration{}, reads: map[uint64]*pendingRequest{}, seeds: map[string]time.Duration{}, empties: map[string]bool{},
-		peers: map[string]time.Duration{}, pending: map[string]uint64{}, verdicts: map[uint64]string{}, fences: map[string]time.Duration{}, opened: map[string]time.Duration{}, openedAs: map[string]uint64{}, addresses: map[string]string{}, now: now, tickedAt: now, speaks: options.Speaks.OrOwn(), refusedNodes: map[string]uint64{}}
+		peers: map[string]time.Duration{}, pending: map[string]raft.Index{}, verdicts: map[uint64]string{}, fences: map[string]time.Duration{}, opened: map[string]time.Duration{}, openedAs: map[string]uint64{}, addresses: map[string]string{}, now: now, tickedAt: now, speaks: options.Speaks.OrOwn(), refusedNodes: map[string]uint64{}}
 	if options.Routed != nil {
 		c.routed = newRoutedState(options)
 	}
@@ -386,7 +386,7 @@
 		if c.quorum.LeaderID() == f.From {
 			c.leader, c.leaderAt = f.Address, now
 			if body.Raft.Kind == schema.RaftKind_RAFT_APPEND {
-				c.knownCommit, c.knownCommitAt = body.Raft.Commit, now
+				c.knownCommit, c.knownCommitAt = raft.Index(body.Raft.Commit), now
 			}
 		}
 	case *schema.Frame_DiscoverRequest:
@@ -439,7 +439,7 @@
 	case *schema.Frame_Delta:
 		c.takeDelta(f.Address, body.Delta)
 	case *schema.Frame_DigestRequest:
-		if body.DigestRequest.Version == c.table.Version() {
+		if body.DigestRequest.Version == uint64(c.table.Version()) {
 			c.send(f.Address, &schema.Frame{Body: &schema.Frame_DigestResponse{DigestResponse: &schema.DigestResponse{Version: body.DigestRequest.Version, Differing: c.table.Differing(body.DigestRequest.Ranges)}}})
 		}
 	case *schema.Frame_DigestResponse:
@@ -564,7 +564,7 @@
 	}
 	c.heartbeatAt = c.now
 	c.serial++
-	b := &schema.Heartbeat{Node: c.spoken(c.peerSampler.Self()), Version: c.table.Version(), Health: c.healthReports, Suspects: c.peerSampler.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isReservationReady, OldestIndex: c.oldestIndex}
+	b := &schema.Heartbeat{Node: c.spoken(c.peerSampler.Self()), Version: uint64(c.table.Version()), Health: c.healthReports, Suspects: c.peerSampler.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isReservationReady, OldestIndex: c.oldestIndex}
 	if c.routed != nil {
 		b.Load = c.routed.takeLoad(c.now)
 		if healthReports := c.routed.options.HealthReports; healthReports != nil {
@@ -617,7 +617,7 @@
 }
 
 func (c *Machine) takeHeartbeat(f *schema.Frame, b *schema.Heartbeat) {
-	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: c.table.Version()}
+	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: uint64(c.table.Version())}
 	isLeader := c.IsLeading() && c.isFitNode(b.Node)
 	if isLeader {
 		response.Leader, response.Accepted = c.self.Address, true
@@ -736,7 +736,7 @@
 		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
 		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", StaleResponses: c.staleResponses}
 	if c.quorum != nil {
-		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), c.quorum.Term(), c.quorum.Commit(), c.quorum.Members(), c.quorum.First()
+		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), uint64(c.quorum.Term()), uint64(c.quorum.Commit()), c.quorum.Members(), uint64(c.quorum.First())
 		if c.quorum.Role() == raft.Leader {
 			l.FreshAt = c.quorum.Contact()
 		}
@@ -837,7 +837,7 @@
 		c.view = store.Compile(c.table)
 		c.fences = map[string]time.Duration{}
 		c.noteFences(effects.Quorum.Snapshot.Rows)
-		c.snapshotAt = effects.Quorum.Snapshot.Index
+		c.snapshotAt = raft.Index(effects.Quorum.Snapshot.Index)
 		if c.guard(c.view.Fleet) != nil {
 			return
 		}
@@ -878,12 +878,12 @@
 			return
 		}
 		before := c.numbersOf(item.Record)
-		rows, err := c.table.Apply(item.Index, item.Record, failover.Check)
+		rows, err := c.table.Apply(raft.Index(item.Index), item.Record, failover.Check)
 		if err != nil {
 			c.verdicts[item.Index] = err.Error()
 			c.log.Info("record void", "index", item.Index, "reason", err.Error())
 		}
-		if c.table.Version() < item.Index {
+		if uint64(c.table.Version()) < item.Index {
 			continue
 		}
 		changed = append(changed, rows...)
@@ -908,7 +908,7 @@
 }
 
 // Compacted tells that a snapshot of that index is on disk.
-func (c *Machine) Compacted(index uint64) {
+func (c *Machine) Compacted(index raft.Index) {
 	c.snapshotAt = index
 	c.quorum.Compact(index)
 }
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -127,7 +127,7 @@
 	for _, row := range record.Rows {
 		c.pending[row.Key] = index
 	}
-	w.index, w.term, w.version = index, term, version
+	w.index, w.term, w.version = uint64(index), uint64(term), version
 	c.operations = append(c.operations, w)
 }
 
@@ -234,7 +234,7 @@
 		return
 	}
 	document := store.DecodeRow[schema.CatalogDocument](c.table.Get(store.DocumentKey))
-	response := &schema.OperatorResponse{Version: document.GetVersion(), Document: document.GetDocument(), Index: c.table.Version()}
+	response := &schema.OperatorResponse{Version: document.GetVersion(), Document: document.GetDocument(), Index: uint64(c.table.Version())}
 	if w.request.Kind == schema.OperatorKind_OPERATOR_STATUS {
 		response = &schema.OperatorResponse{Version: document.GetVersion(), Index: c.newestOperation(), Unconfirmed: c.unconfirmed(c.newestOperation()),
 			Reports: c.reports(), Changes: c.changes}
--- a/internal/controlplane/spread.go
+++ b/internal/controlplane/spread.go
@@ -167,7 +167,7 @@
 		return
 	}
 	c.digestAt = c.now
-	digest := &schema.DigestRequest{Version: c.table.Version()}
+	digest := &schema.DigestRequest{Version: uint64(c.table.Version())}
 	for _, prefix := range c.prefixes() {
 		if c.held[prefix] {
 			digest.Ranges = append(digest.Ranges, c.table.Digest(prefix))
@@ -182,7 +182,7 @@
 	c.subSerial++
 	c.subs[c.subSerial] = asked{c.now, to}
 	delete(c.subs, c.subSerial-questionsKept)
-	s := &schema.Subscribe{Version: c.table.Version(), Serial: c.subSerial}
+	s := &schema.Subscribe{Version: uint64(c.table.Version()), Serial: c.subSerial}
 	for _, prefix := range c.prefixes() {
 		if c.held[prefix] {
 			s.Prefixes = append(s.Prefixes, prefix)
@@ -203,7 +203,7 @@
 		c.subscriber[from] = sub
 	}
 	sub.prefixes, sub.wanted, sub.serial, sub.renewed = s.Prefixes, s.Wanted, s.Serial, c.now
-	sub.sent = s.Version
+	sub.sent = raft.Index(s.Version)
 	c.push(from, sub)
 }
 
@@ -222,7 +222,7 @@
 	if age > time.Minute {
 		age = time.Minute
 	}
-	d := &schema.Delta{From: sub.sent, To: c.table.Version(), Serial: sub.serial, AgeMs: uint32(age.Milliseconds())}
+	d := &schema.Delta{From: uint64(sub.sent), To: uint64(c.table.Version()), Serial: sub.serial, AgeMs: uint32(age.Milliseconds())}
 	if c.routed != nil {
 		d.Leader = c.leader
 	}
@@ -267,7 +267,7 @@
 	}
 	changed, isTaken := c.table.Merge(d)
 	if !isTaken {
-		if d.From > c.table.Version() {
+		if raft.Index(d.From) > c.table.Version() {
 			c.subscribe()
 		}
 		return
--- a/internal/controlplane/startup_world_test.go
+++ b/internal/controlplane/startup_world_test.go
@@ -177,8 +177,8 @@
 }
 
 func (f *startupFleet) publish(n *startupNode, local *controlplane.Local) {
-	if local.View.Version != n.version {
-		n.version = local.View.Version
+	if uint64(local.View.Version) != n.version {
+		n.version = uint64(local.View.Version)
 		f.lastRowAt = f.now
 	}
 	head := local.View.Head.GetVersion()
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -4,6 +4,7 @@
 	"strings"
 	"testing"
 
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -36,7 +37,7 @@
 
 func TestCheckRefusesFallingNumbers(t *testing.T) {
 	table := store.NewTable()
-	apply := func(index uint64, row *schema.Row) error {
+	apply := func(index raft.Index, row *schema.Row) error {
 		_, err := table.Apply(index, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{row}}, Check)
 		return err
 	}
--- a/internal/failover/groups_test.go
+++ b/internal/failover/groups_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -42,7 +43,7 @@
 				seen[row.Key] = true
 			}
 		}
-		if _, err := table.Apply(index, records[0], Check); err != nil {
+		if _, err := table.Apply(raft.Index(index), records[0], Check); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -16,6 +16,7 @@
 
 	"topazshed/internal/constants"
 	"topazshed/internal/protocolversion"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
@@ -149,7 +150,7 @@
 	name       string
 	area       Area
 	generation uint64
-	lastIndex  uint64
+	lastIndex  raft.Index
 	end        int64
 }
 
@@ -159,7 +160,7 @@
 	files         []*ringFile
 	snapshots     [2]Area
 	snapshotNext  int
-	snapshotIndex uint64
+	snapshotIndex raft.Index
 	serial        uint64
 	// synced is the serial of the newest record that is certainly on disk: those above it are one batch.
 	synced  uint64
@@ -208,7 +209,7 @@
 		}
 	}
 	if state.Snapshot != nil {
-		j.snapshotIndex = state.Snapshot.Index
+		j.snapshotIndex = raft.Index(state.Snapshot.Index)
 	}
 	if err := j.readRing(state); err != nil {
 		return nil, nil, err
@@ -216,13 +217,13 @@
 	if err := protocolversion.CheckDisk(options.Speaks.OrOwn(), "the journal", state.Hard.Version); err != nil {
 		return nil, nil, err
 	}
-	if len(state.Items) > 0 && state.Items[0].Index > j.snapshotIndex+1 {
+	if len(state.Items) > 0 && raft.Index(state.Items[0].Index) > j.snapshotIndex+1 {
 		return nil, nil, &CorruptError{"image", 0}
 	}
 	if snapshotFaults == 2 && state.Hard.Id != "" {
 		return nil, nil, &CorruptError{"image", 0}
 	}
-	for len(state.Items) > 0 && state.Items[0].Index <= j.snapshotIndex {
+	for len(state.Items) > 0 && raft.Index(state.Items[0].Index) <= j.snapshotIndex {
 		state.Items = state.Items[1:]
 	}
 	if len(state.Items) > 0 && state.Snapshot != nil && state.Items[0].Term < state.Snapshot.Term {
@@ -424,7 +425,7 @@
 			state.Items = nil
 		}
 		state.Items = append(state.Items, item)
-		f.lastIndex = max(f.lastIndex, item.Index)
+		f.lastIndex = max(f.lastIndex, raft.Index(item.Index))
 	default:
 		return &protocolversion.DiskError{What: "a record of the journal", Own: protocolversion.Own}
 	}
@@ -508,7 +509,7 @@
 	return j.put(kindHard, j.hard, 0)
 }
 
-func (j *Journal) put(kind byte, message proto.Message, index uint64) error {
+func (j *Journal) put(kind byte, message proto.Message, index raft.Index) error {
 	file := j.files[j.current]
 	serial := j.serial
 	text, err := j.record(kind, message)
@@ -544,7 +545,7 @@
 		return nil
 	}
 	for _, item := range items {
-		if err := j.put(kindItem, item, item.Index); err != nil {
+		if err := j.put(kindItem, item, raft.Index(item.Index)); err != nil {
 			return err
 		}
 	}
@@ -584,13 +585,13 @@
 	if err != nil {
 		return errors.Join(errors.New("image differs from what was written; check the disk"), err)
 	}
-	j.snapshotIndex = read.Index
+	j.snapshotIndex = raft.Index(read.Index)
 	j.snapshotNext = 1 - j.snapshotNext
 	return nil
 }
 
 // SnapshotIndex is the index of the newest snapshot on disk.
-func (j *Journal) SnapshotIndex() uint64 { return j.snapshotIndex }
+func (j *Journal) SnapshotIndex() raft.Index { return j.snapshotIndex }
 
 // NeedsSnapshot tells whether the next file of the ring is still held.
 func (j *Journal) NeedsSnapshot() bool {
--- a/internal/node/earlier_version_test.go
+++ b/internal/node/earlier_version_test.go
@@ -22,6 +22,7 @@
 	"topazshed/internal/controlplane"
 	"topazshed/internal/failover"
 	"topazshed/internal/journal"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -170,14 +171,14 @@
 	table := store.NewTable()
 	table.Restore(state.Snapshot)
 	for _, item := range state.Items {
-		if _, err := table.Apply(item.Index, item.Record, failover.Check); err != nil {
+		if _, err := table.Apply(raft.Index(item.Index), item.Record, failover.Check); err != nil {
 			found.LogRefused = append(found.LogRefused, item.Index)
 		}
 		if item.Record.Kind == schema.RecordKind_RECORD_MEMBERS {
 			found.LogMemberChanges++
 		}
 	}
-	found.FinalIndex = table.Version()
+	found.FinalIndex = uint64(table.Version())
 	found.FinalRows = digestRows(table.Rows(store.All))
 	describeTable(&found, table)
 	return found
--- a/internal/proxy/decider.go
+++ b/internal/proxy/decider.go
@@ -120,7 +120,7 @@
 	if early != nil {
 		return *early, false
 	}
-	d := Decision{Entry: entry, IsSafe: slices.Contains(entry.SafeMethods, q.Method), Version: s.Local.View.Version}
+	d := Decision{Entry: entry, IsSafe: slices.Contains(entry.SafeMethods, q.Method), Version: uint64(s.Local.View.Version)}
 	refuse := func(e *RefusalError) (Decision, bool) {
 		d.Turn, d.Refusal = TurnRefuse, e
 		return d, false
--- a/internal/proxy/request_machine_test.go
+++ b/internal/proxy/request_machine_test.go
@@ -140,7 +140,7 @@
 			for _, e := range []Event{{Kind: EventBegun}, {Kind: EventConnected}} {
 				machine.Next(now, local, e)
 			}
-			if loads.Floor() != local.View.Version {
+			if loads.Floor() != uint64(local.View.Version) {
 				t.Fatalf("a leg in flight has floor %d", loads.Floor())
 			}
 			machine.Next(now, local, c.event)
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -43,7 +43,7 @@
 	logTerm, _ := q.termAt(q.last())
 	for _, m := range q.Members().Voters {
 		if m.Id != q.id {
-			q.send(&schema.Raft{Kind: kind, To: m.Id, Term: term, Index: q.last(), LogTerm: logTerm, Handover: isHandover})
+			q.send(&schema.Raft{Kind: kind, To: m.Id, Term: uint64(term), Index: uint64(q.last()), LogTerm: uint64(logTerm), Handover: isHandover})
 		}
 	}
 	q.count()
@@ -69,5 +69,5 @@
 
 func (q *Node) isNewEnough(m *schema.Raft) bool {
 	term, _ := q.termAt(q.last())
-	return m.LogTerm > term || m.LogTerm == term && m.Index >= q.last()
+	return Term(m.LogTerm) > term || Term(m.LogTerm) == term && Index(m.Index) >= q.last()
 }
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -54,7 +54,7 @@
 }
 
 type progress struct {
-	match, next uint64
+	match, next Index
 	ackRound    uint64
 	heard       time.Duration
 	snapshotAt  time.Duration
@@ -65,25 +65,26 @@
 }
 
 type read struct {
-	ticket, round, index uint64
+	ticket, round uint64
+	index         Index
 }
 
 // Node is one member's machine.
 type Node struct {
 	options     Options
 	id          string
-	term        uint64
+	term        Term
 	vote        string
 	synced      *schema.HardState
 	role        Role
 	leader      string
-	first       uint64
-	firstTerm   uint64
+	first       Index
+	firstTerm   Term
 	base        *schema.Members
 	items       []*schema.LogItem
-	unsynced    uint64
-	commit      uint64
-	handed      uint64
+	unsynced    Index
+	commit      Index
+	handed      Index
 	snapshot    *schema.Snapshot
 	isBehind    bool
 	votes       map[string]bool
@@ -113,18 +114,18 @@
 	}
 	q := &Node{options: options, id: options.ID, base: &schema.Members{}, others: map[string]*progress{}, sentAt: map[uint64]time.Duration{}, now: now}
 	if options.Hard != nil {
-		q.term, q.vote = options.Hard.Term, options.Hard.Vote
+		q.term, q.vote = Term(options.Hard.Term), options.Hard.Vote
 	}
 	q.synced = q.hard()
 	if options.Snapshot != nil {
-		q.first, q.firstTerm = options.Snapshot.Index, options.Snapshot.Term
+		q.first, q.firstTerm = Index(options.Snapshot.Index), Term(options.Snapshot.Term)
 		q.base = options.Snapshot.Members
 		q.commit, q.handed = q.first, q.first
 	}
 	q.items = options.Items
 	q.logBytes = q.bytesFrom(q.first)
 	q.unsynced = q.last() + 1
-	q.commit = max(q.commit, min(options.Hard.GetCommit(), q.last()))
+	q.commit = max(q.commit, min(Index(options.Hard.GetCommit()), q.last()))
 	q.reset(now)
 	q.deadline -= q.options.Pace.ElectionLeast * 3 / 4
 	return q
@@ -138,22 +139,22 @@
 	q.become(Leader)
 }
 
-func (q *Node) hard() *schema.HardState { return &schema.HardState{Term: q.term, Vote: q.vote} }
+func (q *Node) hard() *schema.HardState { return &schema.HardState{Term: uint64(q.term), Vote: q.vote} }
 
 func (q *Node) reset(now time.Duration) {
 	q.deadline = now + q.options.Pace.ElectionLeast + time.Duration(q.options.Draw(int64(q.options.Pace.ElectionSpread)))
 }
 
-func (q *Node) last() uint64 { return q.first + uint64(len(q.items)) }
+func (q *Node) last() Index { return q.first + Index(len(q.items)) }
 
-func (q *Node) termAt(index uint64) (uint64, bool) {
+func (q *Node) termAt(index Index) (Term, bool) {
 	switch {
 	case index == q.first:
 		return q.firstTerm, true
 	case index < q.first || index > q.last():
 		return 0, false
 	}
-	return q.items[index-q.first-1].Term, true
+	return Term(q.items[index-q.first-1].Term), true
 }
 
 // Members are the newest in the log, committed or not.
@@ -162,17 +163,17 @@
 	return members
 }
 
-func (q *Node) membersAt() (*schema.Members, uint64) {
+func (q *Node) membersAt() (*schema.Members, Index) {
 	for i := len(q.items) - 1; i >= 0; i-- {
 		if q.items[i].Record.Kind == schema.RecordKind_RECORD_MEMBERS {
-			return q.items[i].Record.Members, q.items[i].Index
+			return q.items[i].Record.Members, Index(q.items[i].Index)
 		}
 	}
 	return q.base, q.first
 }
 
 // MembersIndex is where in the log the newest members stand; 0 or the snapshot's index where no record of the log tells them.
-func (q *Node) MembersIndex() uint64 {
+func (q *Node) MembersIndex() Index {
 	_, at := q.membersAt()
 	return at
 }
@@ -187,15 +188,15 @@
 // Role, leader, term and progress of this member.
 func (q *Node) Role() Role       { return q.role }
 func (q *Node) LeaderID() string { return q.leader }
-func (q *Node) Term() uint64     { return q.term }
-func (q *Node) Commit() uint64   { return q.commit }
-func (q *Node) Last() uint64     { return q.last() }
+func (q *Node) Term() Term       { return q.term }
+func (q *Node) Commit() Index    { return q.commit }
+func (q *Node) Last() Index      { return q.last() }
 
 // LogBytes is the size of the log in memory.
 func (q *Node) LogBytes() int { return q.logBytes }
 
 // First is the index of the snapshot below the log in memory.
-func (q *Node) First() uint64 { return q.first }
+func (q *Node) First() Index { return q.first }
 
 // ElectedAt is when this leader was elected.
 func (q *Node) ElectedAt() time.Duration { return q.electedAt }
@@ -209,7 +210,7 @@
 }
 
 // Match is how far a member's disk is known to be.
-func (q *Node) Match(id string) uint64 {
+func (q *Node) Match(id string) Index {
 	if p := q.others[id]; p != nil {
 		return p.match
 	}
@@ -223,7 +224,7 @@
 }
 
 func (q *Node) send(m *schema.Raft) {
-	m.From, m.Term = q.id, max(m.Term, q.term)
+	m.From, m.Term = q.id, max(m.Term, uint64(q.term))
 	q.ready.Messages = append(q.ready.Messages, m)
 }
 
@@ -261,7 +262,7 @@
 	}
 }
 
-func (q *Node) step(term uint64, leader string) {
+func (q *Node) step(term Term, leader string) {
 	if term > q.term {
 		q.term, q.vote = term, ""
 	}
@@ -323,12 +324,12 @@
 	isLive := q.leader != "" && now-q.heard < q.options.Pace.ElectionLeast
 	switch m.Kind {
 	case schema.RaftKind_RAFT_PREVOTE:
-		isFit := m.Term > q.term && !isLive && q.role != Leader && q.isNewEnough(m)
+		isFit := Term(m.Term) > q.term && !isLive && q.role != Leader && q.isNewEnough(m)
 		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_PREVOTE_RESPONSE, To: m.From, Rejected: !isFit})
 		return
 	case schema.RaftKind_RAFT_PREVOTE_RESPONSE:
-		if m.Term > q.term {
-			q.step(m.Term, "")
+		if Term(m.Term) > q.term {
+			q.step(Term(m.Term), "")
 		} else if q.role == Candidate && q.isPre && !m.Rejected {
 			q.votes[m.From] = true
 			q.count()
@@ -339,14 +340,14 @@
 			return
 		}
 	}
-	if m.Term < q.term {
+	if Term(m.Term) < q.term {
 		if m.Kind == schema.RaftKind_RAFT_APPEND || m.Kind == schema.RaftKind_RAFT_SNAPSHOT || m.Kind == schema.RaftKind_RAFT_SNAPSHOT_PART {
 			q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Rejected: true})
 		}
 		return
 	}
-	if m.Term > q.term {
-		q.step(m.Term, "")
+	if Term(m.Term) > q.term {
+		q.step(Term(m.Term), "")
 	}
 	switch m.Kind {
 	case schema.RaftKind_RAFT_VOTE:
@@ -383,11 +384,11 @@
 
 // Describe fills index, term and members of a snapshot taken at the applied index.
 func (q *Node) Describe(snapshot *schema.Snapshot) {
-	snapshot.Index = q.handed
-	snapshot.Term, _ = q.termAt(q.handed)
+	term, _ := q.termAt(q.handed)
+	snapshot.Index, snapshot.Term = uint64(q.handed), uint64(term)
 	snapshot.Members = q.base
 	for _, item := range q.items {
-		if item.Index <= q.handed && item.Record.Kind == schema.RecordKind_RECORD_MEMBERS {
+		if Index(item.Index) <= q.handed && item.Record.Kind == schema.RecordKind_RECORD_MEMBERS {
 			snapshot.Members = item.Record.Members
 		}
 	}
@@ -406,7 +407,7 @@
 	if q.unsynced <= q.last() {
 		ready.Items = slices.Clone(q.items[q.unsynced-q.first-1:])
 		ready.Hard = q.hard()
-		ready.Hard.Commit = q.commit
+		ready.Hard.Commit = uint64(q.commit)
 	}
 	return ready
 }
@@ -422,8 +423,8 @@
 	}
 	if n := len(ready.Items); n > 0 {
 		last := ready.Items[n-1]
-		if term, isThere := q.termAt(last.Index); isThere && term == last.Term {
-			q.unsynced = max(q.unsynced, last.Index+1)
+		if term, isThere := q.termAt(Index(last.Index)); isThere && term == Term(last.Term) {
+			q.unsynced = max(q.unsynced, Index(last.Index)+1)
 		}
 	}
 	q.advance()
--- a/internal/raft/node_test.go
+++ b/internal/raft/node_test.go
@@ -90,8 +90,8 @@
 		name      string
 		append    *schema.Raft
 		isRefused bool
-		last      uint64
-		commit    uint64
+		last      Index
+		commit    Index
 	}{
 		{"the next item", &schema.Raft{Index: 3, LogTerm: 2, Items: items(4, 3), Commit: 4}, false, 4, 4},
 		{"a commit beyond what was sent counts only so far", &schema.Raft{Index: 3, LogTerm: 2, Commit: 9}, false, 3, 3},
@@ -127,8 +127,8 @@
 	return q
 }
 
-func ack(q *Node, from string, index, round uint64) {
-	q.Receive(q.now, &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, From: from, To: "a", Term: 3, Index: index, Round: round})
+func ack(q *Node, from string, index Index, round uint64) {
+	q.Receive(q.now, &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, From: from, To: "a", Term: 3, Index: uint64(index), Round: round})
 	last(q)
 }
 
--- a/internal/raft/read.go
+++ b/internal/raft/read.go
@@ -12,7 +12,7 @@
 	if q.role != Leader {
 		return 0
 	}
-	if round := q.majority(func(p *progress) uint64 { return p.ackRound }, q.round); round > 0 {
+	if round := majority(q, func(p *progress) uint64 { return p.ackRound }, q.round); round > 0 {
 		if at, isKnown := q.sentAt[round]; isKnown {
 			return at
 		}
@@ -23,8 +23,8 @@
 	return 0
 }
 
-func (q *Node) majority(measure func(*progress) uint64, own uint64) uint64 {
-	var values []uint64
+func majority[T ~uint64](q *Node, measure func(*progress) T, own T) T {
+	var values []T
 	for _, m := range q.Members().Voters {
 		if m.Id == q.id {
 			values = append(values, own)
@@ -54,7 +54,7 @@
 }
 
 func (q *Node) confirm() {
-	round := q.majority(func(p *progress) uint64 { return p.ackRound }, q.round)
+	round := majority(q, func(p *progress) uint64 { return p.ackRound }, q.round)
 	rest := q.reads[:0]
 	for _, r := range q.reads {
 		if r.round <= round && q.handed >= r.index {
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -11,16 +11,16 @@
 
 // Replication: the leader sends its log, followers take it, and what a majority has on disk is committed.
 
-func (q *Node) append(record *schema.Record) uint64 {
-	item := &schema.LogItem{Index: q.last() + 1, Term: q.term, Record: record}
+func (q *Node) append(record *schema.Record) Index {
+	item := &schema.LogItem{Index: uint64(q.last()) + 1, Term: uint64(q.term), Record: record}
 	q.items = append(q.items, item)
 	q.logBytes += proto.Size(item)
-	q.unsynced = min(q.unsynced, item.Index)
-	return item.Index
+	q.unsynced = min(q.unsynced, Index(item.Index))
+	return Index(item.Index)
 }
 
 // Propose appends a record at the leader and tells its index and term.
-func (q *Node) Propose(now time.Duration, record *schema.Record) (uint64, uint64, error) {
+func (q *Node) Propose(now time.Duration, record *schema.Record) (Index, Term, error) {
 	q.now = now
 	if q.role != Leader || q.passing != "" {
 		return 0, 0, &NotLeaderError{q.leader}
@@ -59,7 +59,7 @@
 	}
 	prev := p.next - 1
 	prevTerm, _ := q.termAt(prev)
-	m := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND, To: id, Index: prev, LogTerm: prevTerm, Commit: q.commit, Round: q.round}
+	m := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND, To: id, Index: uint64(prev), LogTerm: uint64(prevTerm), Commit: uint64(q.commit), Round: q.round}
 	bytes := 0
 	for _, item := range q.items[p.next-q.first-1:] {
 		if len(m.Items) >= constants.RaftBatchItems || bytes > constants.RaftBatchBytes {
@@ -72,7 +72,7 @@
 		}
 	}
 	if !p.isProbing {
-		p.next += uint64(len(m.Items))
+		p.next += Index(len(m.Items))
 	}
 	q.send(m)
 }
@@ -81,7 +81,7 @@
 	if q.role != Leader {
 		return
 	}
-	commit := q.majority(func(p *progress) uint64 { return p.match }, q.unsynced-1)
+	commit := majority(q, func(p *progress) Index { return p.match }, q.unsynced-1)
 	if term, isThere := q.termAt(commit); isThere && commit > q.commit && term == q.term {
 		q.commit = commit
 		q.broadcast()
@@ -104,61 +104,62 @@
 func (q *Node) accept(m *schema.Raft) {
 	response := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round}
 	items := m.Items
-	index, logTerm := m.Index, m.LogTerm
+	index, logTerm := Index(m.Index), Term(m.LogTerm)
 	for len(items) > 0 && index < q.first {
-		index, logTerm = items[0].Index, items[0].Term
+		index, logTerm = Index(items[0].Index), Term(items[0].Term)
 		items = items[1:]
 	}
 	if index < q.first {
-		response.Index = q.first
+		response.Index = uint64(q.first)
 		q.send(response)
 		return
 	}
 	term, isThere := q.termAt(index)
 	if !isThere || index > q.first && term != logTerm {
 		response.Rejected, response.TakesParts = true, true
-		response.Hint = min(q.last(), index-1)
+		hint := min(q.last(), index-1)
 		if isThere {
-			for response.Hint > q.commit {
-				hintTerm, _ := q.termAt(response.Hint)
+			for hint > q.commit {
+				hintTerm, _ := q.termAt(hint)
 				if hintTerm != term {
 					break
 				}
-				response.Hint--
+				hint--
 			}
 		}
+		response.Hint = uint64(hint)
 		q.send(response)
 		return
 	}
 	for _, item := range items {
-		if own, isOwn := q.termAt(item.Index); isOwn {
-			if own == item.Term {
+		if own, isOwn := q.termAt(Index(item.Index)); isOwn {
+			if own == Term(item.Term) {
 				continue
 			}
-			if item.Index <= q.commit {
+			if Index(item.Index) <= q.commit {
 				panic("quorum: a committed item would be replaced")
 			}
-			q.logBytes -= q.bytesFrom(item.Index - 1)
-			q.items = q.items[:item.Index-q.first-1]
-			q.unsynced = min(q.unsynced, item.Index)
+			q.logBytes -= q.bytesFrom(Index(item.Index) - 1)
+			q.items = q.items[:Index(item.Index)-q.first-1]
+			q.unsynced = min(q.unsynced, Index(item.Index))
 		}
 		q.items = append(q.items, item)
 		q.logBytes += proto.Size(item)
 	}
-	known := index + uint64(len(items))
-	q.commit = max(q.commit, min(m.Commit, known))
-	response.Index = known
+	known := index + Index(len(items))
+	q.commit = max(q.commit, min(Index(m.Commit), known))
+	response.Index = uint64(known)
 	q.send(response)
 }
 
 func (q *Node) install(m *schema.Raft) {
 	response := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round, Index: m.Snapshot.Index}
-	if m.Snapshot.Index <= q.commit {
-		response.Index = q.commit
+	if Index(m.Snapshot.Index) <= q.commit {
+		response.Index = uint64(q.commit)
 		q.send(response)
 		return
 	}
-	q.first, q.firstTerm, q.base = m.Snapshot.Index, m.Snapshot.Term, m.Snapshot.Members
+	q.first, q.firstTerm, q.base = Index(m.Snapshot.Index), Term(m.Snapshot.Term), m.Snapshot.Members
 	q.items, q.logBytes = nil, 0
 	q.unsynced = q.first + 1
 	q.commit, q.handed = q.first, q.first
@@ -175,14 +176,14 @@
 	p.ackRound = max(p.ackRound, m.Round)
 	p.takesParts = p.takesParts || m.TakesParts
 	if m.Rejected {
-		p.next = min(max(m.Hint+1, p.match+1), q.last()+1)
+		p.next = min(max(Index(m.Hint)+1, p.match+1), q.last()+1)
 		p.isProbing = true
 		q.replicate(m.From)
 	} else {
 		wasProbing := p.isProbing
 		p.isProbing = false
-		if m.Index > p.match {
-			p.match = min(m.Index, q.last())
+		if Index(m.Index) > p.match {
+			p.match = min(Index(m.Index), q.last())
 		}
 		p.next = max(p.next, p.match+1)
 		q.endTransfers()
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -18,9 +18,10 @@
 
 // encodedSnapshot is a snapshot as it is sent; all followers that need one at that time share it.
 type encodedSnapshot struct {
-	index, term uint64
-	payload     []byte
-	checksum    uint32
+	index    Index
+	term     Term
+	payload  []byte
+	checksum uint32
 }
 
 // transfer is a snapshot on its way to one follower.
@@ -47,7 +48,7 @@
 	if err != nil {
 		return nil
 	}
-	q.encoded = &encodedSnapshot{whole.Index, whole.Term, payload, crc32.Checksum(payload, castagnoli)}
+	q.encoded = &encodedSnapshot{Index(whole.Index), Term(whole.Term), payload, crc32.Checksum(payload, castagnoli)}
 	return q.encoded
 }
 
@@ -71,7 +72,7 @@
 	size := uint64(len(t.snapshot.payload))
 	for t.sent < size && t.sent < t.confirmed+constants.SnapshotWindow*constants.SnapshotPartBytes {
 		end := min(size, t.sent+constants.SnapshotPartBytes)
-		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT_PART, To: id, Round: q.round, Part: &schema.SnapshotPart{Index: t.snapshot.index, Term: t.snapshot.term,
+		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT_PART, To: id, Round: q.round, Part: &schema.SnapshotPart{Index: uint64(t.snapshot.index), Term: uint64(t.snapshot.term),
 			Offset: t.sent, Size: size, Checksum: t.snapshot.checksum, Payload: t.snapshot.payload[t.sent:end]}})
 		t.sent = end
 	}
@@ -83,7 +84,7 @@
 		return
 	}
 	p.snapshotAt = q.now
-	q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT, To: id, Snapshot: q.options.Whole(), Round: q.round, Commit: q.commit})
+	q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT, To: id, Snapshot: q.options.Whole(), Round: q.round, Commit: uint64(q.commit)})
 }
 
 // confirmPart takes a follower's word of how much of a snapshot it has. One that was started again has less than it had confirmed.
@@ -94,7 +95,7 @@
 	}
 	p.heard = q.now
 	p.ackRound = max(p.ackRound, m.Round)
-	if t := p.transfer; t != nil && t.snapshot.index == m.Index && m.Hint != t.confirmed {
+	if t := p.transfer; t != nil && t.snapshot.index == Index(m.Index) && m.Hint != t.confirmed {
 		if m.Hint < t.confirmed {
 			t.sent = m.Hint
 		}
@@ -125,9 +126,9 @@
 	if part == nil || part.Size > constants.SnapshotBytesMost || part.Offset+uint64(len(part.Payload)) > part.Size {
 		return
 	}
-	if part.Index <= q.commit {
+	if Index(part.Index) <= q.commit {
 		q.received = nil
-		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round, Index: q.commit})
+		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round, Index: uint64(q.commit)})
 		return
 	}
 	if r := q.received; r == nil || r.part.Index != part.Index || r.part.Term != part.Term || r.part.Size != part.Size || r.part.Checksum != part.Checksum {
@@ -152,7 +153,7 @@
 
 // keepFrom is the lowest item to keep when the log is dropped up to an index: some behind it, by count and by bytes, and all that a follower needs
 // to go on from the snapshot that it is being sent.
-func (q *Node) keepFrom(index uint64) uint64 {
+func (q *Node) keepFrom(index Index) Index {
 	keep := index
 	for bytes := 0; keep > q.first && index-keep < constants.RaftKeepItems; keep-- {
 		if bytes += proto.Size(q.items[keep-q.first-1]); bytes > constants.RaftKeepBytes {
@@ -167,7 +168,7 @@
 	return keep
 }
 
-func (q *Node) bytesFrom(index uint64) int {
+func (q *Node) bytesFrom(index Index) int {
 	bytes := 0
 	for _, item := range q.items[max(index, q.first)-q.first:] {
 		bytes += proto.Size(item)
@@ -176,7 +177,7 @@
 }
 
 // Compact drops the log that a snapshot on disk covers up to an index, but for what followers may still need.
-func (q *Node) Compact(index uint64) {
+func (q *Node) Compact(index Index) {
 	if index > q.handed {
 		return
 	}
--- a/internal/raft/walk_test.go
+++ b/internal/raft/walk_test.go
@@ -26,9 +26,9 @@
 	flying  []flight
 	cuts    map[[2]string]bool
 	// committed is the term of every record that any member has taken for committed, by its index.
-	committed map[uint64]uint64
-	leaders   map[uint64]string
-	highest   uint64
+	committed map[Index]Term
+	leaders   map[Term]string
+	highest   Index
 	proposed  int
 }
 
@@ -48,13 +48,13 @@
 	items    []*schema.LogItem
 	writing  *Ready
 	readyAt  time.Duration
-	applied  uint64
+	applied  Index
 	// members are the newest that this member has applied, base the term at the applied index.
-	terms map[uint64]uint64
+	terms map[Index]Term
 }
 
 func newWalk(t *testing.T, seed int64, count int) *walk {
-	w := &walk{t: t, random: rand.New(rand.NewSource(seed)), now: time.Hour, members: map[string]*walker{}, cuts: map[[2]string]bool{}, committed: map[uint64]uint64{}, leaders: map[uint64]string{}}
+	w := &walk{t: t, random: rand.New(rand.NewSource(seed)), now: time.Hour, members: map[string]*walker{}, cuts: map[[2]string]bool{}, committed: map[Index]Term{}, leaders: map[Term]string{}}
 	founding := &schema.Members{}
 	for i := range count {
 		name := string(rune('a' + i))
@@ -65,7 +65,7 @@
 	}
 	first := &schema.LogItem{Index: 1, Term: 1, Record: &schema.Record{Kind: schema.RecordKind_RECORD_MEMBERS, Members: founding}}
 	for _, name := range w.names {
-		m := &walker{name: name, rate: 0.95 + w.random.Float64()/10, hard: &schema.HardState{Term: 1}, terms: map[uint64]uint64{}}
+		m := &walker{name: name, rate: 0.95 + w.random.Float64()/10, hard: &schema.HardState{Term: 1}, terms: map[Index]Term{}}
 		if holds(founding.Voters, name) {
 			m.items = []*schema.LogItem{first}
 		}
@@ -79,7 +79,7 @@
 
 func (w *walk) start(m *walker) {
 	m.isUp, m.writing = true, nil
-	m.applied, m.terms = m.snapshot.GetIndex(), map[uint64]uint64{m.snapshot.GetIndex(): m.snapshot.GetTerm()}
+	m.restore(m.snapshot)
 	m.quorum = New(w.clock(m), Options{ID: m.name, Hard: m.hard, Snapshot: m.snapshot, Items: slices.Clone(m.items), Draw: w.random.Int63n, Whole: func() *schema.Snapshot {
 		whole := &schema.Snapshot{Rows: []*schema.Row{{Key: "k", Value: make([]byte, 200<<10)}}}
 		m.quorum.Describe(whole)
@@ -87,6 +87,12 @@
 	}})
 }
 
+// restore sets the applied position to that of a snapshot.
+func (m *walker) restore(snapshot *schema.Snapshot) {
+	m.applied = Index(snapshot.GetIndex())
+	m.terms = map[Index]Term{m.applied: Term(snapshot.GetTerm())}
+}
+
 // kill ends a member: of what it is writing a part may be on its disk.
 func (w *walk) kill(m *walker) {
 	m.isUp = false
@@ -126,7 +132,7 @@
 		m.persist(&ready)
 		m.writing = nil
 		if ready.Snapshot != nil {
-			m.applied, m.terms = ready.Snapshot.Index, map[uint64]uint64{ready.Snapshot.Index: ready.Snapshot.Term}
+			m.restore(ready.Snapshot)
 		}
 		m.quorum.Synced(w.clock(m), ready)
 		for _, message := range ready.Messages {
@@ -143,16 +149,17 @@
 
 func (w *walk) apply(m *walker) {
 	for _, item := range m.quorum.Committed() {
-		if item.Index != m.applied+1 {
-			w.t.Fatalf("%s applies record %d after %d", m.name, item.Index, m.applied)
+		index := Index(item.Index)
+		if index != m.applied+1 {
+			w.t.Fatalf("%s applies record %d after %d", m.name, index, m.applied)
 		}
-		if term, isKnown := w.committed[item.Index]; isKnown && term != item.Term {
+		if term, isKnown := w.committed[index]; isKnown && term != Term(item.Term) {
 			w.t.Fatalf("%s takes record %d of term %d for committed, another member that of term %d", m.name, item.Index, item.Term, term)
 		}
-		w.committed[item.Index] = item.Term
-		w.highest = max(w.highest, item.Index)
-		m.applied = item.Index
-		m.terms[item.Index] = item.Term
+		w.committed[index] = Term(item.Term)
+		w.highest = max(w.highest, index)
+		m.applied = index
+		m.terms[index] = Term(item.Term)
 	}
 }
 
@@ -270,21 +277,21 @@
 
 // compact writes a snapshot of what a member has applied, and drops most of the log behind it.
 func (w *walk) compact(m *walker) {
-	if !m.isUp || m.writing != nil || m.applied <= m.snapshot.GetIndex() || len(m.items) == 0 || m.items[len(m.items)-1].Index < m.applied {
+	if !m.isUp || m.writing != nil || m.applied <= Index(m.snapshot.GetIndex()) || len(m.items) == 0 || Index(m.items[len(m.items)-1].Index) < m.applied {
 		return
 	}
 	snapshot := &schema.Snapshot{}
 	m.quorum.Describe(snapshot)
-	if snapshot.Index != m.applied {
+	if Index(snapshot.Index) != m.applied {
 		return
 	}
 	m.snapshot = snapshot
 	m.items = slices.DeleteFunc(m.items, func(item *schema.LogItem) bool { return item.Index <= snapshot.Index })
-	dropTo(m.quorum, snapshot.Index)
+	dropTo(m.quorum, Index(snapshot.Index))
 }
 
 // dropTo drops the log up to an index, also the records that Compact would keep for followers that are a little behind.
-func dropTo(q *Node, index uint64) {
+func dropTo(q *Node, index Index) {
 	term, _ := q.termAt(index)
 	members := q.base
 	for _, item := range q.items[:index-q.first] {
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -10,6 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -89,7 +90,7 @@
 	}
 }
 
-func apply(t *testing.T, table *store.Table, index uint64, record *schema.Record) {
+func apply(t *testing.T, table *store.Table, index raft.Index, record *schema.Record) {
 	t.Helper()
 	if _, err := table.Apply(index, record, nil); err != nil {
 		t.Fatal(err)
@@ -193,7 +194,7 @@
 				t.Fatalf("version %d is recalled as %d at %d", version, got, next)
 			}
 		}
-		apply(t, table, next, Plan(table, &schema.RouteConfig{Version: next, Base: next - 1}, fmt.Append(nil, "digest ", next)))
+		apply(t, table, raft.Index(next), Plan(table, &schema.RouteConfig{Version: next, Base: next - 1}, fmt.Append(nil, "digest ", next)))
 	}
 }
 
@@ -204,7 +205,7 @@
 		return &schema.RouteConfig{Version: i + 1, Base: i, Document: fmt.Append(nil, "document ", i)}
 	}
 	for i := range uint64(constants.AcceptedConfigs + extra) {
-		apply(t, table, i+1, Plan(table, number(i), fmt.Append(nil, "digest ", i)))
+		apply(t, table, raft.Index(i+1), Plan(table, number(i), fmt.Append(nil, "digest ", i)))
 	}
 	head := store.DecodeRow[schema.CatalogHead](table.Get(store.HeadKey))
 	if len(head.Recent) != constants.RecentConfigs {
--- a/internal/sharding/world_test.go
+++ b/internal/sharding/world_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"topazshed/internal/constants"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -65,7 +66,7 @@
 	old        *stale
 	table      *store.Table
 	view       *store.View
-	index      uint64
+	index      raft.Index
 	commits    []commit
 	events     []event
 	keyLoad    []float64
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -712,16 +712,16 @@
 		}
 		f.leaders[local.Term] = n.ident
 	}
-	if local.View.Version < n.lastSeen {
+	if uint64(local.View.Version) < n.lastSeen {
 		f.addViolation("%s went back from index %d to %d", n.Name, n.lastSeen, local.View.Version)
 	}
 	if local.View.Head.Version < n.lastHead {
 		f.addViolation("%s went back from configuration %d to %d", n.Name, n.lastHead, local.View.Head.Version)
 	}
-	if local.View.Version == n.lastSeen {
+	if uint64(local.View.Version) == n.lastSeen {
 		return
 	}
-	n.lastSeen, n.lastHead = local.View.Version, local.View.Head.Version
+	n.lastSeen, n.lastHead = uint64(local.View.Version), local.View.Head.Version
 	if !local.IsFull || !n.HasDisk {
 		return
 	}
--- a/internal/store/table.go
+++ b/internal/store/table.go
@@ -13,6 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
@@ -102,16 +103,16 @@
 // Table is the state of one node: all rows or those of its slices.
 type Table struct {
 	rows    *redblacktree.Tree
-	version uint64
+	version raft.Index
 	changes []*schema.Row
-	since   uint64
+	since   raft.Index
 }
 
 // NewTable makes an empty table.
 func NewTable() *Table { return &Table{rows: redblacktree.NewWithStringComparator()} }
 
 // Version is the index that the table stands at.
-func (t *Table) Version() uint64 { return t.version }
+func (t *Table) Version() raft.Index { return t.version }
 
 // Size is the count of rows.
 func (t *Table) Size() int { return t.rows.Size() }
@@ -143,7 +144,7 @@
 }
 
 // Apply takes a committed record; a record whose guards fail changes nothing.
-func (t *Table) Apply(index uint64, record *schema.Record, check func(*Table, *schema.Row) error) ([]*schema.Row, error) {
+func (t *Table) Apply(index raft.Index, record *schema.Record, check func(*Table, *schema.Row) error) ([]*schema.Row, error) {
 	if index <= t.version {
 		return nil, nil
 	}
@@ -169,7 +170,7 @@
 	}
 	changed := make([]*schema.Row, 0, len(record.Rows))
 	for _, row := range record.Rows {
-		fresh := &schema.Row{Key: row.Key, Value: row.Value, Gone: row.Gone, Index: index}
+		fresh := &schema.Row{Key: row.Key, Value: row.Value, Gone: row.Gone, Index: uint64(index)}
 		t.set(fresh)
 		changed = append(changed, fresh)
 	}
@@ -188,7 +189,7 @@
 func (t *Table) remember(rows []*schema.Row) {
 	t.changes = append(t.changes, rows...)
 	if extra := len(t.changes) - constants.DeltaKeep; extra > constants.DeltaKeep/4 {
-		t.since = t.changes[extra-1].Index
+		t.since = raft.Index(t.changes[extra-1].Index)
 		t.changes = append([]*schema.Row(nil), t.changes[extra:]...)
 	}
 }
@@ -203,11 +204,11 @@
 }
 
 // Changes gives the rows of the slices changed after an index, or false if the table no longer remembers.
-func (t *Table) Changes(after uint64, prefixes []string) ([]*schema.Row, bool) {
+func (t *Table) Changes(after raft.Index, prefixes []string) ([]*schema.Row, bool) {
 	if after < t.since {
 		return nil, false
 	}
-	at := sort.Search(len(t.changes), func(i int) bool { return t.changes[i].Index > after })
+	at := sort.Search(len(t.changes), func(i int) bool { return raft.Index(t.changes[i].Index) > after })
 	var rows []*schema.Row
 	for _, row := range t.changes[at:] {
 		if within(row.Key, prefixes) {
@@ -228,7 +229,7 @@
 
 // Merge takes a delta from another node; an older one or one with a gap is refused.
 func (t *Table) Merge(delta *schema.Delta) ([]*schema.Row, bool) {
-	if delta.To < t.version || !delta.All && delta.From > t.version {
+	if raft.Index(delta.To) < t.version || !delta.All && raft.Index(delta.From) > t.version {
 		return nil, false
 	}
 	var changed []*schema.Row
@@ -251,9 +252,9 @@
 			t.set(row)
 		}
 	}
-	t.version = delta.To
+	t.version = raft.Index(delta.To)
 	if len(delta.Whole) > 0 {
-		t.changes, t.since = nil, delta.To
+		t.changes, t.since = nil, raft.Index(delta.To)
 	} else {
 		t.remember(changed)
 	}
@@ -265,7 +266,7 @@
 	var gone []*schema.Row
 	t.Each("", func(row *schema.Row) {
 		if !within(row.Key, prefixes) {
-			gone = append(gone, &schema.Row{Key: row.Key, Gone: true, Index: t.version})
+			gone = append(gone, &schema.Row{Key: row.Key, Gone: true, Index: uint64(t.version)})
 		}
 	})
 	for _, row := range gone {
@@ -276,7 +277,7 @@
 
 // Whole gives a snapshot of everything.
 func (t *Table) Whole() *schema.Snapshot {
-	return &schema.Snapshot{Index: t.version, Rows: t.Rows(All)}
+	return &schema.Snapshot{Index: uint64(t.version), Rows: t.Rows(All)}
 }
 
 // Restore replaces everything by a snapshot.
@@ -285,7 +286,7 @@
 	for _, row := range snapshot.Rows {
 		t.rows.Put(row.Key, row)
 	}
-	t.version, t.since, t.changes = snapshot.Index, snapshot.Index, nil
+	t.version, t.since, t.changes = raft.Index(snapshot.Index), raft.Index(snapshot.Index), nil
 }
 
 // Digest is the digest of a range.
--- a/internal/store/table_test.go
+++ b/internal/store/table_test.go
@@ -5,6 +5,7 @@
 	"math/rand"
 	"testing"
 
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
@@ -19,13 +20,13 @@
 			if random.Intn(4) == 0 {
 				row = Tombstone(key)
 			}
-			if _, err := source.Apply(uint64(i+1), &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{row}}, nil); err != nil {
+			if _, err := source.Apply(raft.Index(i+1), &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{row}}, nil); err != nil {
 				t.Fatal(err)
 			}
 			if random.Intn(5) > 0 {
 				continue
 			}
-			delta := &schema.Delta{From: reader.Version(), To: source.Version()}
+			delta := &schema.Delta{From: uint64(reader.Version()), To: uint64(source.Version())}
 			if random.Intn(6) == 0 {
 				delta.Whole, delta.All = slices, true
 				delta.Rows = source.Rows(slices)
@@ -39,11 +40,11 @@
 			if _, isTaken := reader.Merge(delta); !isTaken {
 				t.Fatalf("seed %d: delta %d-%d was not taken at %d", seed, delta.From, delta.To, reader.Version())
 			}
-			old := &schema.Delta{From: 0, To: reader.Version() - 1, All: true, Whole: slices}
+			old := &schema.Delta{From: 0, To: uint64(reader.Version()) - 1, All: true, Whole: slices}
 			if _, isTaken := reader.Merge(old); isTaken {
 				t.Fatalf("seed %d: an older image was taken", seed)
 			}
-			if _, isTaken := reader.Merge(&schema.Delta{From: reader.Version() + 1, To: reader.Version() + 2}); isTaken {
+			if _, isTaken := reader.Merge(&schema.Delta{From: uint64(reader.Version()) + 1, To: uint64(reader.Version()) + 2}); isTaken {
 				t.Fatalf("seed %d: a delta with a gap was taken", seed)
 			}
 			var ranges []*schema.RangeDigest
@@ -58,14 +59,14 @@
 			}
 		}
 		rows, _ := source.Changes(reader.Version(), slices)
-		if _, isTaken := reader.Merge(&schema.Delta{From: reader.Version(), To: source.Version(), Rows: rows}); !isTaken {
+		if _, isTaken := reader.Merge(&schema.Delta{From: uint64(reader.Version()), To: uint64(source.Version()), Rows: rows}); !isTaken {
 			t.Fatal("the last delta was not taken")
 		}
 		reader.rows.Put("node/7", &schema.Row{Key: "node/7", Value: []byte("damaged"), Index: 1})
 		if names := source.Differing([]*schema.RangeDigest{reader.Digest("node/"), reader.Digest(ServicePrefix("a"))}); len(names) != 1 || names[0] != "node/" {
 			t.Fatalf("seed %d: damage shows as %v", seed, names)
 		}
-		whole := &schema.Delta{From: source.Version(), To: source.Version(), Whole: []string{"node/"}, Rows: source.Rows([]string{"node/"})}
+		whole := &schema.Delta{From: uint64(source.Version()), To: uint64(source.Version()), Whole: []string{"node/"}, Rows: source.Rows([]string{"node/"})}
 		if _, isTaken := reader.Merge(whole); !isTaken || len(source.Differing([]*schema.RangeDigest{reader.Digest("node/")})) > 0 {
 			t.Fatalf("seed %d: the damaged range was not mended", seed)
 		}
--- a/internal/store/view.go
+++ b/internal/store/view.go
@@ -8,6 +8,7 @@
 	"strings"
 
 	"topazshed/internal/protocolversion"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
@@ -53,7 +54,7 @@
 
 // View is the compiled snapshot that requests are decided on; it is never changed once published.
 type View struct {
-	Version     uint64
+	Version     raft.Index
 	System      string
 	Head        *schema.CatalogHead
 	Nodes       map[string]*schema.Node
