--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -3,71 +3,14 @@
 import (
 	"maps"
 	"slices"
-	"time"
 
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/membership"
 	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
-func (r *routedState) samplerTiming() membership.Pace {
-	if r == nil {
-		return membership.Pace{}
-	}
-	return membership.Pace{Probe: constants.RoutedProbe, Wait: constants.RoutedProbeWait, Shuffle: constants.RoutedShuffle, IsNear: true}
-}
-
-func (r *routedState) raftTiming() raft.Pace {
-	if r == nil {
-		return raft.Pace{}
-	}
-	pace := raft.Pace{Heartbeat: constants.RoutedRaftHeartbeat, ElectionLeast: constants.RoutedElectionLeast, ElectionSpread: constants.RoutedElectionSpread}
-	if least := max(constants.RaftElectionLeast, r.options.Quiet/constants.QuietElections); r.options.Quiet > 0 && least < pace.ElectionLeast {
-		pace.Heartbeat = pace.Heartbeat * least / pace.ElectionLeast
-		pace.ElectionSpread = pace.ElectionSpread * least / pace.ElectionLeast
-		pace.ElectionLeast = least
-	}
-	return pace
-}
-
-func (r *routedState) heartbeatEvery() time.Duration {
-	if r == nil {
-		return constants.HeartbeatEvery
-	}
-	return constants.RoutedHeartbeat
-}
-
-func (r *routedState) deltaEvery() time.Duration {
-	if r == nil {
-		return constants.DeltaEvery
-	}
-	return constants.RoutedDelta
-}
-
-func (r *routedState) subscribeEvery() time.Duration {
-	if r == nil {
-		return constants.SubscribeEvery
-	}
-	return constants.RoutedSubscribe
-}
-
-func (r *routedState) digestEvery() time.Duration {
-	if r == nil {
-		return constants.DigestEvery
-	}
-	return constants.RoutedDigest
-}
-
-func (r *routedState) lostAfter() time.Duration {
-	if r == nil {
-		return constants.NodeLostAfter
-	}
-	return constants.RoutedLostAfter
-}
-
 // sendRelayedHeartbeat reports to the relay, a disk machine of the own region; relays report to the leader what they were told since.
 func (c *Machine) sendRelayedHeartbeat(b *schema.Heartbeat) {
 	r := c.routed
--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -202,7 +202,7 @@
 			heard = max(heard, g.heard)
 		}
 		sinceHeard := c.now - heard
-		lostAfter := c.routed.lostAfter()
+		lostAfter := c.timing.LostAfter
 		isLost := sinceHeard > lostAfter && witnesses[id] >= constants.SuspectWitnesses || sinceHeard > 2*lostAfter
 		isLapsed := sinceHeard > constants.LeaseDuration+constants.LeaseClockMargin+constants.ReservationWindow
 		if c.routed != nil && !row.Disk && newest[row.Address] > row.Incarnation {
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -19,6 +19,7 @@
 	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
+	"topazshed/internal/timing"
 )
 
 // Options make a Core. Hard, Snapshot and Items are what the journal held; Draw is the seeded source.
@@ -154,6 +155,7 @@
 // Machine is the machine.
 type Machine struct {
 	options            Options
+	timing             timing.Timing
 	log                *slog.Logger
 	self               *schema.Node
 	system             string
@@ -232,17 +234,19 @@
 		wanted: map[string]time.Duration{}, subs: map[uint64]asked{}, subscriber: map[string]*subscriber{}, nodes: map[string]*nodeRecord{},
 		releasedAt: map[uint64]time.Duration{}, reads: map[uint64]*pendingRequest{}, seeds: map[string]time.Duration{}, empties: map[string]bool{},
 		peers: map[string]time.Duration{}, pending: map[string]uint64{}, verdicts: map[uint64]string{}, fences: map[string]time.Duration{}, opened: map[string]time.Duration{}, openedAs: map[string]uint64{}, addresses: map[string]string{}, now: now, tickedAt: now, speaks: options.Speaks.OrOwn(), refusedNodes: map[string]uint64{}}
+	c.timing = timing.ForEntries()
 	if options.Routed != nil {
+		c.timing = timing.ForRoutes(options.Routed.Quiet)
 		c.routed = newRoutedState(options)
 	}
 	c.source.staleAt = map[string]time.Duration{}
 	c.serial, c.subSerial = c.firstNumber(), c.firstNumber()
-	c.peerSampler = membership.New(membership.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Pace: c.routed.samplerTiming()})
+	c.peerSampler = membership.New(membership.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Pace: c.timing.Sampler})
 	if options.Self.Disk {
 		if options.Snapshot != nil {
 			c.table.Restore(options.Snapshot)
 		}
-		c.quorum = raft.New(now, raft.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Snapshot: options.Snapshot, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.routed.raftTiming()})
+		c.quorum = raft.New(now, raft.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Snapshot: options.Snapshot, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.timing.Raft})
 		c.view = store.Compile(c.table)
 		c.noteFences(c.table.Rows(store.All))
 		c.guard(c.view.Fleet)
@@ -500,7 +504,7 @@
 		c.lead()
 		c.refresh()
 	}
-	if now-c.heartbeatAt >= c.routed.heartbeatEvery() {
+	if now-c.heartbeatAt >= c.timing.HeartbeatInterval {
 		c.sendHeartbeat()
 	}
 	c.seekSystem()
--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -127,7 +127,7 @@
 	unresponsive, live := 0, 0
 	for _, m := range members.Voters {
 		switch sinceHeard := c.sinceHeard(m.Id); {
-		case sinceHeard > c.routed.lostAfter():
+		case sinceHeard > c.timing.LostAfter:
 			unresponsive++
 		case sinceHeard < time.Second:
 			live++
@@ -135,7 +135,7 @@
 	}
 	after := constants.MemberLostAfter
 	if majority(len(members.Voters)-unresponsive) < majority(len(members.Voters)) {
-		after = c.routed.lostAfter()
+		after = c.timing.LostAfter
 	}
 	isLost := func(m *schema.Member) bool { return c.sinceHeard(m.Id) > after }
 	i := slices.IndexFunc(members.Voters, isLost)
@@ -154,7 +154,7 @@
 func (c *Machine) toleratedLosses() (borne uint32, unresponsive []string) {
 	voters := c.quorum.Members().Voters
 	for _, m := range voters {
-		if c.sinceHeard(m.Id) > c.routed.lostAfter() {
+		if c.sinceHeard(m.Id) > c.timing.LostAfter {
 			unresponsive = append(unresponsive, m.Id)
 		}
 	}
--- a/internal/controlplane/spread.go
+++ b/internal/controlplane/spread.go
@@ -90,7 +90,7 @@
 			return
 		}
 	}
-	if c.now-c.subAt >= c.routed.subscribeEvery() {
+	if c.now-c.subAt >= c.timing.SubscribeInterval {
 		c.subscribe()
 		c.askAtHome()
 	}
@@ -128,16 +128,7 @@
 	if c.routed == nil {
 		return c.options.Draw(farDraws) == 0
 	}
-	return c.source.seekingAt > 0 && c.now-c.source.seekingAt > c.routed.farAfter()
-}
-
-// farAfter is how long a source of the own region is sought before one elsewhere must do.
-func (r *routedState) farAfter() time.Duration {
-	after := constants.FarSourceAfter
-	if r.options.Quiet > 0 {
-		after = min(after, r.options.Quiet-constants.SourceTimeout-constants.SourceFound)
-	}
-	return max(0, after)
+	return c.source.seekingAt > 0 && c.now-c.source.seekingAt > c.timing.RemoteSourceAfter
 }
 
 // askAtHome asks a machine of the own region for rows while the source is elsewhere: bytes between regions are dear. It becomes the source once
@@ -163,7 +154,7 @@
 	}
 	c.subAt = c.now
 	c.sendSubscribe(c.source.address)
-	if c.now-c.digestAt < c.routed.digestEvery() {
+	if c.now-c.digestAt < c.timing.DigestInterval {
 		return
 	}
 	c.digestAt = c.now
@@ -248,7 +239,7 @@
 			delete(c.subscriber, to)
 			continue
 		}
-		if sub.sent < c.table.Version() || c.now-sub.sentAt >= c.routed.deltaEvery() {
+		if sub.sent < c.table.Version() || c.now-sub.sentAt >= c.timing.DeltaInterval {
 			c.push(to, sub)
 		}
 	}
--- /dev/null
+++ b/internal/timing/timing_test.go
@@ -0,0 +1,52 @@
+package timing_test
+
+import (
+	"testing"
+	"time"
+
+	"topazshed/internal/constants"
+	"topazshed/internal/timing"
+)
+
+// A healthy node must keep every promise again within the recovery bound: by then there must be a leader, and readers must have found a source.
+func TestTimingForRoutesFollowsTheRecoveryBound(t *testing.T) {
+	for _, c := range []struct {
+		bound             time.Duration
+		electionLeast     time.Duration
+		remoteSourceAfter time.Duration
+	}{
+		{0, constants.RoutedElectionLeast, constants.FarSourceAfter},
+		{9 * time.Second, constants.RoutedElectionLeast, constants.FarSourceAfter},
+		{4 * time.Second, constants.RoutedElectionLeast, constants.FarSourceAfter},
+		{3 * time.Second, constants.RoutedElectionLeast, 1500 * time.Millisecond},
+		{2 * time.Second, 2 * time.Second / 3, 500 * time.Millisecond},
+		{time.Second, constants.RaftElectionLeast, 0},
+	} {
+		t.Run(c.bound.String(), func(t *testing.T) {
+			spans := timing.ForRoutes(c.bound)
+			pace := spans.Raft
+			if pace.ElectionLeast != c.electionLeast || 4*pace.Heartbeat > pace.ElectionLeast || pace.ElectionLeast <= constants.KeyLeaseTime {
+				t.Errorf("%+v, want a shortest election time-out of %v", pace, c.electionLeast)
+			}
+			if longest := pace.ElectionLeast + pace.ElectionSpread; c.bound >= 2*time.Second && longest > c.bound*6/10 {
+				t.Errorf("an election may begin only after %v", longest)
+			}
+			if got := spans.RemoteSourceAfter; got != c.remoteSourceAfter {
+				t.Errorf("a remote source is taken after %v, want %v", got, c.remoteSourceAfter)
+			}
+		})
+	}
+}
+
+func TestTimingForEntriesIsThatOfTheConstants(t *testing.T) {
+	want := timing.Timing{
+		HeartbeatInterval: constants.HeartbeatEvery,
+		LostAfter:         constants.NodeLostAfter,
+		DeltaInterval:     constants.DeltaEvery,
+		SubscribeInterval: constants.SubscribeEvery,
+		DigestInterval:    constants.DigestEvery,
+	}
+	if got := timing.ForEntries(); got != want {
+		t.Errorf("%+v, want %+v", got, want)
+	}
+}
