--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -18,7 +18,7 @@
 		if c.wasLeader {
 			c.nodes = map[string]*nodeRecord{}
 			c.releasedAt = map[uint64]time.Duration{}
-			c.pending = map[string]uint64{}
+			c.proposals.Reset()
 		}
 		if c.wasLeader {
 			c.log.Info("this machine leads no more", "term", c.quorum.Term())
@@ -60,29 +60,7 @@
 	}
 }
 
-func (c *Machine) propose(record *schema.Record) bool {
-	if record == nil || len(record.Rows) == 0 {
-		return false
-	}
-	for _, row := range record.Rows {
-		if at := c.pending[row.Key]; at > c.table.Version() {
-			return false
-		}
-	}
-	index, _, err := c.quorum.Propose(c.now, record)
-	if err != nil {
-		return false
-	}
-	for _, row := range record.Rows {
-		c.pending[row.Key] = index
-	}
-	for key, at := range c.pending {
-		if at <= c.table.Version() {
-			delete(c.pending, key)
-		}
-	}
-	return true
-}
+func (c *Machine) propose(record *schema.Record) bool { return c.proposals.Propose(c.now, record) }
 
 func (c *Machine) lapse(g *nodeRecord) time.Duration {
 	at := c.electedAt + constants.LeaseDuration + constants.LeaseClockMargin
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -15,6 +15,7 @@
 	"topazshed/internal/discovery"
 	"topazshed/internal/failover"
 	"topazshed/internal/membership"
+	"topazshed/internal/proposals"
 	"topazshed/internal/protocolversion"
 	"topazshed/internal/raft"
 	"topazshed/internal/schema"
@@ -205,7 +206,7 @@
 	isReservationReady bool
 	oldestIndex        uint64
 	peers              map[string]time.Duration
-	pending            map[string]uint64
+	proposals          *proposals.Proposer
 	verdicts           map[uint64]string
 	snapshotAt         uint64
 	knownCommit        uint64
@@ -231,7 +232,7 @@
 		table: store.NewTable(), view: store.NewView(), endpoints: discovery.New(), heartbeats: map[uint64]asked{}, held: map[string]bool{},
 		wanted: map[string]time.Duration{}, subs: map[uint64]asked{}, subscriber: map[string]*subscriber{}, nodes: map[string]*nodeRecord{},
 		releasedAt: map[uint64]time.Duration{}, reads: map[uint64]*pendingRequest{}, seeds: map[string]time.Duration{}, empties: map[string]bool{},
-		peers: map[string]time.Duration{}, pending: map[string]uint64{}, verdicts: map[uint64]string{}, fences: map[string]time.Duration{}, opened: map[string]time.Duration{}, openedAs: map[string]uint64{}, addresses: map[string]string{}, now: now, tickedAt: now, speaks: options.Speaks.OrOwn(), refusedNodes: map[string]uint64{}}
+		peers: map[string]time.Duration{}, verdicts: map[uint64]string{}, fences: map[string]time.Duration{}, opened: map[string]time.Duration{}, openedAs: map[string]uint64{}, addresses: map[string]string{}, now: now, tickedAt: now, speaks: options.Speaks.OrOwn(), refusedNodes: map[string]uint64{}}
 	if options.Routed != nil {
 		c.routed = newRoutedState(options)
 	}
@@ -243,6 +244,7 @@
 			c.table.Restore(options.Snapshot)
 		}
 		c.quorum = raft.New(now, raft.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Snapshot: options.Snapshot, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.routed.raftTiming()})
+		c.proposals = proposals.New(c.quorum, c.table)
 		c.view = store.Compile(c.table)
 		c.noteFences(c.table.Rows(store.All))
 		c.guard(c.view.Fleet)
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -94,7 +94,7 @@
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "no back end is known from the platform's list yet; ask again shortly"})
 		return
 	}
-	if c.pending[store.HeadKey] > c.table.Version() {
+	if c.proposals.IsInFlight(store.HeadKey) {
 		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Version: store.DecodeRow[schema.CatalogHead](c.table.Get(store.HeadKey)).GetVersion() + 1,
 			Message: "another configuration is being accepted; read it, merge, and put again"})
 		return
@@ -119,15 +119,12 @@
 }
 
 func (c *Machine) submit(w *pendingRequest, record *schema.Record, version uint64) {
-	index, term, err := c.quorum.Propose(c.now, record)
+	position, err := c.proposals.Submit(c.now, record)
 	if err != nil {
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: err.Error()})
 		return
 	}
-	for _, row := range record.Rows {
-		c.pending[row.Key] = index
-	}
-	w.index, w.term, w.version = index, term, version
+	w.index, w.term, w.version = position.Index, position.Term, version
 	c.operations = append(c.operations, w)
 }
 
@@ -140,7 +137,7 @@
 		c.answer(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Message: "district " + w.request.Zone + " is not known; see status for the names"})
 		return
 	}
-	if zone.Emptied == isEmpty && c.pending[key] <= c.table.Version() {
+	if zone.Emptied == isEmpty && !c.proposals.IsInFlight(key) {
 		c.answer(w, &schema.OperatorResponse{Index: row.Index, Unconfirmed: c.unconfirmed(row.Index)})
 		return
 	}
@@ -305,7 +302,7 @@
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN, Message: "this fleet carries entries, not routes; put a configuration of entries"})
 		return
 	}
-	if c.pending[store.HeadKey] > c.table.Version() {
+	if c.proposals.IsInFlight(store.HeadKey) {
 		c.routed.deferred = append(c.routed.deferred, w)
 		return
 	}
@@ -362,7 +359,7 @@
 }
 
 func (c *Machine) resumeDeferred() {
-	if c.routed == nil || len(c.routed.deferred) == 0 || c.pending[store.HeadKey] > c.table.Version() && c.IsLeading() {
+	if c.routed == nil || len(c.routed.deferred) == 0 || c.proposals.IsInFlight(store.HeadKey) && c.IsLeading() {
 		return
 	}
 	deferred := c.routed.deferred
--- a/internal/controlplane/version.go
+++ b/internal/controlplane/version.go
@@ -43,7 +43,7 @@
 // isFitNode tells whether a node speaks what the fleet uses, or is about to use.
 func (c *Machine) isFitNode(node *schema.Node) bool {
 	fleet := c.view.Fleet
-	if c.pending[store.VersionKey] > c.table.Version() {
+	if c.proposals.IsInFlight(store.VersionKey) {
 		fleet = max(fleet, c.proposed)
 	}
 	span, err := protocolversion.ReadSpan(node.GetSpeaksLow(), node.GetSpeaksHigh())
