--- a/internal/controlplane/catch_up_test.go
+++ b/internal/controlplane/catch_up_test.go
@@ -24,7 +24,7 @@
 // up it neither leads nor is a source of rows.
 func TestAMemberThatWasAwayCatchesUp(t *testing.T) {
 	const (
-		changes = 60
+		changes = 120
 		bytes   = 300 << 10
 	)
 	for _, c := range []struct {
@@ -64,7 +64,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range seeds(t, 1) {
+			for seed := range seeds(t, 2) {
 				w := newSizedWorld(t, seed, 3, 0, journal.Options{Files: 4, FileBytes: 2 << 20, SnapshotBytes: 4 << 20})
 				away := w.machines[1]
 				if away == w.leader() {
--- a/internal/controlplane/cut_off_test.go
+++ b/internal/controlplane/cut_off_test.go
@@ -44,7 +44,7 @@
 	} {
 		for _, isFrozen := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, frozen %v", c.name, isFrozen), func(t *testing.T) {
-				for seed := range seeds(t, 3) {
+				for seed := range seeds(t, 6) {
 					w := newWorld(t, seed, 6, 1)
 					former := w.leader()
 					w.put(former, routesOf(1, 0, "one"))
@@ -108,7 +108,7 @@
 		{"together, and its sources are restarted", 8 * time.Second, quiet, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for seed := range seeds(t, 5) {
+			for seed := range seeds(t, 20) {
 				w := newWorld(t, seed, 6, 3)
 				reader := w.machines[6]
 				w.put(w.leader(), routesOf(1, 0, "one"))
--- a/internal/controlplane/history_test.go
+++ b/internal/controlplane/history_test.go
@@ -287,7 +287,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range seeds(t, 3) {
+			for seed := range seeds(t, 8) {
 				w := newWorld(t, seed, 6, 2)
 				o := &operators{w: w, ackLoss: c.ackLoss}
 				w.loss = c.loss
