--- a/cmd/testfleet/machine.go
+++ b/cmd/testfleet/machine.go
@@ -43,10 +43,11 @@
 	ctx, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	log := slog.New(slog.NewJSONHandler(os.Stderr, nil))
-	n, err := node.Start(s, log, func(path string) (node.Folder, error) {
+	openFolder := func(path string) (node.Folder, error) {
 		folder, err := journal.OpenFolder(path)
 		return &faultyFolder{folder, c.faults}, err
-	})
+	}
+	n, err := node.Start(node.Options{Settings: s, Log: log, OpenFolder: openFolder})
 	if err == nil {
 		err = n.Wait(ctx)
 	}
--- a/cmd/topazshed/commands.go
+++ b/cmd/topazshed/commands.go
@@ -72,7 +72,7 @@
 			}
 		}
 	}()
-	n, err := node.Start(s, log, node.OpenFolder)
+	n, err := node.Start(node.Options{Settings: s, Log: log, OpenFolder: node.OpenFolder})
 	if err != nil {
 		log.Error("did not start", "reason", err.Error())
 		return subcommands.ExitFailure
--- a/cmd/topazshed/platform.go
+++ b/cmd/topazshed/platform.go
@@ -60,7 +60,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	n, err := node.StartRouted(own, log, node.OpenFolder, platform.NewPlatform(file, bounds))
+	n, err := node.Start(node.Options{Settings: own, Log: log, OpenFolder: node.OpenFolder, Platform: platform.NewPlatform(file, bounds)})
 	if err != nil {
 		log.Error("did not start", "reason", err.Error())
 		return subcommands.ExitFailure
--- /dev/null
+++ b/internal/node/entry_service.go
@@ -0,0 +1,204 @@
+package node
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"topazshed/internal/adminapi"
+	"topazshed/internal/constants"
+	"topazshed/internal/controlplane"
+	"topazshed/internal/directory"
+	"topazshed/internal/idempotency"
+	"topazshed/internal/proxy"
+	"topazshed/internal/schema"
+	"topazshed/internal/store"
+)
+
+// entryService is the service of a fleet of entries: a proxy, a replica of reservations and a directory. Its parts have
+// locks of their own.
+type entryService struct {
+	node     *Node
+	replica  *idempotency.Replica
+	loads    *proxy.Loads
+	kept     *proxy.Kept
+	pool     *proxy.Pool
+	executor *proxy.Executor
+}
+
+func (s *entryService) routed() *controlplane.Routed { return nil }
+
+func (s *entryService) tickEvery() time.Duration { return constants.Tick }
+
+func (s *entryService) start(isRestart bool) error {
+	n := s.node
+	s.replica = idempotency.NewReplica(n.self.Id, isRestart)
+	s.pool = proxy.NewPool(n.settings.Proxy)
+	n.cleanup.push("pool", s.pool.Close)
+	s.loads = proxy.NewLoads(n.Now)
+	s.kept = proxy.NewKept()
+	s.executor = proxy.NewExecutor(proxy.Options{
+		Self:  n.self,
+		Now:   n.Now,
+		Local: n.local.Load,
+		Want:  n.want,
+		Call:  s.call,
+		Draw:  draw,
+		Pool:  s.pool,
+		Loads: s.loads,
+		Kept:  s.kept,
+		Log:   n.log.With("part", "proxy"),
+	})
+	if err := n.openNetwork(); err != nil {
+		return err
+	}
+	if err := s.listen(); err != nil {
+		return err
+	}
+	n.tasks.Go(func() { s.checkHealth(n.ctx) })
+	if n.settings.Platform != "" {
+		n.tasks.Go(func() { s.readList(n.ctx) })
+	}
+	n.tasks.Go(func() { s.copyReservations(n.ctx) })
+	return nil
+}
+
+func (s *entryService) listen() error {
+	n := s.node
+	proxyListener, err := listen("proxy", n.settings.Proxy)
+	if err != nil {
+		return err
+	}
+	n.serve("proxy", proxyListener, s.proxyHandler(), defaultTimeouts)
+	adminListener, err := listen("admin", n.settings.Admin)
+	if err != nil {
+		return err
+	}
+	n.serve("admin", adminListener, s.adminHandler(), defaultTimeouts)
+	return nil
+}
+
+// published forgets the connections to back ends that are no longer ready, and gives the replica of reservations its set.
+func (s *entryService) published(previous, current *controlplane.Local) {
+	n := s.node
+	if previous.View != current.View {
+		s.forgetConnections(previous.View, current.View)
+	}
+	if set := current.View.ReplicaSets[n.self.Region]; set != nil {
+		s.replica.Adopt(n.Now(), set)
+	}
+	number, isMember, isReady, _ := s.replica.State()
+	n.machine.SetReservationReplica(number, isMember && isReady)
+	n.machine.SetOldestIndex(s.loads.Floor())
+}
+
+func (s *entryService) forgetConnections(previous, current *store.View) {
+	for name, service := range current.Services {
+		if previous.Services[name] == service {
+			continue
+		}
+		for _, backend := range service.Backends {
+			if backend.State != schema.BackendState_BACKEND_READY {
+				s.pool.Forget(proxy.Identity{Service: backend.Service, Instance: backend.Instance})
+			}
+		}
+	}
+}
+
+// respond answers what peers ask of the replica of reservations and of the stored responses. A request of another system
+// gets no response.
+func (s *entryService) respond(request *schema.Frame) bool {
+	local := s.node.local.Load()
+	isOwnSystem := request.System == local.System
+	var response *schema.Frame
+	switch body := request.Body.(type) {
+	case *schema.Frame_ReservationRequest:
+		if isOwnSystem && local.System != "" {
+			response = s.reserve(local, body.ReservationRequest)
+		}
+	case *schema.Frame_ReservationCopyRequest:
+		if isOwnSystem {
+			copied := s.replica.Copy(s.node.Now(), body.ReservationCopyRequest)
+			response = &schema.Frame{Body: &schema.Frame_ReservationCopyResponse{ReservationCopyResponse: copied}}
+		}
+	case *schema.Frame_ReplayRequest:
+		if isOwnSystem {
+			replayed := s.kept.Replay(body.ReplayRequest)
+			response = &schema.Frame{Body: &schema.Frame_ReplayResponse{ReplayResponse: replayed}}
+		}
+	default:
+		return false
+	}
+	if response != nil {
+		s.node.transport.respond(request, response)
+	}
+	return true
+}
+
+// reserve asks this node's own replica for a reservation, under the node's lease.
+func (s *entryService) reserve(local *controlplane.Local, request *schema.ReservationRequest) *schema.Frame {
+	now := s.node.Now()
+	isLeased := now < local.LeaseUntil
+	reserved := s.replica.Take(now, request, isLeased)
+	return &schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: reserved}}
+}
+
+// call sends a request to a peer and waits for its response; a reservation at this node itself needs no network.
+func (s *entryService) call(ctx context.Context, address string, request *schema.Frame) (*schema.Frame, error) {
+	reservation := request.GetReservationRequest()
+	if address == s.node.self.Address && reservation != nil {
+		return s.reserve(s.node.local.Load(), reservation), nil
+	}
+	return s.node.transport.call(ctx, address, request)
+}
+
+// copyReservations asks the former replicas for their reservations until ctx ends, whenever this node's replica has become
+// a member of a new set.
+func (s *entryService) copyReservations(ctx context.Context) {
+	ticker := time.NewTicker(constants.ReservationCopyEvery / 4)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		for _, asking := range s.replica.Ask(s.node.Now()) {
+			s.node.tasks.Go(func() { s.copyFrom(ctx, asking) })
+		}
+	}
+}
+
+func (s *entryService) copyFrom(ctx context.Context, asking idempotency.Asking) {
+	ctx, cancel := context.WithTimeout(ctx, constants.ReservationWait)
+	defer cancel()
+	request := &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: asking.Message}}
+	response, err := s.call(ctx, asking.Member.Address, request)
+	if err != nil || response.GetReservationCopyResponse() == nil {
+		return
+	}
+	s.replica.Copied(s.node.Now(), asking.Member.Id, response.GetReservationCopyResponse())
+}
+
+func (s *entryService) adminHandler() http.Handler {
+	n := s.node
+	finder := directory.New(directory.Options{Self: n.self, Now: n.Now, Local: n.local.Load, Want: n.want, Draw: draw})
+	return adminapi.New(adminapi.Options{
+		Self:    n.self,
+		Now:     n.Now,
+		Local:   n.local.Load,
+		Operate: n.operate,
+		Stats:   s.executor.Stats,
+		Replica: s.replica.State,
+		Disk:    n.diskState,
+		Match:   finder,
+	})
+}
+
+// grantLease is never called: a fleet of entries has no shards.
+func (s *entryService) grantLease(controlplane.LeaseCall) {}
+
+// drain accepts requests until callers have had time to learn that this node stops, then finishes those in flight.
+func (s *entryService) drain() error {
+	return s.node.drain(constants.StopLinger, constants.StopMost-constants.StopLinger)
+}
--- a/internal/node/list_reader_test.go
+++ b/internal/node/list_reader_test.go
@@ -25,8 +25,8 @@
 		{"one page, at half of it", 1, 43, 200 * time.Millisecond, 1200 * time.Millisecond},
 		{"many pages, at half of it", 90, 0, 200 * time.Millisecond, 1200 * time.Millisecond},
 	} {
-		n := &Node{platform: &Platform{Bounds: Bounds{ListRate: c.rate, DrainWithin: c.drain}}}
-		if pause := n.listPause(c.calls); pause.Round(time.Millisecond) != c.want {
+		reader := &listReader{bounds: Bounds{ListRate: c.rate, DrainWithin: c.drain}}
+		if pause := reader.pauseAfter(c.calls); pause.Round(time.Millisecond) != c.want {
 			t.Errorf("%s: %v, want %v", c.name, pause, c.want)
 		}
 	}
--- a/internal/node/native_platform_test.go
+++ b/internal/node/native_platform_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"topazshed/internal/discovery"
+	"topazshed/internal/leasecall"
 	"topazshed/internal/settings"
 	"topazshed/internal/sharding"
 )
@@ -37,7 +38,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			calls, turns := 0, 0
-			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				if calls < len(c.statuses) {
 					w.WriteHeader(c.statuses[calls])
 				}
@@ -109,7 +110,7 @@
 			} else {
 				defer server.Close()
 			}
-			answer, err := newCaller("127.0.0.1:1").grantLease(context.Background(), c.call)
+			answer, err := newNativeLeases(leasecall.NewDial(localIP("127.0.0.1:1"))).grantLease(context.Background(), c.call)
 			if answer != c.want || (err != nil) != c.isDead || path != c.path || body != c.body {
 				t.Errorf("%+v %v, %s %+v", answer, err, path, body)
 			}
--- /dev/null
+++ b/internal/node/operators.go
@@ -0,0 +1,34 @@
+package node
+
+import (
+	"context"
+
+	"google.golang.org/protobuf/proto"
+
+	"topazshed/internal/controlplane"
+	"topazshed/internal/schema"
+)
+
+// operate hands an operator's request to the control machine and waits for its response or the context's end. After an
+// error the request may still take effect.
+func (n *Node) operate(ctx context.Context, request *schema.OperatorRequest) (*schema.OperatorResponse, error) {
+	answer := make(chan *schema.OperatorResponse, 1)
+	ticket := n.transport.nextNumber()
+	n.operatorRequests.Store(ticket, answer)
+	defer n.operatorRequests.Delete(ticket)
+	n.do(func() { n.machine.Operate(n.Now(), ticket, proto.Clone(request).(*schema.OperatorRequest)) })
+	select {
+	case response := <-answer:
+		return response, nil
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+}
+
+// operatorAnswered gives a response to the caller of operate that waits for it, if it still does.
+func (n *Node) operatorAnswered(local controlplane.LocalResponse) {
+	answer, isWaiting := n.operatorRequests.LoadAndDelete(local.Ticket)
+	if isWaiting {
+		answer.(chan *schema.OperatorResponse) <- local.Response
+	}
+}
--- /dev/null
+++ b/internal/node/owner.go
@@ -0,0 +1,101 @@
+package node
+
+import (
+	"time"
+
+	"topazshed/internal/controlplane"
+	"topazshed/internal/schema"
+)
+
+// do hands a closure to the owner. It blocks while the queue is full and gives up when the node ends.
+func (n *Node) do(command func()) {
+	select {
+	case n.commands <- command:
+	case <-n.ctx.Done():
+	}
+}
+
+// own is the owner's loop: the only caller of the control machine and its driver.
+func (n *Node) own() {
+	ticker := time.NewTicker(n.service.tickEvery())
+	defer ticker.Stop()
+	driver := n.driver()
+	for {
+		select {
+		case <-n.ctx.Done():
+			return
+		case command := <-n.commands:
+			command()
+		case <-ticker.C:
+			n.machine.Tick(n.Now())
+		}
+		n.runQueued()
+		if err := driver.Perform(); err != nil {
+			n.fail(err)
+			return
+		}
+	}
+}
+
+// runQueued runs what is queued already, so that one pass of the driver serves it all.
+func (n *Node) runQueued() {
+	for {
+		select {
+		case command := <-n.commands:
+			command()
+		default:
+			return
+		}
+	}
+}
+
+// fail ends the process: Wait returns the error.
+func (n *Node) fail(err error) {
+	message := "the disk failed; this process ends so that it does not acknowledge what it has not stored"
+	if n.machine.Refused() != nil {
+		message = "this process ends because it has no protocol version in common with its fleet"
+	}
+	n.log.Error(message, "reason", err.Error())
+	select {
+	case n.fatal <- err:
+	default:
+	}
+	n.cancel()
+}
+
+func (n *Node) driver() *controlplane.Driver {
+	return &controlplane.Driver{
+		Core:    n.machine,
+		Journal: n.journal,
+		Now:     n.Now,
+		Send:    n.transport.send,
+		Publish: n.publish,
+		Synced:  n.synced,
+		Write:   n.write,
+		Leased:  n.service.grantLease,
+		Answer:  n.operatorAnswered,
+	}
+}
+
+// publish makes the control machine's newest state visible to all goroutines. The owner calls it.
+func (n *Node) publish() {
+	current := n.machine.Local()
+	current.StaleResponses += n.transport.staleResponses.Load()
+	previous := n.local.Load()
+	n.local.Store(current)
+	n.service.published(previous, current)
+}
+
+// SetSeeds replaces the addresses of peers that a node without a source asks.
+func (n *Node) SetSeeds(seeds []string) {
+	n.do(func() { n.machine.SetSeeds(n.Now(), seeds) })
+}
+
+// want tells the control machine that requests for a service arrive here, so that it subscribes to the service's rows.
+func (n *Node) want(service string) {
+	n.do(func() { n.machine.Want(n.Now(), service) })
+}
+
+func (n *Node) setHealthReports(reports []*schema.HealthReport) {
+	n.do(func() { n.machine.SetHealthReports(reports) })
+}
--- a/internal/node/routed_test.go
+++ b/internal/node/routed_test.go
@@ -174,7 +174,7 @@
 	if s.Data != "" {
 		platform.List = p.list
 	}
-	n, err := node.StartRouted(s, slog.New(slog.DiscardHandler), node.OpenFolder, platform)
+	n, err := node.Start(node.Options{Settings: s, Log: slog.New(slog.DiscardHandler), OpenFolder: node.OpenFolder, Platform: platform})
 	if err != nil {
 		t.Fatal(err)
 	}
