--- a/internal/controlplane/changes_test.go
+++ b/internal/controlplane/changes_test.go
@@ -50,7 +50,7 @@
 			for _, response := range effects.Responses {
 				s.response = response.Response
 			}
-			s.items = append(s.items, effects.Quorum.Items...)
+			s.items = append(s.items, effects.Quorum.Entries...)
 			s.core.Synced(s.now, effects)
 		}
 	}
--- a/internal/controlplane/driver.go
+++ b/internal/controlplane/driver.go
@@ -32,7 +32,7 @@
 		if !effects.IsWork {
 			break
 		}
-		if d.Journal != nil && (effects.Hard != nil || len(effects.Quorum.Items) > 0 || effects.Quorum.Snapshot != nil) {
+		if d.Journal != nil && (effects.Hard != nil || len(effects.Quorum.Entries) > 0 || effects.Quorum.Snapshot != nil) {
 			d.store(effects, false)
 			continue
 		}
@@ -71,7 +71,7 @@
 				return err
 			}
 		}
-		return d.Journal.Append(effects.Hard, effects.Quorum.Items)
+		return d.Journal.Append(effects.Hard, effects.Quorum.Entries)
 	}, func(err error) {
 		var full *journal.FullError
 		switch {
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -271,7 +271,7 @@
 		if options.Snapshot != nil {
 			c.table.Restore(options.Snapshot)
 		}
-		c.quorum = raft.New(now, raft.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Snapshot: options.Snapshot, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.timing.Raft})
+		c.quorum = raft.New(now, raft.Options{ID: c.self.Id, HardState: c.restored(options.Hard), Snapshot: options.Snapshot, Entries: options.Items, Draw: options.Draw, TakeSnapshot: c.Whole, Timing: c.timing.Raft})
 		c.proposals = proposals.New(c.quorum, c.table)
 		c.view = store.Compile(c.table)
 		c.noteFences(c.table.Rows(store.All))
@@ -288,13 +288,13 @@
 // Whole gives the snapshot at the applied index, for a follower or for the disk.
 func (c *Machine) Whole() *schema.Snapshot {
 	whole := c.table.Whole()
-	c.quorum.Describe(whole)
+	c.quorum.DescribeSnapshot(whole)
 	whole.Version = c.shownFleet()
 	return whole
 }
 
 // IsLeading tells whether this node leads and has settled.
-func (c *Machine) IsLeading() bool { return c.quorum != nil && c.quorum.Settled() }
+func (c *Machine) IsLeading() bool { return c.quorum != nil && c.quorum.HasCommittedInTerm() }
 
 func (c *Machine) isFull() bool {
 	return c.quorum != nil && (c.quorum.IsVoter(c.self.Id) || slices.ContainsFunc(c.quorum.Members().Learners, func(m *schema.Member) bool { return m.Id == c.self.Id }))
@@ -353,7 +353,7 @@
 	c.self.Incarnation++
 	c.sendHeartbeat()
 	if c.quorum != nil && c.quorum.Role() == raft.Leader {
-		c.quorum.Handover(now)
+		c.quorum.TransferLeadership(now)
 	}
 }
 
@@ -382,7 +382,7 @@
 // SlowDisk tells that a sync took too long or failed; a leader hands over.
 func (c *Machine) SlowDisk(now time.Duration) {
 	if c.quorum != nil && c.quorum.Role() == raft.Leader {
-		c.quorum.Handover(now)
+		c.quorum.TransferLeadership(now)
 	}
 }
 
@@ -412,7 +412,7 @@
 			return
 		}
 		c.addresses[f.From] = f.Address
-		c.quorum.Receive(now, body.Raft)
+		c.quorum.Step(now, body.Raft)
 		if c.quorum.LeaderID() == f.From {
 			c.leader, c.leaderAt = f.Address, now
 			if body.Raft.Kind == schema.RaftKind_RAFT_APPEND {
@@ -563,7 +563,7 @@
 			c.send(address, &schema.Frame{Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: c.peerSampler.Self()}}})
 		}
 	}
-	if c.quorum == nil || c.quorum.Last() > 0 || c.options.Rejoin || c.options.Hard.GetId() != "" && c.options.Restart {
+	if c.quorum == nil || c.quorum.LastIndex() > 0 || c.options.Rejoin || c.options.Hard.GetId() != "" && c.options.Restart {
 		return
 	}
 	seeds := slices.Sorted(slices.Values(c.options.Seeds))
@@ -584,7 +584,7 @@
 	}
 	c.system = fmt.Sprintf("%s-%08x", c.self.Id, c.options.Draw(1<<32))
 	c.log.Info("system founded", "system", c.system)
-	c.quorum.Found(c.now, &schema.Record{Kind: schema.RecordKind_RECORD_MEMBERS,
+	c.quorum.Bootstrap(c.now, &schema.Record{Kind: schema.RecordKind_RECORD_MEMBERS,
 		Members: &schema.Members{Voters: []*schema.Member{{Id: c.self.Id, Address: c.self.Address, Zone: c.self.Zone}}}, Reason: "founding"})
 }
 
@@ -668,7 +668,7 @@
 		row := c.view.Nodes[b.Node.Id]
 		isKnown := row != nil && row.State != schema.NodeState_NODE_LOST && b.Node.State == row.State
 		if isKnown {
-			left := c.quorum.Contact() + constants.LeaseDuration - c.now
+			left := c.quorum.LeadershipConfirmedAt() + constants.LeaseDuration - c.now
 			if left > 0 && b.Version >= c.newestFence() {
 				response.LeaseMs = uint32(left.Milliseconds())
 				g.until = c.now + left + constants.LeaseClockMargin
@@ -766,9 +766,9 @@
 		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
 		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", StaleResponses: c.staleResponses}
 	if c.quorum != nil {
-		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), uint64(c.quorum.Term()), uint64(c.quorum.Commit()), c.quorum.Members(), uint64(c.quorum.First())
+		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), uint64(c.quorum.Term()), uint64(c.quorum.CommitIndex()), c.quorum.Members(), uint64(c.quorum.SnapshotIndex())
 		if c.quorum.Role() == raft.Leader {
-			l.FreshAt = c.quorum.Contact()
+			l.FreshAt = c.quorum.LeadershipConfirmedAt()
 		}
 	}
 	if c.routed != nil {
@@ -808,12 +808,12 @@
 			effects.Sends = append(effects.Sends, c.effects.Sends[before:]...)
 			c.effects.Sends = c.effects.Sends[:before]
 		}
-		if effects.Quorum.Hard != nil {
-			effects.Hard = proto.Clone(effects.Quorum.Hard).(*schema.HardState)
+		if effects.Quorum.HardState != nil {
+			effects.Hard = proto.Clone(effects.Quorum.HardState).(*schema.HardState)
 			effects.Hard.Id, effects.Hard.System, effects.Hard.Version = c.self.Id, c.system, c.shownFleet()
 		}
 	}
-	effects.IsWork = effects.Hard != nil || len(effects.Quorum.Items) > 0 || effects.Quorum.Snapshot != nil || len(effects.Sends) > 0 || len(effects.Responses) > 0 || len(effects.Calls) > 0 ||
+	effects.IsWork = effects.Hard != nil || len(effects.Quorum.Entries) > 0 || effects.Quorum.Snapshot != nil || len(effects.Sends) > 0 || len(effects.Responses) > 0 || len(effects.Calls) > 0 ||
 		len(effects.Quorum.Reads) > 0 || len(effects.Quorum.LostReads) > 0
 	return effects
 }
--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -97,7 +97,7 @@
 // that was committed since: what was acknowledged before a disk was lost is then as safe as it was.
 func (c *Machine) hasCaughtUp(id string) bool {
 	match := c.quorum.Match(id)
-	return match >= c.quorum.MembersIndex() && match+constants.LearnerGap >= c.quorum.Commit() && c.now-c.quorum.Heard(id) < time.Second
+	return match >= c.quorum.MembershipIndex() && match+constants.LearnerGap >= c.quorum.CommitIndex() && c.now-c.quorum.LastContact(id) < time.Second
 }
 
 // silence is how long a member has not answered this leader.
@@ -105,7 +105,7 @@
 	if id == c.self.Id {
 		return 0
 	}
-	return c.now - max(c.quorum.Heard(id), c.electedAt)
+	return c.now - max(c.quorum.LastContact(id), c.electedAt)
 }
 
 func (c *Machine) dropUnresponsiveLearner(members *schema.Members) string {
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -72,7 +72,7 @@
 func (c *Machine) read(w *pendingRequest) {
 	c.nextRead++
 	c.reads[c.nextRead] = w
-	if err := c.quorum.Read(c.now, c.nextRead); err != nil {
+	if err := c.quorum.ReadIndex(c.now, c.nextRead); err != nil {
 		delete(c.reads, c.nextRead)
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: err.Error()})
 	}
--- a/internal/controlplane/routed.go
+++ b/internal/controlplane/routed.go
@@ -175,7 +175,7 @@
 			c.log.Info("standing", "change", record.Reason, "evidence", record.Evidence)
 		}
 	}
-	effects := r.leaseManager.Step(sharding.Facts{Now: c.now, View: c.view, Table: c.table, IsLeading: true, ElectedAt: c.electedAt, LeaseAt: c.quorum.Contact(),
+	effects := r.leaseManager.Step(sharding.Facts{Now: c.now, View: c.view, Table: c.table, IsLeading: true, ElectedAt: c.electedAt, LeaseAt: c.quorum.LeadershipConfirmedAt(),
 		Load: r.load(c.now), Dead: c.isEnded})
 	for _, record := range effects.Records {
 		c.propose(record)
--- a/internal/controlplane/spread.go
+++ b/internal/controlplane/spread.go
@@ -200,7 +200,7 @@
 
 func (c *Machine) fullAge() time.Duration {
 	if c.quorum.Role() == raft.Leader {
-		return c.now - c.quorum.Contact()
+		return c.now - c.quorum.LeadershipConfirmedAt()
 	}
 	return c.now - c.freshAt
 }
--- a/internal/controlplane/version.go
+++ b/internal/controlplane/version.go
@@ -101,7 +101,7 @@
 	if after == 0 {
 		after = constants.FleetRiseAfter
 	}
-	if c.now-c.risingFrom < after || c.table.Version() < c.quorum.Last() {
+	if c.now-c.risingFrom < after || c.table.Version() < c.quorum.LastIndex() {
 		return
 	}
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "the fleet's version rises",
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -1,446 +1,322 @@
-// Package raft is the agreement of the disk machines: one leader, one log, as a machine without I/O.
 package raft
 
 import (
-	"fmt"
-	"slices"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
-	"topazshed/internal/constants"
 	"topazshed/internal/schema"
 )
 
-// Role is what a member does in its term.
-type Role int
-
-// The roles of a member.
-const (
-	Follower Role = iota
-	Candidate
-	Leader
-)
-
-func (r Role) String() string { return [...]string{"follower", "candidate", "leader"}[r] }
-
-// Options make a Quorum; Draw gives a number below its argument from the seeded source.
+// Options restore a member from what its disk held, or make a new one with an empty log.
 type Options struct {
-	ID       string
-	Hard     *schema.HardState
-	Snapshot *schema.Snapshot
-	Items    []*schema.LogItem
-	Draw     func(int64) int64
-	Whole    func() *schema.Snapshot
-	Pace     Pace
-}
-
-// Pace is how fast members hear of each other and vote anew; the zero value is the pace of the constants.
-type Pace struct {
-	Heartbeat      time.Duration
-	ElectionLeast  time.Duration
-	ElectionSpread time.Duration
+	// ID names this member among the system's members.
+	ID string
+	// HardState, Snapshot and Entries are what the disk held; a new member has none. Entries follow the snapshot
+	// without a gap.
+	HardState *schema.HardState
+	Snapshot  *schema.Snapshot
+	Entries   []*schema.LogItem
+	// Draw returns a random number below its argument; a seeded source makes a run repeatable.
+	Draw func(int64) int64
+	// TakeSnapshot returns a snapshot of the applied state, with its position filled in by DescribeSnapshot, for
+	// followers that lag behind the log.
+	TakeSnapshot func() *schema.Snapshot
+	// Timing is DefaultTiming where it is zero.
+	Timing Timing
 }
 
-// Ready is what the shell must do, in this order: sync, send, apply.
+// Ready is the work that is due. The caller first writes HardState, Snapshot and Entries to disk, then sends
+// Messages, then calls Synced.
 type Ready struct {
-	Hard      *schema.HardState
-	Items     []*schema.LogItem
-	Snapshot  *schema.Snapshot
-	Messages  []*schema.Raft
-	Committed []*schema.LogItem
-	Reads     []uint64
+	// HardState is the term, vote and commit index to write, or nil where they did not change.
+	HardState *schema.HardState
+	// Entries replace everything on disk from the index of the first one on.
+	Entries []*schema.LogItem
+	// Snapshot replaces the whole log on disk and the applied state, or is nil.
+	Snapshot *schema.Snapshot
+	Messages []*schema.Raft
+	// Reads are the ids of confirmed reads: once the committed entries are applied, the state is new enough to answer them.
+	Reads []uint64
+	// LostReads are the ids of reads that this member can't answer because it leads no more.
 	LostReads []uint64
 }
 
-type progress struct {
-	match, next Index
-	ackRound    uint64
-	heard       time.Duration
-	snapshotAt  time.Duration
-	isProbing   bool
-	// takesParts says that the member takes snapshots in parts; transfer is the one that it is being sent.
-	takesParts bool
-	transfer   *transfer
-}
-
-type read struct {
-	ticket, round uint64
-	index         Index
-}
-
-// Node is one member's machine.
+// Node is the state machine of one member. It is not safe for concurrent use.
+//
+// Invariants: term never falls; vote changes only from "" within a term; only a Leader has reads, a transferee or an
+// encoded snapshot.
 type Node struct {
-	options     Options
-	id          string
-	term        Term
-	vote        string
-	synced      *schema.HardState
-	role        Role
-	leader      string
-	first       Index
-	firstTerm   Term
-	base        *schema.Members
-	items       []*schema.LogItem
-	unsynced    Index
-	commit      Index
-	handed      Index
-	snapshot    *schema.Snapshot
-	isBehind    bool
-	votes       map[string]bool
-	isPre       bool
-	others      map[string]*progress
-	deadline    time.Duration
-	heard       time.Duration
-	heartbeatAt time.Duration
-	round       uint64
-	sentAt      map[uint64]time.Duration
-	reads       []read
-	ready       Ready
-	now         time.Duration
-	electedAt   time.Duration
-	passing     string
-	passingAt   time.Duration
-	encoded     *encodedSnapshot
-	received    *reception
-	// logBytes is the size of the items in memory.
-	logBytes int
+	options Options
+	timing  Timing
+	id      string
+	now     time.Duration
+
+	term Term
+	vote string
+	// syncedHardState is the term and vote on disk.
+	syncedHardState *schema.HardState
+	role            Role
+	leader          string
+	log             *raftLog
+	ready           Ready
+
+	// electionAt is when a member that hears no leader starts an election, heardLeaderAt when it last heard one.
+	electionAt    time.Duration
+	heardLeaderAt time.Duration
+	election      election
+
+	// incoming is the snapshot that is being received in parts. installing is one that is whole and still to be
+	// handed out; until it is on disk (isInstalling), nothing after it may be applied.
+	incoming     *incomingSnapshot
+	installing   *schema.Snapshot
+	isInstalling bool
+
+	// The rest is a leader's state.
+	progress  map[string]*progress
+	electedAt time.Duration
+	// round numbers the rounds of messages; roundSentAt is when the newest ones were sent.
+	round           uint64
+	roundSentAt     map[uint64]time.Duration
+	heartbeatSentAt time.Duration
+	reads           []pendingRead
+	// transferee is the member that is asked to take over, or "".
+	transferee        string
+	transferStartedAt time.Duration
+	outgoing          *outgoingSnapshot
 }
 
-// New restores a member from what its journal held.
+// New restores a member as a follower. Its first election comes early, so that a restarted system has a leader soon.
 func New(now time.Duration, options Options) *Node {
-	if options.Pace == (Pace{}) {
-		options.Pace = Pace{constants.RaftHeartbeat, constants.RaftElectionLeast, constants.RaftElectionSpread}
+	n := &Node{
+		options:     options,
+		timing:      options.Timing,
+		id:          options.ID,
+		now:         now,
+		log:         newLog(options.Snapshot, options.Entries, options.HardState),
+		progress:    map[string]*progress{},
+		roundSentAt: map[uint64]time.Duration{},
 	}
-	q := &Node{options: options, id: options.ID, base: &schema.Members{}, others: map[string]*progress{}, sentAt: map[uint64]time.Duration{}, now: now}
-	if options.Hard != nil {
-		q.term, q.vote = Term(options.Hard.Term), options.Hard.Vote
+	if n.timing == (Timing{}) {
+		n.timing = DefaultTiming()
 	}
-	q.synced = q.hard()
-	if options.Snapshot != nil {
-		q.first, q.firstTerm = Index(options.Snapshot.Index), Term(options.Snapshot.Term)
-		q.base = options.Snapshot.Members
-		q.commit, q.handed = q.first, q.first
+	if options.HardState != nil {
+		n.term, n.vote = Term(options.HardState.Term), options.HardState.Vote
 	}
-	q.items = options.Items
-	q.logBytes = q.bytesFrom(q.first)
-	q.unsynced = q.last() + 1
-	q.commit = max(q.commit, min(Index(options.Hard.GetCommit()), q.last()))
-	q.reset(now)
-	q.deadline -= q.options.Pace.ElectionLeast * 3 / 4
-	return q
+	n.syncedHardState = n.hardState()
+	n.resetElectionTimer(now)
+	n.electionAt -= n.timing.ElectionTimeout * 3 / 4
+	return n
 }
 
-// Found makes the first member the only voter of a new system.
-func (q *Node) Found(now time.Duration, record *schema.Record) {
-	q.now = now
-	q.term, q.vote = 1, q.id
-	q.append(record)
-	q.become(Leader)
+// Bootstrap makes this member the leader of a new system with the membership of a record as the first entry of its log.
+func (n *Node) Bootstrap(now time.Duration, record *schema.Record) {
+	n.now = now
+	n.term, n.vote = 1, n.id
+	n.log.propose(n.term, record)
+	n.become(Leader)
 }
 
-func (q *Node) hard() *schema.HardState { return &schema.HardState{Term: uint64(q.term), Vote: q.vote} }
+// Role returns what this member does in its term.
+func (n *Node) Role() Role { return n.role }
 
-func (q *Node) reset(now time.Duration) {
-	q.deadline = now + q.options.Pace.ElectionLeast + time.Duration(q.options.Draw(int64(q.options.Pace.ElectionSpread)))
-}
+// LeaderID returns the id of the leader as far as this member knows it, or "".
+func (n *Node) LeaderID() string { return n.leader }
 
-func (q *Node) last() Index { return q.first + Index(len(q.items)) }
+// Term returns this member's term.
+func (n *Node) Term() Term { return n.term }
 
-func (q *Node) termAt(index Index) (Term, bool) {
-	switch {
-	case index == q.first:
-		return q.firstTerm, true
-	case index < q.first || index > q.last():
-		return 0, false
-	}
-	return Term(q.items[index-q.first-1].Term), true
-}
+// CommitIndex returns the highest index that this member knows to be committed.
+func (n *Node) CommitIndex() Index { return n.log.committed }
 
-// Members are the newest in the log, committed or not.
-func (q *Node) Members() *schema.Members {
-	members, _ := q.membersAt()
-	return members
-}
+// LastIndex returns the index of the last entry in the log.
+func (n *Node) LastIndex() Index { return n.log.lastIndex() }
 
-func (q *Node) membersAt() (*schema.Members, Index) {
-	for i := len(q.items) - 1; i >= 0; i-- {
-		if q.items[i].Record.Kind == schema.RecordKind_RECORD_MEMBERS {
-			return q.items[i].Record.Members, Index(q.items[i].Index)
-		}
-	}
-	return q.base, q.first
-}
+// SnapshotIndex returns the index up to which the log is compacted.
+func (n *Node) SnapshotIndex() Index { return n.log.snapshotIndex }
 
-// MembersIndex is where in the log the newest members stand; 0 or the snapshot's index where no record of the log tells them.
-func (q *Node) MembersIndex() Index {
-	_, at := q.membersAt()
-	return at
-}
+// LogBytes returns the encoded size of the log in memory.
+func (n *Node) LogBytes() int { return n.log.bytes }
 
-// IsVoter tells whether an id may vote.
-func (q *Node) IsVoter(id string) bool { return holds(q.Members().Voters, id) }
+// ElectedAt returns when this member was last elected.
+func (n *Node) ElectedAt() time.Duration { return n.electedAt }
 
-func holds(members []*schema.Member, id string) bool {
-	return slices.ContainsFunc(members, func(m *schema.Member) bool { return m.Id == id })
+// HasCommittedInTerm tells whether this member leads and has committed an entry of its own term. From then on it
+// knows all that is committed.
+func (n *Node) HasCommittedInTerm() bool {
+	term, _ := n.log.term(n.log.committed)
+	return n.role == Leader && term == n.term
 }
 
-// Role, leader, term and progress of this member.
-func (q *Node) Role() Role       { return q.role }
-func (q *Node) LeaderID() string { return q.leader }
-func (q *Node) Term() Term       { return q.term }
-func (q *Node) Commit() Index    { return q.commit }
-func (q *Node) Last() Index      { return q.last() }
-
-// LogBytes is the size of the log in memory.
-func (q *Node) LogBytes() int { return q.logBytes }
-
-// First is the index of the snapshot below the log in memory.
-func (q *Node) First() Index { return q.first }
-
-// ElectedAt is when this leader was elected.
-func (q *Node) ElectedAt() time.Duration { return q.electedAt }
-
-// Heard is when a member last answered this leader.
-func (q *Node) Heard(id string) time.Duration {
-	if p := q.others[id]; p != nil {
-		return p.heard
+// Tick passes the time: a leader sends heartbeats and steps down without a quorum, another voter starts an election
+// after its timeout.
+func (n *Node) Tick(now time.Duration) {
+	n.now = now
+	if n.role == Leader {
+		n.tickLeader()
+		return
 	}
-	return 0
-}
-
-// Match is how far a member's disk is known to be.
-func (q *Node) Match(id string) Index {
-	if p := q.others[id]; p != nil {
-		return p.match
+	if now < n.electionAt {
+		return
 	}
-	return 0
-}
-
-// Settled tells whether this leader has committed an item of its own term.
-func (q *Node) Settled() bool {
-	term, _ := q.termAt(q.commit)
-	return q.role == Leader && term == q.term
-}
-
-func (q *Node) send(m *schema.Raft) {
-	m.From, m.Term = q.id, max(m.Term, uint64(q.term))
-	q.ready.Messages = append(q.ready.Messages, m)
-}
-
-func (q *Node) peers() []*schema.Member {
-	members := q.Members()
-	var peers []*schema.Member
-	for _, m := range slices.Concat(members.Voters, members.Learners) {
-		if m.Id != q.id {
-			peers = append(peers, m)
-		}
+	if n.IsVoter(n.id) {
+		n.campaign(true, false)
+		return
 	}
-	return peers
+	n.leader = ""
+	n.resetElectionTimer(now)
 }
 
-func (q *Node) become(role Role) {
-	if q.role == Leader && role != Leader {
-		for _, r := range q.reads {
-			q.ready.LostReads = append(q.ready.LostReads, r.ticket)
-		}
-		q.reads = nil
+func (n *Node) tickLeader() {
+	if n.now-n.heartbeatSentAt >= n.timing.HeartbeatInterval {
+		n.broadcastAppend()
 	}
-	q.role = role
-	q.votes = nil
-	q.passing = ""
-	q.reset(q.now)
-	q.encoded, q.received = nil, nil
-	if role == Leader {
-		q.leader = q.id
-		q.electedAt = q.now
-		q.others = map[string]*progress{}
-		q.sentAt = map[uint64]time.Duration{}
-		q.append(&schema.Record{Kind: schema.RecordKind_RECORD_NOTHING})
-		q.broadcast()
-		q.advance()
+	if n.transferee != "" && n.now-n.transferStartedAt > n.timing.ElectionTimeout {
+		n.transferee = ""
 	}
-}
-
-func (q *Node) step(term Term, leader string) {
-	if term > q.term {
-		q.term, q.vote = term, ""
+	if !n.hasQuorum() {
+		n.becomeFollower(n.term, "")
 	}
-	q.become(Follower)
-	q.leader = leader
-}
-
-// NotLeaderError says that another node must be asked.
-type NotLeaderError struct{ Leader string }
-
-func (e *NotLeaderError) Error() string {
-	return fmt.Sprintf("this node does not lead; ask %q or try again shortly", e.Leader)
 }
 
-// PendingError says that a change of members is still under way.
-type PendingError struct{}
-
-func (e *PendingError) Error() string {
-	return "a change of members is not committed yet; try again after it"
-}
-
-// Tick tells the machine the time.
-func (q *Node) Tick(now time.Duration) {
-	q.now = now
-	if q.role == Leader {
-		if now-q.heartbeatAt >= q.options.Pace.Heartbeat {
-			q.broadcast()
-		}
-		if q.passing != "" && now-q.passingAt > q.options.Pace.ElectionLeast {
-			q.passing = ""
-		}
-		heard := 0
-		for _, m := range q.Members().Voters {
-			if p := q.others[m.Id]; m.Id == q.id || p != nil && now-max(p.heard, q.electedAt) < 2*q.options.Pace.ElectionLeast {
-				heard++
-			}
-		}
-		if heard <= len(q.Members().Voters)/2 {
-			q.step(q.term, "")
-		}
+// Step takes a message from another member. Messages may be lost, repeated, late or out of order.
+func (n *Node) Step(now time.Duration, m *schema.Raft) {
+	n.now = now
+	if m.To != n.id {
 		return
 	}
-	if now >= q.deadline {
-		if !q.IsVoter(q.id) {
-			q.leader = ""
-			q.reset(now)
-			return
+	switch {
+	case m.Kind == schema.RaftKind_RAFT_PREVOTE:
+		n.stepPreVote(m)
+	case m.Kind == schema.RaftKind_RAFT_PREVOTE_RESPONSE:
+		n.stepPreVoteResponse(m)
+	case n.isDisruptive(m):
+	case Term(m.Term) < n.term:
+		n.rejectStaleTerm(m)
+	default:
+		if Term(m.Term) > n.term {
+			n.becomeFollower(Term(m.Term), "")
 		}
-		q.campaign(true, false)
+		n.stepInTerm(m)
 	}
 }
 
-// Receive takes a message from another member.
-func (q *Node) Receive(now time.Duration, m *schema.Raft) {
-	q.now = now
-	if m.To != q.id {
-		return
-	}
-	isLive := q.leader != "" && now-q.heard < q.options.Pace.ElectionLeast
+// stepInTerm takes a message of this member's term.
+func (n *Node) stepInTerm(m *schema.Raft) {
 	switch m.Kind {
-	case schema.RaftKind_RAFT_PREVOTE:
-		isFit := Term(m.Term) > q.term && !isLive && q.role != Leader && q.isNewEnough(m)
-		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_PREVOTE_RESPONSE, To: m.From, Rejected: !isFit})
-		return
-	case schema.RaftKind_RAFT_PREVOTE_RESPONSE:
-		if Term(m.Term) > q.term {
-			q.step(Term(m.Term), "")
-		} else if q.role == Candidate && q.isPre && !m.Rejected {
-			q.votes[m.From] = true
-			q.count()
-		}
-		return
 	case schema.RaftKind_RAFT_VOTE:
-		if !m.Handover && (isLive || q.role == Leader) {
-			return
-		}
-	}
-	if Term(m.Term) < q.term {
-		if m.Kind == schema.RaftKind_RAFT_APPEND || m.Kind == schema.RaftKind_RAFT_SNAPSHOT || m.Kind == schema.RaftKind_RAFT_SNAPSHOT_PART {
-			q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Rejected: true})
-		}
-		return
-	}
-	if Term(m.Term) > q.term {
-		q.step(Term(m.Term), "")
-	}
-	switch m.Kind {
-	case schema.RaftKind_RAFT_VOTE:
-		isFit := (q.vote == "" || q.vote == m.From) && q.role == Follower && q.isNewEnough(m)
-		if isFit {
-			q.vote = m.From
-			q.reset(now)
-		}
-		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_VOTE_RESPONSE, To: m.From, Rejected: !isFit})
+		n.stepVote(m)
 	case schema.RaftKind_RAFT_VOTE_RESPONSE:
-		if q.role == Candidate && !q.isPre && !m.Rejected {
-			q.votes[m.From] = true
-			q.count()
-		}
+		n.stepVoteResponse(m)
 	case schema.RaftKind_RAFT_APPEND:
-		q.follow(m)
-		q.accept(m)
+		n.stepAppend(m)
+	case schema.RaftKind_RAFT_APPEND_RESPONSE:
+		n.stepAppendResponse(m)
 	case schema.RaftKind_RAFT_SNAPSHOT:
-		q.follow(m)
-		q.install(m)
+		n.stepSnapshot(m)
 	case schema.RaftKind_RAFT_SNAPSHOT_PART:
-		q.follow(m)
-		q.takePart(m)
+		n.stepSnapshotPart(m)
 	case schema.RaftKind_RAFT_SNAPSHOT_PART_RESPONSE:
-		q.confirmPart(m)
-	case schema.RaftKind_RAFT_APPEND_RESPONSE:
-		q.acknowledge(m)
+		n.stepSnapshotPartResponse(m)
 	case schema.RaftKind_RAFT_TIMEOUT_NOW:
-		if q.IsVoter(q.id) && q.role != Leader {
-			q.campaign(false, true)
-		}
+		n.stepTimeoutNow()
 	}
 }
 
-// Describe fills index, term and members of a snapshot taken at the applied index.
-func (q *Node) Describe(snapshot *schema.Snapshot) {
-	term, _ := q.termAt(q.handed)
-	snapshot.Index, snapshot.Term = uint64(q.handed), uint64(term)
-	snapshot.Members = q.base
-	for _, item := range q.items {
-		if Index(item.Index) <= q.handed && item.Record.Kind == schema.RecordKind_RECORD_MEMBERS {
-			snapshot.Members = item.Record.Members
-		}
+// Take hands out the work that is due. The caller passes it to Synced once it is on disk, before it takes more.
+func (n *Node) Take() Ready {
+	ready := n.ready
+	n.ready = Ready{}
+	ready.Snapshot, n.installing = n.installing, nil
+	ready.Entries = n.log.unsyncedEntries()
+	if hardState := n.hardState(); !proto.Equal(hardState, n.syncedHardState) {
+		ready.HardState = hardState
+	}
+	if len(ready.Entries) > 0 {
+		ready.HardState = n.hardState()
+		ready.HardState.Commit = uint64(n.log.committed)
 	}
+	return ready
 }
 
-// Take gives the work that is due; the shell calls Synced once its disk has it.
-func (q *Node) Take() Ready {
-	ready := q.ready
-	q.ready = Ready{}
-	if hard := q.hard(); !proto.Equal(hard, q.synced) {
-		ready.Hard = hard
+// Synced notes that everything of a Ready is on disk.
+func (n *Node) Synced(now time.Duration, ready Ready) {
+	n.now = now
+	if ready.HardState != nil {
+		n.syncedHardState = &schema.HardState{Term: ready.HardState.Term, Vote: ready.HardState.Vote}
 	}
-	if q.snapshot != nil {
-		ready.Snapshot, q.snapshot = q.snapshot, nil
+	if ready.Snapshot != nil && n.installing == nil {
+		n.isInstalling = false
 	}
-	if q.unsynced <= q.last() {
-		ready.Items = slices.Clone(q.items[q.unsynced-q.first-1:])
-		ready.Hard = q.hard()
-		ready.Hard.Commit = uint64(q.commit)
+	if count := len(ready.Entries); count > 0 {
+		n.log.synced(ready.Entries[count-1])
 	}
-	return ready
+	n.advanceCommit()
 }
 
-// Synced tells that everything of a Ready is on disk.
-func (q *Node) Synced(now time.Duration, ready Ready) {
-	q.now = now
-	if ready.Hard != nil {
-		q.synced = &schema.HardState{Term: ready.Hard.Term, Vote: ready.Hard.Vote}
+// Committed returns the entries to apply next, and counts them as applied. They are on the disks of a majority,
+// though perhaps not on this one yet. None follow a snapshot that is still to be installed.
+func (n *Node) Committed() []*schema.LogItem {
+	if n.log.committed <= n.log.applied || n.isInstalling {
+		return nil
 	}
-	if ready.Snapshot != nil && q.snapshot == nil {
-		q.isBehind = false
+	entries := n.log.takeCommitted()
+	if n.role == Leader {
+		n.confirmReads()
 	}
-	if n := len(ready.Items); n > 0 {
-		last := ready.Items[n-1]
-		if term, isThere := q.termAt(Index(last.Index)); isThere && term == Term(last.Term) {
-			q.unsynced = max(q.unsynced, Index(last.Index)+1)
-		}
+	return entries
+}
+
+func (n *Node) hardState() *schema.HardState {
+	return &schema.HardState{Term: uint64(n.term), Vote: n.vote}
+}
+
+func (n *Node) send(m *schema.Raft) {
+	m.From = n.id
+	m.Term = max(m.Term, uint64(n.term))
+	n.ready.Messages = append(n.ready.Messages, m)
+}
+
+// become takes a role in the present term, and forgets what belonged to the former role.
+func (n *Node) become(role Role) {
+	if n.role == Leader && role != Leader {
+		n.loseReads()
+	}
+	n.role = role
+	n.election = election{}
+	n.transferee = ""
+	n.resetElectionTimer(n.now)
+	n.outgoing, n.incoming = nil, nil
+	if role == Leader {
+		n.startLeading()
 	}
-	q.advance()
 }
 
-// Committed gives the items to apply next. They are on the disks of a majority, though perhaps not on this one yet;
-// none follow a snapshot that is still to be installed.
-func (q *Node) Committed() []*schema.LogItem {
-	until := q.commit
-	if until <= q.handed || q.isBehind {
-		return nil
+// startLeading appends an empty entry, since only an entry of its own term lets a leader commit those of earlier ones.
+func (n *Node) startLeading() {
+	n.leader = n.id
+	n.electedAt = n.now
+	n.progress = map[string]*progress{}
+	n.roundSentAt = map[uint64]time.Duration{}
+	n.log.propose(n.term, &schema.Record{Kind: schema.RecordKind_RECORD_NOTHING})
+	n.broadcastAppend()
+	n.advanceCommit()
+}
+
+// becomeFollower follows a leader, or none that is known yet, in a term that is at least this member's.
+func (n *Node) becomeFollower(term Term, leader string) {
+	if term > n.term {
+		n.term, n.vote = term, ""
 	}
-	items := q.items[q.handed-q.first : until-q.first]
-	q.handed = until
-	if q.role == Leader {
-		q.confirm()
+	n.become(Follower)
+	n.leader = leader
+}
+
+// followSender follows the member that sent a leader's message of this term.
+func (n *Node) followSender(m *schema.Raft) {
+	if n.role != Follower {
+		n.become(Follower)
 	}
-	return items
+	n.leader, n.heardLeaderAt = m.From, n.now
+	n.resetElectionTimer(n.now)
 }
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -9,190 +9,176 @@
 	"topazshed/internal/schema"
 )
 
-// Replication: the leader sends its log, followers take it, and what a majority has on disk is committed.
+// roundsRemembered is how many rounds of messages a leader remembers the sending time of.
+const roundsRemembered = 512
 
-func (q *Node) append(record *schema.Record) Index {
-	item := &schema.LogItem{Index: uint64(q.last()) + 1, Term: uint64(q.term), Record: record}
-	q.items = append(q.items, item)
-	q.logBytes += proto.Size(item)
-	q.unsynced = min(q.unsynced, Index(item.Index))
-	return Index(item.Index)
-}
-
-// Propose appends a record at the leader and tells its index and term.
-func (q *Node) Propose(now time.Duration, record *schema.Record) (Index, Term, error) {
-	q.now = now
-	if q.role != Leader || q.passing != "" {
-		return 0, 0, &NotLeaderError{q.leader}
+// Propose appends a record to the leader's log and returns the position at which it is committed unless another
+// leader replaces it. It fails with a NotLeaderError, also during a leadership transfer, or with a
+// MembershipChangePendingError.
+func (n *Node) Propose(now time.Duration, record *schema.Record) (Index, Term, error) {
+	n.now = now
+	if n.role != Leader || n.transferee != "" {
+		return 0, 0, &NotLeaderError{n.leader}
 	}
 	if record.Kind == schema.RecordKind_RECORD_MEMBERS {
-		if _, at := q.membersAt(); at > q.commit || !q.Settled() {
-			return 0, 0, &PendingError{}
+		if err := n.checkMembershipChange(); err != nil {
+			return 0, 0, err
 		}
 	}
-	index := q.append(record)
-	q.broadcast()
-	q.advance()
-	return index, q.term, nil
+	index := n.log.propose(n.term, record)
+	n.broadcastAppend()
+	n.advanceCommit()
+	return index, n.term, nil
 }
 
-func (q *Node) broadcast() {
-	q.round++
-	q.heartbeatAt = q.now
-	q.sentAt[q.round] = q.now
-	delete(q.sentAt, q.round-512)
-	for _, m := range q.peers() {
-		q.replicate(m.Id)
+// broadcastAppend starts a new round: it sends every peer its next entries, or a heartbeat where there are none.
+func (n *Node) broadcastAppend() {
+	n.round++
+	n.heartbeatSentAt = n.now
+	n.roundSentAt[n.round] = n.now
+	delete(n.roundSentAt, n.round-roundsRemembered)
+	for _, peer := range n.peers() {
+		n.sendAppend(peer.Id)
 	}
 }
 
-func (q *Node) replicate(id string) {
-	p := q.others[id]
+// sendAppend sends a peer its next entries, or a heartbeat and a snapshot where the log no longer has them.
+func (n *Node) sendAppend(id string) {
+	p := n.progress[id]
 	if p == nil {
-		p = &progress{next: q.last() + 1, heard: q.now, isProbing: true}
-		q.others[id] = p
+		p = &progress{next: n.log.lastIndex() + 1, heardAt: n.now, isProbing: true}
+		n.progress[id] = p
 	}
-	if p.next <= q.first {
-		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND, To: id, Round: q.round})
-		q.sendSnapshot(id, p)
+	if p.next < n.log.firstIndex() {
+		n.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND, To: id, Round: n.round})
+		n.sendSnapshot(id, p)
 		return
 	}
-	prev := p.next - 1
-	prevTerm, _ := q.termAt(prev)
-	m := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND, To: id, Index: uint64(prev), LogTerm: uint64(prevTerm), Commit: uint64(q.commit), Round: q.round}
+	previous := p.next - 1
+	previousTerm, _ := n.log.term(previous)
+	entries := n.batch(p)
+	if !p.isProbing {
+		p.next += Index(len(entries))
+	}
+	n.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND, To: id, Index: uint64(previous), LogTerm: uint64(previousTerm),
+		Commit: uint64(n.log.committed), Round: n.round, Items: entries})
+}
+
+// batch returns the entries for one message: one while probing, otherwise as many as fit.
+func (n *Node) batch(p *progress) []*schema.LogItem {
+	var entries []*schema.LogItem
 	bytes := 0
-	for _, item := range q.items[p.next-q.first-1:] {
-		if len(m.Items) >= constants.RaftBatchItems || bytes > constants.RaftBatchBytes {
+	for _, entry := range n.log.entriesFrom(p.next) {
+		if len(entries) >= constants.RaftBatchItems || bytes > constants.RaftBatchBytes {
 			break
 		}
-		m.Items = append(m.Items, item)
-		bytes += proto.Size(item)
+		entries = append(entries, entry)
+		bytes += proto.Size(entry)
 		if p.isProbing {
 			break
 		}
 	}
-	if !p.isProbing {
-		p.next += Index(len(m.Items))
-	}
-	q.send(m)
+	return entries
 }
 
-func (q *Node) advance() {
-	if q.role != Leader {
+// advanceCommit commits what a majority has on disk. Entries of earlier terms are committed only along with one of
+// the leader's own term.
+func (n *Node) advanceCommit() {
+	if n.role != Leader {
 		return
 	}
-	commit := majority(q, func(p *progress) Index { return p.match }, q.unsynced-1)
-	if term, isThere := q.termAt(commit); isThere && commit > q.commit && term == q.term {
-		q.commit = commit
-		q.broadcast()
-	}
-	if !q.IsVoter(q.id) {
-		if _, at := q.membersAt(); at <= q.commit {
-			q.step(q.term, "")
-		}
-	}
-}
-
-func (q *Node) follow(m *schema.Raft) {
-	if q.role != Follower {
-		q.become(Follower)
+	index := quorumValue(n, n.log.unsynced-1, func(p *progress) Index { return p.match })
+	if term, isPresent := n.log.term(index); isPresent && index > n.log.committed && term == n.term {
+		n.log.committed = index
+		n.broadcastAppend()
 	}
-	q.leader, q.heard = m.From, q.now
-	q.reset(q.now)
+	n.stepDownIfRemoved()
 }
 
-func (q *Node) accept(m *schema.Raft) {
-	response := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round}
-	items := m.Items
-	index, logTerm := Index(m.Index), Term(m.LogTerm)
-	for len(items) > 0 && index < q.first {
-		index, logTerm = Index(items[0].Index), Term(items[0].Term)
-		items = items[1:]
-	}
-	if index < q.first {
-		response.Index = uint64(q.first)
-		q.send(response)
+// stepAppend takes a leader's entries and answers up to which index the log is the leader's.
+func (n *Node) stepAppend(m *schema.Raft) {
+	n.followSender(m)
+	entries := m.Items
+	previous, previousTerm := Index(m.Index), Term(m.LogTerm)
+	for len(entries) > 0 && previous < n.log.snapshotIndex {
+		previous, previousTerm = Index(entries[0].Index), Term(entries[0].Term)
+		entries = entries[1:]
+	}
+	if previous < n.log.snapshotIndex {
+		n.sendAppendResponse(m, n.log.snapshotIndex)
 		return
 	}
-	term, isThere := q.termAt(index)
-	if !isThere || index > q.first && term != logTerm {
-		response.Rejected, response.TakesParts = true, true
-		hint := min(q.last(), index-1)
-		if isThere {
-			for hint > q.commit {
-				hintTerm, _ := q.termAt(hint)
-				if hintTerm != term {
-					break
-				}
-				hint--
-			}
-		}
-		response.Hint = uint64(hint)
-		q.send(response)
+	term, isPresent := n.log.term(previous)
+	if !isPresent || previous > n.log.snapshotIndex && term != previousTerm {
+		n.rejectAppend(m, previous)
 		return
 	}
-	for _, item := range items {
-		if own, isOwn := q.termAt(Index(item.Index)); isOwn {
-			if own == Term(item.Term) {
-				continue
-			}
-			if Index(item.Index) <= q.commit {
-				panic("quorum: a committed item would be replaced")
+	n.log.merge(entries)
+	last := previous + Index(len(entries))
+	n.log.commitTo(min(Index(m.Commit), last))
+	n.sendAppendResponse(m, last)
+}
+
+func (n *Node) sendAppendResponse(m *schema.Raft, match Index) {
+	n.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round, Index: uint64(match)})
+}
+
+// rejectAppend tells the leader that the logs differ at an index. The hint is where it should try next: below all
+// entries of the conflicting term, but never below what is committed.
+func (n *Node) rejectAppend(m *schema.Raft, conflict Index) {
+	hint := min(n.log.lastIndex(), conflict-1)
+	if conflictTerm, isPresent := n.log.term(conflict); isPresent {
+		for hint > n.log.committed {
+			if term, _ := n.log.term(hint); term != conflictTerm {
+				break
 			}
-			q.logBytes -= q.bytesFrom(Index(item.Index) - 1)
-			q.items = q.items[:Index(item.Index)-q.first-1]
-			q.unsynced = min(q.unsynced, Index(item.Index))
+			hint--
 		}
-		q.items = append(q.items, item)
-		q.logBytes += proto.Size(item)
 	}
-	known := index + Index(len(items))
-	q.commit = max(q.commit, min(Index(m.Commit), known))
-	response.Index = uint64(known)
-	q.send(response)
+	n.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round,
+		Rejected: true, TakesParts: true, Hint: uint64(hint)})
 }
 
-func (q *Node) install(m *schema.Raft) {
-	response := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round, Index: m.Snapshot.Index}
-	if Index(m.Snapshot.Index) <= q.commit {
-		response.Index = uint64(q.commit)
-		q.send(response)
-		return
+// rejectStaleTerm tells a leader of an earlier term of this member's term; other old messages get no answer.
+func (n *Node) rejectStaleTerm(m *schema.Raft) {
+	switch m.Kind {
+	case schema.RaftKind_RAFT_APPEND, schema.RaftKind_RAFT_SNAPSHOT, schema.RaftKind_RAFT_SNAPSHOT_PART:
+		n.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Rejected: true})
 	}
-	q.first, q.firstTerm, q.base = Index(m.Snapshot.Index), Term(m.Snapshot.Term), m.Snapshot.Members
-	q.items, q.logBytes = nil, 0
-	q.unsynced = q.first + 1
-	q.commit, q.handed = q.first, q.first
-	q.snapshot, q.isBehind = m.Snapshot, true
-	q.send(response)
 }
 
-func (q *Node) acknowledge(m *schema.Raft) {
-	p := q.others[m.From]
-	if q.role != Leader || p == nil {
+// stepAppendResponse moves a follower's progress and commits what a majority has now.
+func (n *Node) stepAppendResponse(m *schema.Raft) {
+	p := n.progress[m.From]
+	if n.role != Leader || p == nil {
 		return
 	}
-	p.heard = q.now
-	p.ackRound = max(p.ackRound, m.Round)
-	p.takesParts = p.takesParts || m.TakesParts
+	p.recordResponse(n.now, m.Round)
+	p.acceptsParts = p.acceptsParts || m.TakesParts
 	if m.Rejected {
-		p.next = min(max(Index(m.Hint)+1, p.match+1), q.last()+1)
+		p.next = min(max(Index(m.Hint)+1, p.match+1), n.log.lastIndex()+1)
 		p.isProbing = true
-		q.replicate(m.From)
+		n.sendAppend(m.From)
 	} else {
-		wasProbing := p.isProbing
-		p.isProbing = false
-		if Index(m.Index) > p.match {
-			p.match = min(Index(m.Index), q.last())
-		}
-		p.next = max(p.next, p.match+1)
-		q.endTransfers()
-		q.advance()
-		if q.role == Leader && p.next > q.first && p.next <= q.last() && (wasProbing || p.next == p.match+1) {
-			q.replicate(m.From)
-		}
+		n.acknowledge(m.From, p, Index(m.Index))
 	}
-	if q.role == Leader {
-		q.confirm()
+	if n.role == Leader {
+		n.confirmReads()
+	}
+}
+
+// acknowledge notes up to which index a follower's disk holds the log, and sends what follows.
+func (n *Node) acknowledge(id string, p *progress, index Index) {
+	wasProbing := p.isProbing
+	p.isProbing = false
+	if index > p.match {
+		p.match = min(index, n.log.lastIndex())
+	}
+	p.next = max(p.next, p.match+1)
+	n.endTransfers()
+	n.advanceCommit()
+	isWaiting := p.next >= n.log.firstIndex() && p.next <= n.log.lastIndex()
+	if n.role == Leader && isWaiting && (wasProbing || p.next == p.match+1) {
+		n.sendAppend(id)
 	}
 }
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -2,7 +2,6 @@
 
 import (
 	"hash/crc32"
-	"slices"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -11,189 +10,250 @@
 	"topazshed/internal/schema"
 )
 
-// Snapshots travel in parts: a few are under way at a time, so that heartbeats and appends pass between them; what a cut has lost is sent again
-// from the last confirmed byte; the log behind a snapshot that is being sent is kept, so that its receiver can go on from it.
+// A snapshot is sent in parts, of which a few are unconfirmed at a time, so that heartbeats and entries pass between
+// them. Parts that are lost are sent again from the last confirmed byte. The log behind a snapshot that is being sent
+// is kept, so that its receiver can go on from it.
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encodedSnapshot is a snapshot as it is sent; all followers that need one at that time share it.
-type encodedSnapshot struct {
+// outgoingSnapshot is an encoded snapshot; all followers that need one at the same time share it.
+type outgoingSnapshot struct {
 	index    Index
 	term     Term
 	payload  []byte
 	checksum uint32
 }
 
-// transfer is a snapshot on its way to one follower.
-type transfer struct {
-	snapshot        *encodedSnapshot
+// snapshotTransfer is a snapshot on its way to one follower. Invariant: confirmed <= sent <= len(snapshot.payload).
+type snapshotTransfer struct {
+	snapshot *outgoingSnapshot
+	// sent and confirmed count the bytes that were sent and those that the follower has.
 	sent, confirmed uint64
-	// movedAt is when the follower last confirmed more.
-	movedAt time.Duration
+	// progressedAt is when the follower last confirmed more, or the unconfirmed parts were last sent again.
+	progressedAt time.Duration
 }
 
-// reception is a snapshot on its way to this member.
-type reception struct {
-	part    *schema.SnapshotPart
+// incomingSnapshot is a snapshot of which a beginning has been received.
+type incomingSnapshot struct {
+	first   *schema.SnapshotPart
 	payload []byte
 }
 
-// encode gives the snapshot to send: the one that others are being sent, as long as the log goes on from it.
-func (q *Node) encode() *encodedSnapshot {
-	if q.encoded != nil && q.encoded.index >= q.first {
-		return q.encoded
+// isOf tells whether a part belongs to the same snapshot, in the same encoding.
+func (s *incomingSnapshot) isOf(part *schema.SnapshotPart) bool {
+	return s.first.Index == part.Index && s.first.Term == part.Term && s.first.Size == part.Size && s.first.Checksum == part.Checksum
+}
+
+// DescribeSnapshot fills in the position and membership of a snapshot that was taken of the applied state.
+func (n *Node) DescribeSnapshot(snapshot *schema.Snapshot) {
+	term, _ := n.log.term(n.log.applied)
+	snapshot.Index, snapshot.Term = uint64(n.log.applied), uint64(term)
+	snapshot.Members, _ = n.log.membersAt(n.log.applied)
+}
+
+// Compact drops the log up to the index of a snapshot on disk, except for what followers may still need.
+func (n *Node) Compact(index Index) {
+	if index > n.log.applied {
+		return
 	}
-	whole := q.options.Whole()
-	payload, err := proto.MarshalOptions{Deterministic: true}.Marshal(whole)
-	if err != nil {
-		return nil
+	index = n.compactionIndex(index)
+	if index <= n.log.snapshotIndex {
+		return
 	}
-	q.encoded = &encodedSnapshot{Index(whole.Index), Term(whole.Term), payload, crc32.Checksum(payload, castagnoli)}
-	return q.encoded
+	n.log.compact(index)
+	n.endTransfers()
 }
 
-// sendSnapshot sends the next parts to a follower whose next item the log has no more.
-func (q *Node) sendSnapshot(id string, p *progress) {
-	if !p.takesParts {
-		q.sendWhole(id, p)
+// compactionIndex returns up to where the log can be dropped, given a snapshot at an index. It keeps some entries for
+// followers that are a little behind, bounded by count and bytes, and those after a snapshot that is being sent.
+func (n *Node) compactionIndex(snapshotIndex Index) Index {
+	index := snapshotIndex
+	for bytes := 0; index > n.log.snapshotIndex && snapshotIndex-index < constants.RaftKeepItems; index-- {
+		bytes += proto.Size(n.log.entriesFrom(index)[0])
+		if bytes > constants.RaftKeepBytes {
+			break
+		}
+	}
+	for _, p := range n.progress {
+		if p.transfer == nil {
+			continue
+		}
+		sending := p.transfer.snapshot.index
+		if sending < index && n.log.bytesAfter(sending) <= constants.RaftTransferBytes {
+			index = max(n.log.snapshotIndex, sending)
+		}
+	}
+	return index
+}
+
+// sendSnapshot sends the next parts of a snapshot to a follower that needs entries which the log no longer has.
+func (n *Node) sendSnapshot(id string, p *progress) {
+	if !p.acceptsParts {
+		n.sendWholeSnapshot(id, p)
 		return
 	}
-	if p.transfer == nil || p.transfer.snapshot.index < q.first {
-		snapshot := q.encode()
+	if p.transfer == nil || p.transfer.snapshot.index < n.log.snapshotIndex {
+		snapshot := n.encodeSnapshot()
 		if snapshot == nil {
 			return
 		}
-		p.transfer = &transfer{snapshot: snapshot, movedAt: q.now}
+		p.transfer = &snapshotTransfer{snapshot: snapshot, progressedAt: n.now}
 	}
-	t := p.transfer
-	if q.now-t.movedAt >= q.options.Pace.ElectionLeast {
-		t.sent, t.movedAt = t.confirmed, q.now
+	transfer := p.transfer
+	if n.now-transfer.progressedAt >= n.timing.ElectionTimeout {
+		transfer.sent, transfer.progressedAt = transfer.confirmed, n.now
 	}
-	size := uint64(len(t.snapshot.payload))
-	for t.sent < size && t.sent < t.confirmed+constants.SnapshotWindow*constants.SnapshotPartBytes {
-		end := min(size, t.sent+constants.SnapshotPartBytes)
-		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT_PART, To: id, Round: q.round, Part: &schema.SnapshotPart{Index: uint64(t.snapshot.index), Term: uint64(t.snapshot.term),
-			Offset: t.sent, Size: size, Checksum: t.snapshot.checksum, Payload: t.snapshot.payload[t.sent:end]}})
-		t.sent = end
+	size := uint64(len(transfer.snapshot.payload))
+	window := transfer.confirmed + constants.SnapshotWindow*constants.SnapshotPartBytes
+	for transfer.sent < min(size, window) {
+		end := min(size, transfer.sent+constants.SnapshotPartBytes)
+		n.sendSnapshotPart(id, transfer.snapshot, transfer.sent, end)
+		transfer.sent = end
 	}
 }
 
-// sendWhole sends a snapshot in one message, to members of a program that knows no parts.
-func (q *Node) sendWhole(id string, p *progress) {
-	if q.now-p.snapshotAt < q.options.Pace.ElectionLeast && p.snapshotAt > 0 {
+func (n *Node) sendSnapshotPart(id string, snapshot *outgoingSnapshot, start, end uint64) {
+	part := &schema.SnapshotPart{
+		Index:    uint64(snapshot.index),
+		Term:     uint64(snapshot.term),
+		Offset:   start,
+		Size:     uint64(len(snapshot.payload)),
+		Checksum: snapshot.checksum,
+		Payload:  snapshot.payload[start:end],
+	}
+	n.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT_PART, To: id, Round: n.round, Part: part})
+}
+
+// sendWholeSnapshot sends a snapshot in one message, to a member of a program version that takes no parts.
+func (n *Node) sendWholeSnapshot(id string, p *progress) {
+	if n.now-p.snapshotSentAt < n.timing.ElectionTimeout && p.snapshotSentAt > 0 {
 		return
 	}
-	p.snapshotAt = q.now
-	q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT, To: id, Snapshot: q.options.Whole(), Round: q.round, Commit: uint64(q.commit)})
+	p.snapshotSentAt = n.now
+	n.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT, To: id, Round: n.round, Commit: uint64(n.log.committed),
+		Snapshot: n.options.TakeSnapshot()})
+}
+
+// encodeSnapshot returns the snapshot to send: the one that other followers are being sent, as long as the log goes
+// on from it. It returns nil where the state can't be encoded.
+func (n *Node) encodeSnapshot() *outgoingSnapshot {
+	if n.outgoing != nil && n.outgoing.index >= n.log.snapshotIndex {
+		return n.outgoing
+	}
+	snapshot := n.options.TakeSnapshot()
+	payload, err := proto.MarshalOptions{Deterministic: true}.Marshal(snapshot)
+	if err != nil {
+		return nil
+	}
+	n.outgoing = &outgoingSnapshot{
+		index:    Index(snapshot.Index),
+		term:     Term(snapshot.Term),
+		payload:  payload,
+		checksum: crc32.Checksum(payload, castagnoli),
+	}
+	return n.outgoing
 }
 
-// confirmPart takes a follower's word of how much of a snapshot it has. One that was started again has less than it had confirmed.
-func (q *Node) confirmPart(m *schema.Raft) {
-	p := q.others[m.From]
-	if q.role != Leader || p == nil {
+// stepSnapshotPartResponse notes how much of a snapshot a follower has, and sends more. A follower that was restarted
+// has less than it confirmed.
+func (n *Node) stepSnapshotPartResponse(m *schema.Raft) {
+	p := n.progress[m.From]
+	if n.role != Leader || p == nil {
 		return
 	}
-	p.heard = q.now
-	p.ackRound = max(p.ackRound, m.Round)
-	if t := p.transfer; t != nil && t.snapshot.index == Index(m.Index) && m.Hint != t.confirmed {
-		if m.Hint < t.confirmed {
-			t.sent = m.Hint
+	p.recordResponse(n.now, m.Round)
+	transfer, received := p.transfer, m.Hint
+	if transfer != nil && transfer.snapshot.index == Index(m.Index) && received != transfer.confirmed {
+		if received < transfer.confirmed {
+			transfer.sent = received
 		}
-		t.confirmed, t.movedAt = m.Hint, q.now
-		t.sent = max(t.sent, t.confirmed)
-		q.sendSnapshot(m.From, p)
+		transfer.confirmed, transfer.progressedAt = received, n.now
+		transfer.sent = max(transfer.sent, received)
+		n.sendSnapshot(m.From, p)
 	}
-	q.confirm()
+	n.confirmReads()
 }
 
-// endTransfers forgets what no follower needs any more.
-func (q *Node) endTransfers() {
+// endTransfers forgets the transfers to followers that can go on from the log, and the encoded snapshot once nobody
+// is being sent it.
+func (n *Node) endTransfers() {
 	isNeeded := false
-	for _, p := range q.others {
-		if p.transfer != nil && p.next > q.first {
+	for _, p := range n.progress {
+		if p.transfer != nil && p.next >= n.log.firstIndex() {
 			p.transfer = nil
 		}
-		isNeeded = isNeeded || p.transfer != nil && p.transfer.snapshot == q.encoded
+		isNeeded = isNeeded || p.transfer != nil && p.transfer.snapshot == n.outgoing
 	}
 	if !isNeeded {
-		q.encoded = nil
+		n.outgoing = nil
 	}
 }
 
-// takePart adds a part to the snapshot that is being received, and installs it once it is whole.
-func (q *Node) takePart(m *schema.Raft) {
+// stepSnapshot takes a snapshot in one message.
+func (n *Node) stepSnapshot(m *schema.Raft) {
+	n.followSender(m)
+	n.installSnapshot(m, m.Snapshot)
+}
+
+// stepSnapshotPart adds a part to the snapshot that is being received, answers how much of it is here, and installs
+// it once it is whole.
+func (n *Node) stepSnapshotPart(m *schema.Raft) {
+	n.followSender(m)
 	part := m.GetPart()
 	if part == nil || part.Size > constants.SnapshotBytesMost || part.Offset+uint64(len(part.Payload)) > part.Size {
 		return
 	}
-	if Index(part.Index) <= q.commit {
-		q.received = nil
-		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, To: m.From, Round: m.Round, Index: uint64(q.commit)})
+	if Index(part.Index) <= n.log.committed {
+		n.incoming = nil
+		n.sendAppendResponse(m, n.log.committed)
 		return
 	}
-	if r := q.received; r == nil || r.part.Index != part.Index || r.part.Term != part.Term || r.part.Size != part.Size || r.part.Checksum != part.Checksum {
-		q.received = &reception{part: part}
+	if n.incoming == nil || !n.incoming.isOf(part) {
+		n.incoming = &incomingSnapshot{first: part}
 	}
-	r := q.received
-	if part.Offset == uint64(len(r.payload)) {
-		r.payload = append(r.payload, part.Payload...)
+	if part.Offset == uint64(len(n.incoming.payload)) {
+		n.incoming.payload = append(n.incoming.payload, part.Payload...)
 	}
-	if uint64(len(r.payload)) < part.Size {
-		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT_PART_RESPONSE, To: m.From, Round: m.Round, Index: part.Index, Hint: uint64(len(r.payload))})
+	received := uint64(len(n.incoming.payload))
+	if received < part.Size {
+		n.sendPartResponse(m, received)
 		return
 	}
-	q.received = nil
-	snapshot := &schema.Snapshot{}
-	if crc32.Checksum(r.payload, castagnoli) != part.Checksum || proto.Unmarshal(r.payload, snapshot) != nil || snapshot.Index != part.Index {
-		q.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT_PART_RESPONSE, To: m.From, Round: m.Round, Index: part.Index})
+	snapshot := decodeSnapshot(part, n.incoming.payload)
+	n.incoming = nil
+	if snapshot == nil {
+		n.sendPartResponse(m, 0)
 		return
 	}
-	q.install(&schema.Raft{From: m.From, Round: m.Round, Snapshot: snapshot})
+	n.installSnapshot(m, snapshot)
 }
 
-// keepFrom is the lowest item to keep when the log is dropped up to an index: some behind it, by count and by bytes, and all that a follower needs
-// to go on from the snapshot that it is being sent.
-func (q *Node) keepFrom(index Index) Index {
-	keep := index
-	for bytes := 0; keep > q.first && index-keep < constants.RaftKeepItems; keep-- {
-		if bytes += proto.Size(q.items[keep-q.first-1]); bytes > constants.RaftKeepBytes {
-			break
-		}
-	}
-	for _, p := range q.others {
-		if p.transfer != nil && p.transfer.snapshot.index < keep && q.bytesFrom(p.transfer.snapshot.index) <= constants.RaftTransferBytes {
-			keep = max(q.first, p.transfer.snapshot.index)
-		}
-	}
-	return keep
+func (n *Node) sendPartResponse(m *schema.Raft, received uint64) {
+	n.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT_PART_RESPONSE, To: m.From, Round: m.Round,
+		Index: m.Part.Index, Hint: received})
 }
 
-func (q *Node) bytesFrom(index Index) int {
-	bytes := 0
-	for _, item := range q.items[max(index, q.first)-q.first:] {
-		bytes += proto.Size(item)
+// decodeSnapshot returns the snapshot of which a part was the last to arrive, or nil where its bytes are not those
+// that were sent.
+func decodeSnapshot(part *schema.SnapshotPart, payload []byte) *schema.Snapshot {
+	snapshot := &schema.Snapshot{}
+	if crc32.Checksum(payload, castagnoli) != part.Checksum {
+		return nil
+	}
+	if proto.Unmarshal(payload, snapshot) != nil || snapshot.Index != part.Index {
+		return nil
 	}
-	return bytes
+	return snapshot
 }
 
-// Compact drops the log that a snapshot on disk covers up to an index, but for what followers may still need.
-func (q *Node) Compact(index Index) {
-	if index > q.handed {
-		return
-	}
-	index = q.keepFrom(index)
-	if index <= q.first {
+// installSnapshot replaces the log by a snapshot, unless the log has as much already. Ready hands it out, to be
+// written and applied.
+func (n *Node) installSnapshot(m *schema.Raft, snapshot *schema.Snapshot) {
+	if Index(snapshot.Index) <= n.log.committed {
+		n.sendAppendResponse(m, n.log.committed)
 		return
 	}
-	term, _ := q.termAt(index)
-	members := q.base
-	for _, item := range q.items[:index-q.first] {
-		if item.Record.Kind == schema.RecordKind_RECORD_MEMBERS {
-			members = item.Record.Members
-		}
-	}
-	q.items = slices.Clone(q.items[index-q.first:])
-	q.first, q.firstTerm, q.base = index, term, members
-	q.logBytes = q.bytesFrom(q.first)
-	q.endTransfers()
+	n.log.restore(snapshot)
+	n.installing, n.isInstalling = snapshot, true
+	n.sendAppendResponse(m, Index(snapshot.Index))
 }
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -16,7 +16,7 @@
 	// sampler's own default.
 	Sampler membership.Pace
 	// Raft is the interval of heartbeats between members of the log and the time-out of elections. The zero value is raft's own default.
-	Raft raft.Pace
+	Raft raft.Timing
 	// HeartbeatInterval is the pause between two heartbeats of a node to the leader or to the relay in front of it.
 	HeartbeatInterval time.Duration
 	// LostAfter is the time without a heartbeat after which the leader takes a node for lost, once other nodes suspect it too.
@@ -64,22 +64,22 @@
 }
 
 // raftForRoutes scales raft's timing down, its parts in proportion, so that constants.QuietElections shortest elections fit into the bound.
-func raftForRoutes(recoveryBound time.Duration) raft.Pace {
-	pace := raft.Pace{
-		Heartbeat:      constants.RoutedRaftHeartbeat,
-		ElectionLeast:  constants.RoutedElectionLeast,
-		ElectionSpread: constants.RoutedElectionSpread,
+func raftForRoutes(recoveryBound time.Duration) raft.Timing {
+	pace := raft.Timing{
+		HeartbeatInterval: constants.RoutedRaftHeartbeat,
+		ElectionTimeout:   constants.RoutedElectionLeast,
+		ElectionJitter:    constants.RoutedElectionSpread,
 	}
 	if recoveryBound <= 0 {
 		return pace
 	}
 	shortest := max(constants.RaftElectionLeast, recoveryBound/constants.QuietElections)
-	if shortest >= pace.ElectionLeast {
+	if shortest >= pace.ElectionTimeout {
 		return pace
 	}
-	pace.Heartbeat = pace.Heartbeat * shortest / pace.ElectionLeast
-	pace.ElectionSpread = pace.ElectionSpread * shortest / pace.ElectionLeast
-	pace.ElectionLeast = shortest
+	pace.HeartbeatInterval = pace.HeartbeatInterval * shortest / pace.ElectionTimeout
+	pace.ElectionJitter = pace.ElectionJitter * shortest / pace.ElectionTimeout
+	pace.ElectionTimeout = shortest
 	return pace
 }
 
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -25,10 +25,10 @@
 		t.Run(c.bound.String(), func(t *testing.T) {
 			spans := timing.ForRoutes(c.bound)
 			pace := spans.Raft
-			if pace.ElectionLeast != c.electionLeast || 4*pace.Heartbeat > pace.ElectionLeast || pace.ElectionLeast <= constants.KeyLeaseTime {
+			if pace.ElectionTimeout != c.electionLeast || 4*pace.HeartbeatInterval > pace.ElectionTimeout || pace.ElectionTimeout <= constants.KeyLeaseTime {
 				t.Errorf("%+v, want a shortest election time-out of %v", pace, c.electionLeast)
 			}
-			if longest := pace.ElectionLeast + pace.ElectionSpread; c.bound >= 2*time.Second && longest > c.bound*6/10 {
+			if longest := pace.ElectionTimeout + pace.ElectionJitter; c.bound >= 2*time.Second && longest > c.bound*6/10 {
 				t.Errorf("an election may begin only after %v", longest)
 			}
 			if got := spans.RemoteSourceAfter; got != c.remoteSourceAfter {
