--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -346,7 +346,7 @@
 	w.Write(body)
 }
 
-func executor(t *testing.T, stands ...*stand) *Executor {
+func executor(t testing.TB, stands ...*stand) *Executor {
 	t.Helper()
 	var backends []*schema.Backend
 	for _, s := range stands {
