--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,27 +1,51 @@
-// Package sockets holds what connections need beyond the standard library's options.
+// Package sockets holds what TCP connections need beyond the standard library's options. It keeps no state, and its functions may be
+// called from any goroutine.
 package sockets
 
 import (
+	"context"
 	"errors"
 	"net"
+	"net/netip"
 	"syscall"
 	"time"
 )
 
+// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall does not name.
 const tcpUserTimeout = 18
 
-// IdleTimeout makes a dialer's control that gives a connection up once sent bytes stay so long without word of their arrival.
-func IdleTimeout(most time.Duration) func(network, address string, raw syscall.RawConn) error {
+// past is a deadline that is over for every connection.
+var past = time.Unix(1, 0)
+
+// LocalAddress is the address to dial from, for a process that listens on an "IP:port": its IP with any port. It is nil, for the
+// system's choice, if the text is no such address.
+func LocalAddress(listen string) net.Addr {
+	address, err := netip.ParseAddrPort(listen)
+	if err != nil {
+		return nil
+	}
+	return &net.TCPAddr{IP: address.Addr().AsSlice()}
+}
+
+// IdleTimeout makes the Control function of a dialer whose connections end once sent bytes were not acknowledged for that long.
+func IdleTimeout(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var fault error
+		var optionErr error
 		err := raw.Control(func(fd uintptr) {
-			fault = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(most.Milliseconds()))
+			optionErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(limit.Milliseconds()))
 		})
-		return errors.Join(err, fault)
+		return errors.Join(err, optionErr)
 	}
 }
 
-// IsQuiet tells that an idle connection is open and that nothing has arrived on it.
+// AbortWhenDone ends the reads and writes of a connection with a time-out as soon as the context is done. The returned function undoes
+// that; it tells whether it came in time, as that of context.AfterFunc does.
+func AbortWhenDone(ctx context.Context, conn net.Conn) (stop func() bool) {
+	return context.AfterFunc(ctx, func() { conn.SetDeadline(past) })
+}
+
+// IsQuiet tells whether an idle connection is open and nothing has arrived on it. It reads nothing; a connection that is not TCP counts
+// as quiet.
 func IsQuiet(conn net.Conn) bool {
 	tcp, isTCP := conn.(*net.TCPConn)
 	if !isTCP {
@@ -33,8 +57,8 @@
 	}
 	isQuiet := true
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var first [1]byte
+		n, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		isQuiet = n < 0 && (errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EWOULDBLOCK))
 		return true
 	})
