--- /dev/null
+++ b/internal/gateway/answer.go
@@ -0,0 +1,58 @@
+package gateway
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+
+	"topazshed/internal/forwarding"
+)
+
+// Answer is a back end's response, with its body read as far as it is kept.
+type Answer struct {
+	Status int
+	Header http.Header
+	Body   []byte
+	// Rest is what follows Body on the connection, if the response is longer than what is kept.
+	Rest io.ReadCloser
+	// Length is the body's, or -1 if it is not known before its end.
+	Length int64
+}
+
+func newAnswer(response *http.Response, kept []byte, isLonger bool) *Answer {
+	answer := &Answer{Status: response.StatusCode, Header: response.Header, Body: kept, Length: int64(len(kept))}
+	if isLonger {
+		answer.Rest = response.Body
+		answer.Length = response.ContentLength
+	}
+	return answer
+}
+
+// isReadToItsEnd tells whether nothing of the response is left on its connection.
+func (a *Answer) isReadToItsEnd() bool {
+	if a.Rest == nil {
+		return true
+	}
+	n, err := a.Rest.Read(make([]byte, 1))
+	return n == 0 && err == io.EOF
+}
+
+// copyTo passes the response on to the caller, and tells whether the caller got it whole.
+func (a *Answer) copyTo(w http.ResponseWriter, method string, closesConnection bool) bool {
+	header := w.Header()
+	for name, values := range forwarding.EndToEnd(a.Header) {
+		header[name] = values
+	}
+	if a.Length >= 0 && method != http.MethodHead {
+		header.Set("Content-Length", strconv.FormatInt(a.Length, 10))
+	}
+	if closesConnection {
+		header.Set("Connection", "close")
+	}
+	w.WriteHeader(a.Status)
+	_, err := w.Write(a.Body)
+	if err == nil && a.Rest != nil {
+		_, err = io.Copy(w, a.Rest)
+	}
+	return err == nil || method == http.MethodHead
+}
--- /dev/null
+++ b/internal/gateway/execution.go
@@ -0,0 +1,140 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"syscall"
+	"time"
+
+	"topazshed/internal/sockets"
+)
+
+// execution performs the orders of one request's machine with real connections, on the goroutine of the request. A panic with
+// http.ErrAbortHandler ends the caller's connection without a response: the caller has gone, or has got a part of one.
+type execution struct {
+	gateway  *Gateway
+	writer   http.ResponseWriter
+	request  *http.Request
+	// exchange and machine are held by value: behind a pointer they would be allocated for each request.
+	exchange exchange
+	machine  RequestMachine
+
+	// conn is the open connection to a back end, or nil; isReusable says that it may go back to the pool.
+	conn       *Conn
+	isReusable bool
+	// answer is the response that was read on conn, or nil.
+	answer *Answer
+}
+
+func (e *execution) now() time.Duration { return e.gateway.options.Now() }
+
+// run asks the machine for orders until the caller has its response.
+func (e *execution) run() {
+	ctx, cancel := context.WithTimeout(e.request.Context(), e.machine.Until-e.machine.Begun)
+	defer cancel()
+	defer func() { e.gateway.stats.Repeats.Add(uint64(e.machine.Repeats)) }()
+	event := Event{Kind: EventBegun}
+	for isDone := false; !isDone; {
+		order := e.machine.Next(e.now(), e.gateway.options.Local().View, event)
+		if e.conn != nil && order.Kind != OrderSend && order.Kind != OrderPass {
+			e.releaseConn(e.isReusable)
+		}
+		event, isDone = e.perform(ctx, order)
+	}
+}
+
+func (e *execution) perform(ctx context.Context, order Order) (event Event, isDone bool) {
+	switch order.Kind {
+	case OrderConnect:
+		return e.connect(ctx, order), false
+	case OrderWait:
+		return wait(ctx, order.Wait), false
+	case OrderSend:
+		return e.send(ctx, order), false
+	case OrderPass:
+		e.pass(ctx)
+	case OrderRefuse:
+		e.refuse(order)
+	case OrderFail:
+		e.fail(order)
+	}
+	return Event{}, true
+}
+
+// releaseConn gives the connection back to the pool if nothing is left on it, and closes it otherwise.
+func (e *execution) releaseConn(isReusable bool) {
+	conn := e.conn
+	e.conn = nil
+	backend := e.machine.choice.Backend
+	if isReusable && e.answer != nil && e.answer.isReadToItsEnd() && conn.reader.Buffered() == 0 && backend != nil {
+		e.gateway.pool.Put(backend.Instance, conn)
+		return
+	}
+	conn.Close()
+}
+
+func (e *execution) connect(ctx context.Context, order Order) Event {
+	g, instance := e.gateway, order.Backend.Instance
+	e.answer = nil
+	e.isReusable = false
+	g.loads.Begin(instance)
+	conn, err := g.pool.Get(ctx, order.Backend, order.Wait, e.machine.Route.Repeatable)
+	if err == nil {
+		e.conn = conn
+		return Event{Kind: EventConnected}
+	}
+	g.loads.End(e.now(), instance, 0, false)
+	if ctx.Err() == nil || errors.Is(err, syscall.ECONNREFUSED) {
+		g.loads.Fail(e.now(), instance)
+		g.loads.Judge(e.now(), e.machine.Service, instance, VerdictFailed, 0)
+	}
+	abortIfCanceled(ctx)
+	if ctx.Err() != nil {
+		return Event{Kind: EventExpired}
+	}
+	return Event{Kind: EventUnreached, Reason: err.Error()}
+}
+
+func wait(ctx context.Context, span time.Duration) Event {
+	select {
+	case <-ctx.Done():
+		abortIfCanceled(ctx)
+		return Event{Kind: EventExpired}
+	case <-time.After(span):
+		return Event{Kind: EventWoken}
+	}
+}
+
+// abortIfCanceled ends the request if its caller has gone.
+func abortIfCanceled(ctx context.Context) {
+	if errors.Is(ctx.Err(), context.Canceled) {
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// pass gives the back end's response to the caller.
+func (e *execution) pass(ctx context.Context) {
+	e.gateway.stats.Served.Add(1)
+	stop := sockets.AbortWhenDone(ctx, e.conn)
+	isComplete := e.answer.copyTo(e.writer, e.request.Method, e.gateway.stopping.Load())
+	stop()
+	e.releaseConn(e.isReusable && isComplete)
+	if !isComplete {
+		panic(http.ErrAbortHandler)
+	}
+}
+
+func (e *execution) refuse(order Order) {
+	e.gateway.options.Log.Debug("refused", "id", e.exchange.id, "service", e.machine.Service, "why", string(order.Refusal), "reason", order.Reason,
+		"ms", e.elapsed().Milliseconds())
+	e.gateway.refuse(e.writer, e.exchange.id, order.Refusal, "the request has not run; come back after Retry-After", order.RetryAfter)
+}
+
+func (e *execution) fail(order Order) {
+	e.gateway.stats.Failed.Add(1)
+	e.gateway.options.Log.Debug("failed", "id", e.exchange.id, "service", e.machine.Service, "reason", order.Reason, "ms", e.elapsed().Milliseconds())
+	e.gateway.respond(e.writer, e.exchange.id, ownResponse{Status: order.Status, Kind: kindFailed, Message: order.Reason})
+}
+
+func (e *execution) elapsed() time.Duration { return e.now() - e.machine.Begun }
--- a/internal/gateway/freshness_test.go
+++ b/internal/gateway/freshness_test.go
@@ -56,16 +56,10 @@
 
 // rest makes all idle connections look as if they had lain idle so much longer.
 func (p *Pool) rest(span time.Duration) {
-	for i := range p.shards {
-		s := &p.shards[i]
-		s.lock.Lock()
-		for _, conns := range s.idle {
-			for _, conn := range conns {
-				conn.idleAt = conn.idleAt.Add(-span)
-			}
-		}
-		s.lock.Unlock()
-	}
+	p.idle.Trim(func(_ string, conn *Conn) bool {
+		conn.idleAt = conn.idleAt.Add(-span)
+		return false
+	})
 }
 
 func TestForgottenConnections(t *testing.T) {
