--- a/cmd/topazshed/doctor_test.go
+++ b/cmd/topazshed/doctor_test.go
@@ -72,7 +72,7 @@
 			if c.change != nil {
 				c.change(leader, reader)
 			}
-			if got := strings.Join(kinds((&doctorCommand{adminFlag: adminFlag{admin}}).examineFleet()), " "); got != c.want {
+			if got := strings.Join(kinds(examineFleet(admin, 0)), " "); got != c.want {
 				t.Fatalf("got %q, want %q", got, c.want)
 			}
 		})
@@ -94,9 +94,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
-			before := map[string]reading{"a": {ms(1000), ms(50), ms(1)}}
-			after := map[string]reading{"a": {ms(3000), ms(50 + c.theirs), ms(c.blur)}, "new": {ms(3000), ms(1), ms(1)}}
-			if got := strings.Join(kinds(judgeClocks(before, after)), " "); got != c.want {
+			before := map[string]clockReading{"a": {ms(1000), ms(50), ms(1)}}
+			after := map[string]clockReading{"a": {ms(3000), ms(50 + c.theirs), ms(c.blur)}, "new": {ms(3000), ms(1), ms(1)}}
+			if got := strings.Join(kinds(compareClocks(before, after)), " "); got != c.want {
 				t.Fatalf("got %q, want %q", got, c.want)
 			}
 		})
--- a/cmd/topazshed/main.go
+++ b/cmd/topazshed/main.go
@@ -9,9 +9,6 @@
 	"github.com/google/subcommands"
 )
 
-// Version is the program's version.
-const Version = "0.1.0"
-
 func main() {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.CommandsCommand(), "")
--- a/cmd/topazshed/rollout_test.go
+++ b/cmd/topazshed/rollout_test.go
@@ -28,7 +28,7 @@
 		holds   []string
 		mayRise uint32
 	}{
-		{"all is well", func(s *adminapi.Status) {}, nil, nil, 2},
+		{"all is well", func(*adminapi.Status) {}, nil, nil, 2},
 		{"risen before", func(s *adminapi.Status) { s.Fleet = 2 }, nil, nil, 2},
 		{"half of them are old", func(s *adminapi.Status) { s.Nodes[0].SpeaksHigh, s.Nodes[5].SpeaksHigh = 1, 1 }, nil, []string{"n0", "n5"}, 1},
 		{"one is away for its upgrade", func(s *adminapi.Status) { s.Nodes[2].State, s.Nodes[2].HeardMs = "stopping", 9000 }, []string{"machine n2 in mu-a is stopping"}, []string{"n2"}, 1},
@@ -42,12 +42,12 @@
 		{"three voters of three", func(s *adminapi.Status) { s.Voters = s.Voters[:3] }, nil, nil, 2},
 		{"two voters", func(s *adminapi.Status) { s.Voters = s.Voters[:2] }, []string{"2 of 2 voters are well"}, nil, 2},
 		{"no leader", func(s *adminapi.Status) { s.LeaderUnreachable = "no leader is known" }, []string{"no leader answers"}, nil, 2},
-		{"a door without the voters", func(s *adminapi.Status) { s.Voters = nil }, []string{"ask the door of one with a disk"}, nil, 2},
-		{"an emptied district", func(s *adminapi.Status) { s.Zones = []adminapi.ZoneStatus{{Name: "mu-a", Emptied: true}} }, []string{"district mu-a is emptied"}, nil, 2},
+		{"a door without the voters", func(s *adminapi.Status) { s.Voters = nil }, []string{"ask the admin address of one with a disk"}, nil, 2},
+		{"an emptied district", func(s *adminapi.Status) { s.Zones = []adminapi.ZoneStatus{{Name: "mu-a", Emptied: true}} }, []string{"zone mu-a is emptied"}, nil, 2},
 		{"keys without a holder", func(s *adminapi.Status) {
 			s.Routed.Services = []adminapi.ServiceStatus{{Name: "nickel", Unheld: 9}}
 			s.Routed.Spans = []adminapi.SpanStatus{{Service: "nickel", Releasing: true}, {Service: "nickel"}}
-		}, []string{"9 keys of nickel", "1 spans of keys are moving"}, nil, 2},
+		}, []string{"9 keys of nickel", "1 ranges of keys are moving"}, nil, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := status()
--- a/cmd/topazshed/status_test.go
+++ b/cmd/topazshed/status_test.go
@@ -89,7 +89,7 @@
 				c.change(s)
 			}
 			all := []*adminapi.Status{s, {Resting: slices.DeleteFunc(slices.Clone(s.Resting), func(id string) bool { return id != "c-1" })}, {Resting: []string{"c-3"}}}
-			if got := strings.Join(kinds(judgeRouted(s, all)), " "); got != c.want {
+			if got := strings.Join(kinds(examineRoutes(s, all)), " "); got != c.want {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
--- a/internal/node/native_test.go
+++ b/internal/node/native_test.go
@@ -132,7 +132,7 @@
 		ip := fmt.Sprintf("127.0.78.%d", i+1)
 		s := &settings.Settings{Peer: free(t, ip), Proxy: free(t, ip), Admin: free(t, ip), Zone: []string{"mu-a", "mu-b", "xi-a", "mu-b"}[i], Region: []string{"mu", "mu", "xi", "mu"}[i], DiskBytes: 16 << 20, Routes: settings.DefaultRoutes()}
 		s.Routes.ListLagMS, s.Routes.StopGraceMS = 100, 1500
-		s.PeerShown, s.ProxyShow, s.AdminShown = s.Peer, s.Proxy, s.Admin
+		s.PeerShown, s.ProxyShown, s.AdminShown = s.Peer, s.Proxy, s.Admin
 		if i < 3 {
 			s.Data, s.Platform = t.TempDir(), platform.URL
 			seeds = append(seeds, s.Peer)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -160,7 +160,7 @@
 	return &schema.Node{
 		Id:          newID(),
 		Address:     s.PeerShown,
-		Proxy:       s.ProxyShow,
+		Proxy:       s.ProxyShown,
 		Admin:       s.AdminShown,
 		Zone:        s.Zone,
 		Region:      s.Region,
--- a/internal/node/routed_test.go
+++ b/internal/node/routed_test.go
@@ -234,7 +234,7 @@
 	for i := range 4 {
 		ip := fmt.Sprintf("127.0.77.%d", i+1)
 		s := &settings.Settings{Peer: free(t, ip), Proxy: free(t, ip), Admin: ip + ":1", Zone: []string{"mu-a", "mu-b", "xi-a", "mu-a"}[i], Region: []string{"mu", "mu", "xi", "mu"}[i], DiskBytes: 16 << 20}
-		s.PeerShown, s.ProxyShow, s.AdminShown = s.Peer, s.Proxy, s.Admin
+		s.PeerShown, s.ProxyShown, s.AdminShown = s.Peer, s.Proxy, s.Admin
 		if i < 3 {
 			s.Data = t.TempDir()
 			seeds = append(seeds, s.Peer)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,8 @@
-// Package settings reads and checks what a process is told about its place.
+// Package settings reads and checks what a process is told about its place in the fleet, from flags and a file. It opens
+// no address and changes no file. Its values are read-only once they are checked.
 package settings
 
 import (
-	"bytes"
-	"encoding/json"
-	"flag"
 	"fmt"
 	"net/netip"
 	"os"
@@ -13,20 +11,32 @@
 	"sync"
 )
 
-// Settings is a process's place in the fleet.
+// seedsWanted is how many seeds a process is given: enough that a majority of them can found a system.
+const seedsWanted = 3
+
+// Settings are a process's place in the fleet. Addresses are numeric IP:port texts; an address with "Shown" is the one at
+// which others reach the address of that name, and equals it if nothing is said.
 type Settings struct {
-	Peer       string   `json:"peer"`
-	PeerShown  string   `json:"peer_shown"`
-	Proxy      string   `json:"proxy"`
-	ProxyShow  string   `json:"proxy_shown"`
-	Admin      string   `json:"door"`
-	AdminShown string   `json:"door_shown"`
-	Zone       string   `json:"district"`
-	Region     string   `json:"region"`
-	Seeds      []string `json:"seeds"`
-	Data       string   `json:"data"`
-	Platform   string   `json:"platform"`
-	LogLevel   string   `json:"log_level"`
+	// Peer is for frames from other processes of the fleet.
+	Peer      string `json:"peer"`
+	PeerShown string `json:"peer_shown"`
+	// Proxy is for callers' requests.
+	Proxy      string `json:"proxy"`
+	ProxyShown string `json:"proxy_shown"`
+	// Admin is for the directory and operators.
+	Admin      string `json:"admin"`
+	AdminShown string `json:"admin_shown"`
+	// Zone and Region are where the machine stands.
+	Zone   string `json:"zone"`
+	Region string `json:"region"`
+	// Seeds are the peer addresses of three machines, which a process without a system asks.
+	Seeds []string `json:"seeds"`
+	// Data is the data folder; only a machine with a disk has one, and only such a machine may vote and lead.
+	Data string `json:"data"`
+	// Platform is the http URL of the list of back ends.
+	Platform string `json:"platform"`
+	// LogLevel is debug, info, warn or error; info if nothing is said.
+	LogLevel string `json:"log_level"`
 	// DiskBytes bounds the data folder; 0 is no bound.
 	DiskBytes int64 `json:"disk_bytes"`
 	// Rejoin says that the system was founded before: a machine without state joins it and never founds another.
@@ -35,149 +45,112 @@
 	Routes *Routes `json:"routes,omitempty"`
 }
 
-// Fault is one thing wrong with the settings and how to mend it.
-type Fault struct{ Field, Message string }
+var compileNameForm = sync.OnceValue(func() *regexp.Regexp { return regexp.MustCompile(`^[a-z][a-z0-9-]{0,30}$`) })
 
-// FaultsError carries every fault of the settings at once.
-type FaultsError struct{ Faults []Fault }
+// Check fills defaults in and reports every fault; the error is a *FaultsError.
+func (s *Settings) Check() error {
+	faults := &FaultList{}
+	s.check(faults)
+	return faults.Err()
+}
 
-func (e *FaultsError) Error() string {
-	lines := make([]string, len(e.Faults))
-	for i, fault := range e.Faults {
-		lines[i] = fmt.Sprintf("%s: %s", fault.Field, fault.Message)
+func (s *Settings) check(faults *FaultList) {
+	s.fillShown()
+	s.checkAddresses(faults)
+	checkName(faults, "zone", s.Zone)
+	checkName(faults, "region", s.Region)
+	s.checkSeeds(faults)
+	s.checkData(faults)
+	if s.Routes != nil {
+		s.Routes.check(faults)
 	}
-	return strings.Join(lines, "; ")
+	s.checkLogLevel(faults)
 }
 
-// Flags binds the settings to command-line flags; the returned closure merges file and flags.
-func Flags(flags *flag.FlagSet) func() (*Settings, error) {
-	file := flags.String("settings", "", "settings file (JSON); flags override it")
-	var given Settings
-	seeds := flags.String("seeds", "", "three peer addresses, comma separated")
-	flags.StringVar(&given.Peer, "peer", "", "IP:port for other processes")
-	flags.StringVar(&given.PeerShown, "peer-shown", "", "IP:port others reach the peer address by (default: peer)")
-	flags.StringVar(&given.Proxy, "proxy", "", "IP:port for callers' queries")
-	flags.StringVar(&given.ProxyShow, "proxy-shown", "", "IP:port others reach the proxy address by (default: proxy)")
-	flags.StringVar(&given.Admin, "door", "", "IP:port for directory and operators")
-	flags.StringVar(&given.AdminShown, "door-shown", "", "IP:port others reach the door by (default: door)")
-	flags.StringVar(&given.Zone, "district", "", "district (zone) of this machine")
-	flags.StringVar(&given.Region, "region", "", "region of the district")
-	flags.StringVar(&given.Data, "data", "", "data folder; only on machines with a disk")
-	flags.StringVar(&given.Platform, "platform", "", "http URL of the platform's back-end list")
-	flags.StringVar(&given.LogLevel, "log-level", "", "debug, info, warn or error (default info)")
-	isRouted := flags.Bool("routes", false, "carry routes, with the default bounds if the file gives none")
-	return func() (*Settings, error) {
-		settings := &Settings{}
-		if *file != "" {
-			text, err := os.ReadFile(*file)
-			if err != nil {
-				return nil, &FaultsError{[]Fault{{"settings", fmt.Sprintf("can't be read (%v); name a readable file", err)}}}
-			}
-			reader := json.NewDecoder(bytes.NewReader(text))
-			reader.DisallowUnknownFields()
-			if err := reader.Decode(settings); err != nil {
-				return nil, &FaultsError{[]Fault{{"settings", fmt.Sprintf("is not the expected JSON (%v); see the README's example", err)}}}
-			}
-		}
-		for _, pair := range []struct {
-			from string
-			to   *string
-		}{
-			{given.Peer, &settings.Peer}, {given.PeerShown, &settings.PeerShown}, {given.Proxy, &settings.Proxy},
-			{given.ProxyShow, &settings.ProxyShow}, {given.Admin, &settings.Admin}, {given.AdminShown, &settings.AdminShown},
-			{given.Zone, &settings.Zone}, {given.Region, &settings.Region}, {given.Data, &settings.Data},
-			{given.Platform, &settings.Platform}, {given.LogLevel, &settings.LogLevel},
-		} {
-			if pair.from != "" {
-				*pair.to = pair.from
-			}
-		}
-		if *isRouted && settings.Routes == nil {
-			settings.Routes = DefaultRoutes()
+func (s *Settings) fillShown() {
+	for _, address := range []struct{ shown, real *string }{
+		{&s.PeerShown, &s.Peer}, {&s.ProxyShown, &s.Proxy}, {&s.AdminShown, &s.Admin},
+	} {
+		if *address.shown == "" {
+			*address.shown = *address.real
 		}
-		if *seeds != "" {
-			settings.Seeds = strings.Split(*seeds, ",")
-		}
-		return settings, settings.Check()
 	}
 }
 
-var compileNameForm = sync.OnceValue(func() *regexp.Regexp { return regexp.MustCompile(`^[a-z][a-z0-9-]{0,30}$`) })
-
-// Check fills defaults and reports every fault.
-func (s *Settings) Check() error {
-	var faults []Fault
-	add := func(field, form string, args ...any) {
-		faults = append(faults, Fault{field, fmt.Sprintf(form, args...)})
-	}
-	checkAddress := func(field, text string) {
-		if text == "" {
-			add(field, "is missing; give an IP:port")
-			return
-		}
-		address, err := netip.ParseAddrPort(text)
-		if err != nil {
-			add(field, "%q is no IP:port; give a numeric IP and a port", text)
-		} else if address.Port() == 0 || address.Addr().IsUnspecified() {
-			add(field, "%q names no exact address; others must be able to reach it", text)
+func (s *Settings) checkAddresses(faults *FaultList) {
+	checkAddress(faults, "peer", s.Peer)
+	checkAddress(faults, "proxy", s.Proxy)
+	checkAddress(faults, "admin", s.Admin)
+	for _, address := range []struct{ field, shown, real string }{
+		{"peer_shown", s.PeerShown, s.Peer}, {"proxy_shown", s.ProxyShown, s.Proxy}, {"admin_shown", s.AdminShown, s.Admin},
+	} {
+		if address.shown != address.real {
+			checkAddress(faults, address.field, address.shown)
 		}
 	}
-	for _, pair := range []struct{ shown, real *string }{{&s.PeerShown, &s.Peer}, {&s.ProxyShow, &s.Proxy}, {&s.AdminShown, &s.Admin}} {
-		if *pair.shown == "" {
-			*pair.shown = *pair.real
-		}
+	isPeerShared := s.Peer != "" && (s.Peer == s.Proxy || s.Peer == s.Admin)
+	isProxyShared := s.Proxy != "" && s.Proxy == s.Admin
+	if isPeerShared || isProxyShared {
+		faults.Add(Conflicting, "peer, proxy, admin", "give each its own port", "must differ")
 	}
-	checkAddress("peer", s.Peer)
-	checkAddress("proxy", s.Proxy)
-	checkAddress("door", s.Admin)
-	for _, pair := range [][3]string{{"peer_shown", s.PeerShown, s.Peer}, {"proxy_shown", s.ProxyShow, s.Proxy}, {"door_shown", s.AdminShown, s.Admin}} {
-		if pair[1] != pair[2] {
-			checkAddress(pair[0], pair[1])
-		}
+}
+
+func checkAddress(faults *FaultList, field, text string) {
+	if text == "" {
+		faults.Add(Missing, field, "give an IP:port", "is missing")
+		return
 	}
-	if s.Peer != "" && (s.Peer == s.Proxy || s.Peer == s.Admin) || s.Proxy != "" && s.Proxy == s.Admin {
-		add("peer, proxy, door", "must differ; give each its own port")
+	address, err := netip.ParseAddrPort(text)
+	if err != nil {
+		faults.Add(Malformed, field, "give a numeric IP and a port", "%q is no IP:port", text)
+		return
 	}
-	if !compileNameForm().MatchString(s.Zone) {
-		add("district", "%q is no name; use up to 31 small letters, digits and hyphens, a letter first", s.Zone)
+	if address.Port() == 0 || address.Addr().IsUnspecified() {
+		faults.Add(OutOfRange, field, "others must be able to reach it", "%q names no exact address", text)
 	}
-	if !compileNameForm().MatchString(s.Region) {
-		add("region", "%q is no name; use up to 31 small letters, digits and hyphens, a letter first", s.Region)
+}
+
+func checkName(faults *FaultList, field, name string) {
+	if !compileNameForm().MatchString(name) {
+		faults.Add(Malformed, field, "use up to 31 small letters, digits and hyphens, a letter first", "%q is no name", name)
 	}
-	if len(s.Seeds) != 3 {
-		add("seeds", "has %d addresses; name three peers", len(s.Seeds))
+}
+
+func (s *Settings) checkSeeds(faults *FaultList) {
+	if len(s.Seeds) != seedsWanted {
+		faults.Add(OutOfRange, "seeds", "name three peers", "has %d addresses", len(s.Seeds))
 	}
 	seen := map[string]bool{}
 	for i, seed := range s.Seeds {
-		checkAddress(fmt.Sprintf("seeds[%d]", i), seed)
+		field := fmt.Sprintf("seeds[%d]", i)
+		checkAddress(faults, field, seed)
 		if seed != "" && seen[seed] {
-			add(fmt.Sprintf("seeds[%d]", i), "%q is named twice; name three different peers", seed)
+			faults.Add(Conflicting, field, "name three different peers", "%q is named twice", seed)
 		}
 		seen[seed] = true
 	}
+}
+
+func (s *Settings) checkData(faults *FaultList) {
 	if s.Data != "" {
 		if info, err := os.Stat(s.Data); err == nil && !info.IsDir() {
-			add("data", "%q is no folder; name a folder or leave it out", s.Data)
+			faults.Add(Malformed, "data", "name a folder or leave it out", "%q is no folder", s.Data)
 		}
 	}
 	if s.Platform != "" && !strings.HasPrefix(s.Platform, "http://") {
-		add("platform", "%q is no http URL; give the list's address", s.Platform)
+		faults.Add(Malformed, "platform", "give the list's address", "%q is no http URL", s.Platform)
 	}
 	if s.Data != "" && s.Platform == "" {
-		add("platform", "is missing; a machine with a data folder may lead and must reach the list")
-	}
-	if s.Routes != nil {
-		s.Routes.check(add)
+		faults.Add(Missing, "platform", "a machine with a data folder may lead and must reach the list", "is missing")
 	}
+}
+
+func (s *Settings) checkLogLevel(faults *FaultList) {
 	switch s.LogLevel {
 	case "":
 		s.LogLevel = "info"
 	case "debug", "info", "warn", "error":
 	default:
-		add("log_level", "%q is unknown; use debug, info, warn or error", s.LogLevel)
-	}
-	if len(faults) > 0 {
-		return &FaultsError{faults}
+		faults.Add(Malformed, "log_level", "use debug, info, warn or error", "%q is unknown", s.LogLevel)
 	}
-	return nil
 }
