--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -124,7 +124,7 @@
 		c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: err.Error()})
 		return
 	}
-	w.index, w.term, w.version = position.Index, position.Term, version
+	w.index, w.term, w.version = uint64(position.Index), uint64(position.Term), version
 	c.operations = append(c.operations, w)
 }
 
@@ -231,7 +231,7 @@
 		return
 	}
 	document := store.DecodeRow[schema.CatalogDocument](c.table.Get(store.DocumentKey))
-	response := &schema.OperatorResponse{Version: document.GetVersion(), Document: document.GetDocument(), Index: c.table.Version()}
+	response := &schema.OperatorResponse{Version: document.GetVersion(), Document: document.GetDocument(), Index: uint64(c.table.Version())}
 	if w.request.Kind == schema.OperatorKind_OPERATOR_STATUS {
 		response = &schema.OperatorResponse{Version: document.GetVersion(), Index: c.newestOperation(), Unconfirmed: c.unconfirmed(c.newestOperation()),
 			Reports: c.reports(), Changes: c.changes}
--- a/internal/proposals/proposals_test.go
+++ b/internal/proposals/proposals_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
@@ -12,11 +13,11 @@
 
 // fakeLog gives rising indexes, or refuses everything.
 type fakeLog struct {
-	last      uint64
+	last      raft.Index
 	isRefused bool
 }
 
-func (l *fakeLog) Propose(time.Duration, *schema.Record) (uint64, uint64, error) {
+func (l *fakeLog) Propose(time.Duration, *schema.Record) (raft.Index, raft.Term, error) {
 	if l.isRefused {
 		return 0, 0, errNoLeader
 	}
@@ -24,9 +25,9 @@
 	return l.last, 7, nil
 }
 
-type fakeState struct{ version uint64 }
+type fakeState struct{ version raft.Index }
 
-func (s *fakeState) Version() uint64 { return s.version }
+func (s *fakeState) Version() raft.Index { return s.version }
 
 func recordOf(keys ...string) *schema.Record {
 	record := &schema.Record{}
@@ -40,7 +41,7 @@
 	for _, c := range []struct {
 		name      string
 		record    *schema.Record
-		applied   uint64
+		applied   raft.Index
 		isRefused bool
 		want      bool
 	}{
@@ -69,7 +70,7 @@
 func TestSubmitProposesWhateverIsInFlight(t *testing.T) {
 	log, state := &fakeLog{}, &fakeState{}
 	p := New(log, state)
-	for want := uint64(1); want <= 2; want++ {
+	for want := raft.Index(1); want <= 2; want++ {
 		position, err := p.Submit(0, recordOf("a"))
 		if err != nil || position != (Position{Index: want, Term: 7}) {
 			t.Fatalf("%+v, %v", position, err)
