--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -209,6 +209,16 @@
 	schema.RefusalKind_REFUSAL_OVERSIZE: http.StatusRequestEntityTooLarge,
 }
 
+// kinds are the kinds of refusals as operators read them; they are part of the API.
+var kinds = map[schema.RefusalKind]string{
+	schema.RefusalKind_REFUSAL_INVALID:   "invalid",
+	schema.RefusalKind_REFUSAL_CONFLICT:  "conflict",
+	schema.RefusalKind_REFUSAL_UNKNOWN:   "unknown",
+	schema.RefusalKind_REFUSAL_NO_LEADER: "no_leader",
+	schema.RefusalKind_REFUSAL_AMBIGUOUS: "doubtful",
+	schema.RefusalKind_REFUSAL_OVERSIZE:  "oversize",
+}
+
 func (d *Server) operate(w http.ResponseWriter, r *http.Request, request *schema.OperatorRequest) *schema.OperatorResponse {
 	ctx, cancel := context.WithTimeout(r.Context(), constants.ProposalWait+time.Second)
 	defer cancel()
@@ -225,7 +235,7 @@
 }
 
 func newRefusal(w http.ResponseWriter, response *schema.OperatorResponse) {
-	reply := Reply{Version: response.Version, Message: response.Message, Kind: strings.ToLower(strings.TrimPrefix(response.Refusal.String(), "DECLINE_"))}
+	reply := Reply{Version: response.Version, Message: response.Message, Kind: kinds[response.Refusal]}
 	for _, fault := range response.Faults {
 		reply.Faults = append(reply.Faults, Fault{fault.Path, fault.Message})
 	}
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -91,3 +91,33 @@
 		t.Errorf("put became %v", &seen)
 	}
 }
+
+func TestKindsOfRefusalsKeepTheirSpelling(t *testing.T) {
+	for refusal, want := range map[schema.RefusalKind]struct {
+		status int
+		kind   string
+	}{
+		schema.RefusalKind_REFUSAL_INVALID:   {http.StatusUnprocessableEntity, "invalid"},
+		schema.RefusalKind_REFUSAL_CONFLICT:  {http.StatusConflict, "conflict"},
+		schema.RefusalKind_REFUSAL_UNKNOWN:   {http.StatusNotFound, "unknown"},
+		schema.RefusalKind_REFUSAL_NO_LEADER: {http.StatusServiceUnavailable, "no_leader"},
+		schema.RefusalKind_REFUSAL_AMBIGUOUS: {http.StatusGatewayTimeout, "doubtful"},
+		schema.RefusalKind_REFUSAL_OVERSIZE:  {http.StatusRequestEntityTooLarge, "oversize"},
+	} {
+		t.Run(want.kind, func(t *testing.T) {
+			w := httptest.NewRecorder()
+			handler := server(&schema.OperatorResponse{Refusal: refusal, Message: "m"}, nil, nil)
+			handler.ServeHTTP(w, httptest.NewRequest("GET", "/v1/configuration", nil))
+			var reply Reply
+			if err := json.Unmarshal(w.Body.Bytes(), &reply); err != nil {
+				t.Fatal(err)
+			}
+			if w.Code != want.status || reply.Kind != want.kind {
+				t.Errorf("status %d, kind %q", w.Code, reply.Kind)
+			}
+		})
+	}
+	if len(kinds) != len(schema.RefusalKind_name)-1 {
+		t.Errorf("%d kinds for %d refusals", len(kinds), len(schema.RefusalKind_name)-1)
+	}
+}
