--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -18,7 +18,7 @@
 		if c.wasLeader {
 			c.nodes = map[string]*nodeRecord{}
 			c.releasedAt = map[uint64]time.Duration{}
-			c.pending = map[string]uint64{}
+			c.proposals.Reset()
 		}
 		if c.wasLeader {
 			c.log.Info("this machine leads no more", "term", c.quorum.Term())
@@ -60,29 +60,7 @@
 	}
 }
 
-func (c *Machine) propose(record *schema.Record) bool {
-	if record == nil || len(record.Rows) == 0 {
-		return false
-	}
-	for _, row := range record.Rows {
-		if at := c.pending[row.Key]; at > c.table.Version() {
-			return false
-		}
-	}
-	index, _, err := c.quorum.Propose(c.now, record)
-	if err != nil {
-		return false
-	}
-	for _, row := range record.Rows {
-		c.pending[row.Key] = index
-	}
-	for key, at := range c.pending {
-		if at <= c.table.Version() {
-			delete(c.pending, key)
-		}
-	}
-	return true
-}
+func (c *Machine) propose(record *schema.Record) bool { return c.proposals.Propose(c.now, record) }
 
 func (c *Machine) lapse(g *nodeRecord) time.Duration {
 	at := c.electedAt + constants.LeaseDuration + constants.LeaseClockMargin
@@ -202,7 +180,7 @@
 			heard = max(heard, g.heard)
 		}
 		sinceHeard := c.now - heard
-		lostAfter := c.routed.lostAfter()
+		lostAfter := c.timing.LostAfter
 		isLost := sinceHeard > lostAfter && witnesses[id] >= constants.SuspectWitnesses || sinceHeard > 2*lostAfter
 		isLapsed := sinceHeard > constants.LeaseDuration+constants.LeaseClockMargin+constants.ReservationWindow
 		if c.routed != nil && !row.Disk && newest[row.Address] > row.Incarnation {
--- a/internal/controlplane/spread.go
+++ b/internal/controlplane/spread.go
@@ -90,7 +90,7 @@
 			return
 		}
 	}
-	if c.now-c.subAt >= c.routed.subscribeEvery() {
+	if c.now-c.subAt >= c.timing.SubscribeInterval {
 		c.subscribe()
 		c.askAtHome()
 	}
@@ -128,16 +128,7 @@
 	if c.routed == nil {
 		return c.options.Draw(farDraws) == 0
 	}
-	return c.source.seekingAt > 0 && c.now-c.source.seekingAt > c.routed.farAfter()
-}
-
-// farAfter is how long a source of the own region is sought before one elsewhere must do.
-func (r *routedState) farAfter() time.Duration {
-	after := constants.FarSourceAfter
-	if r.options.Quiet > 0 {
-		after = min(after, r.options.Quiet-constants.SourceTimeout-constants.SourceFound)
-	}
-	return max(0, after)
+	return c.source.seekingAt > 0 && c.now-c.source.seekingAt > c.timing.RemoteSourceAfter
 }
 
 // askAtHome asks a machine of the own region for rows while the source is elsewhere: bytes between regions are dear. It becomes the source once
@@ -163,11 +154,11 @@
 	}
 	c.subAt = c.now
 	c.sendSubscribe(c.source.address)
-	if c.now-c.digestAt < c.routed.digestEvery() {
+	if c.now-c.digestAt < c.timing.DigestInterval {
 		return
 	}
 	c.digestAt = c.now
-	digest := &schema.DigestRequest{Version: c.table.Version()}
+	digest := &schema.DigestRequest{Version: uint64(c.table.Version())}
 	for _, prefix := range c.prefixes() {
 		if c.held[prefix] {
 			digest.Ranges = append(digest.Ranges, c.table.Digest(prefix))
@@ -182,7 +173,7 @@
 	c.subSerial++
 	c.subs[c.subSerial] = asked{c.now, to}
 	delete(c.subs, c.subSerial-questionsKept)
-	s := &schema.Subscribe{Version: c.table.Version(), Serial: c.subSerial}
+	s := &schema.Subscribe{Version: uint64(c.table.Version()), Serial: c.subSerial}
 	for _, prefix := range c.prefixes() {
 		if c.held[prefix] {
 			s.Prefixes = append(s.Prefixes, prefix)
@@ -203,7 +194,7 @@
 		c.subscriber[from] = sub
 	}
 	sub.prefixes, sub.wanted, sub.serial, sub.renewed = s.Prefixes, s.Wanted, s.Serial, c.now
-	sub.sent = s.Version
+	sub.sent = raft.Index(s.Version)
 	c.push(from, sub)
 }
 
@@ -222,7 +213,7 @@
 	if age > time.Minute {
 		age = time.Minute
 	}
-	d := &schema.Delta{From: sub.sent, To: c.table.Version(), Serial: sub.serial, AgeMs: uint32(age.Milliseconds())}
+	d := &schema.Delta{From: uint64(sub.sent), To: uint64(c.table.Version()), Serial: sub.serial, AgeMs: uint32(age.Milliseconds())}
 	if c.routed != nil {
 		d.Leader = c.leader
 	}
@@ -248,7 +239,7 @@
 			delete(c.subscriber, to)
 			continue
 		}
-		if sub.sent < c.table.Version() || c.now-sub.sentAt >= c.routed.deltaEvery() {
+		if sub.sent < c.table.Version() || c.now-sub.sentAt >= c.timing.DeltaInterval {
 			c.push(to, sub)
 		}
 	}
@@ -267,7 +258,7 @@
 	}
 	changed, isTaken := c.table.Merge(d)
 	if !isTaken {
-		if d.From > c.table.Version() {
+		if raft.Index(d.From) > c.table.Version() {
 			c.subscribe()
 		}
 		return
