--- a/internal/controlplane/routed.go
+++ b/internal/controlplane/routed.go
@@ -73,7 +73,7 @@
 }
 
 func (r *routedState) resign(options Options) {
-	r.leaseManager = sharding.New(sharding.Options{Most: options.Routed.HoldMost})
+	r.leaseManager = sharding.New(sharding.Options{MaxLease: options.Routed.HoldMost})
 	r.watch = discovery.NewWatch(options.Routed.ListLag)
 	r.outlierQuorum = discovery.NewOutlierQuorum()
 	r.listing = nil
--- a/internal/node/native.go
+++ b/internal/node/native.go
@@ -163,9 +163,9 @@
 		return c.probe(ctx, call)
 	}
 	answer := sharding.Answer{ID: call.ID, Result: sharding.Unknown}
-	body, path := KeyCall{Service: call.Service, First: call.First, Last: call.Last, Number: call.Fence}, "/keys/release"
+	body, path := KeyCall{Service: call.Service, First: uint32(call.First), Last: uint32(call.Last), Number: uint64(call.Fence)}, "/keys/release"
 	if call.Kind == sharding.GrantLease {
-		body.HoldMS, body.Handover, path = call.Hold.Milliseconds(), call.Handover, "/keys/grant"
+		body.HoldMS, body.Handover, path = call.LeaseDuration.Milliseconds(), call.Handover, "/keys/grant"
 	}
 	text, err := json.Marshal(body)
 	if err != nil {
--- a/internal/node/native_seam_test.go
+++ b/internal/node/native_seam_test.go
@@ -65,9 +65,9 @@
 }
 
 func TestNativeKeyCalls(t *testing.T) {
-	lease := sharding.Call{ID: 7, Kind: sharding.GrantLease, Service: "nickel", Instance: "n-1", First: 5, Last: 9, Fence: 3, Hold: 4500 * time.Millisecond, Handover: "h0"}
+	lease := sharding.Call{ID: 7, Kind: sharding.GrantLease, Service: "nickel", Instance: "n-1", First: 5, Last: 9, Fence: 3, LeaseDuration: 4500 * time.Millisecond, Handover: "h0"}
 	release := lease
-	release.Kind, release.Hold, release.Handover = sharding.ReleaseLease, 0, ""
+	release.Kind, release.LeaseDuration, release.Handover = sharding.ReleaseLease, 0, ""
 	probe := lease
 	probe.Kind = sharding.Probe
 	for _, c := range []struct {
--- a/internal/node/routed.go
+++ b/internal/node/routed.go
@@ -214,7 +214,7 @@
 
 func (n *Node) sendLeaseCall(call controlplane.LeaseCall) {
 	n.tasks.Go(func() {
-		ctx, cancel := context.WithTimeout(n.context, call.Wait)
+		ctx, cancel := context.WithTimeout(n.context, call.Timeout)
 		defer cancel()
 		answer, err := n.platform.GrantLease(ctx, call.Call)
 		n.do(func() {
--- a/internal/node/routed_test.go
+++ b/internal/node/routed_test.go
@@ -122,12 +122,12 @@
 	h := p.owners[call.Instance]
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	span := [2]uint32{call.First, call.Last}
+	span := [2]uint32{uint32(call.First), uint32(call.Last)}
 	if call.Kind == sharding.GrantLease {
-		if h.held[span] > call.Fence {
+		if h.held[span] > uint64(call.Fence) {
 			return sharding.Answer{ID: call.ID, Result: sharding.Refused}, nil
 		}
-		h.held[span] = call.Fence
+		h.held[span] = uint64(call.Fence)
 		p.leases.Add(1)
 		return sharding.Answer{ID: call.ID, Result: sharding.Done}, nil
 	}
--- a/internal/sharding/homes_test.go
+++ b/internal/sharding/eligibility_test.go
@@ -30,15 +30,15 @@
 // holding are the zones whose back ends hold keys, and by how many.
 func (w *world) holding() string {
 	held := map[string]uint32{}
-	for _, span := range w.view.Services["a"].Spans {
-		if backend := w.view.Services["a"].Backend(span.Instance); backend != nil {
-			held[backend.Zone] += span.Last - span.First + 1
+	for _, keys := range w.view.Services["a"].Spans {
+		if backend := w.view.Services["a"].Backend(keys.Instance); backend != nil {
+			held[backend.Zone] += keys.Last - keys.First + 1
 		}
 	}
 	return fmt.Sprint(slices.Sorted(maps.Keys(held)))
 }
 
-func TestKeysAreHeldWhereTheirRoutesAllowIt(t *testing.T) {
+func TestKeysAreOwnedWhereTheirRoutesAllowIt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		routes []*schema.Route
@@ -60,22 +60,22 @@
 			w := newWorld(t, 1, 6, "a")
 			for i := range 3 {
 				zone := fmt.Sprintf("d%d", i)
-				w.put("", store.EncodeRow(store.ZoneKey(zone), &schema.Zone{Name: zone, Region: fmt.Sprintf("r%d", i)}))
+				w.put(store.EncodeRow(store.ZoneKey(zone), &schema.Zone{Name: zone, Region: fmt.Sprintf("r%d", i)}))
 			}
 			w.setRoutes(1, c.routes...)
 			w.run(4 * time.Second)
 			if got := w.holding(); got != c.want {
-				t.Fatalf("keys are held in %s, want %s", got, c.want)
+				t.Fatalf("keys are owned in %s, want %s", got, c.want)
 			}
 			w.setRoutes(2)
 			w.run(2 * time.Second)
 			w.setRoutes(3, c.routes...)
 			w.run(8 * time.Second)
 			if got := w.holding(); got != cmp.Or(c.later, c.want) {
-				t.Fatalf("after other routes: keys are held in %s, want %s", got, cmp.Or(c.later, c.want))
+				t.Fatalf("after other routes: keys are owned in %s, want %s", got, cmp.Or(c.later, c.want))
 			}
 			if w.violations > 0 {
-				t.Fatalf("%d times a key had two holders", w.violations)
+				t.Fatalf("%d times a key had two lease holders", w.violations)
 			}
 		})
 	}
@@ -85,20 +85,20 @@
 	w := newWorld(t, 1, 6, "a")
 	for i := range 3 {
 		zone := fmt.Sprintf("d%d", i)
-		w.put("", store.EncodeRow(store.ZoneKey(zone), &schema.Zone{Name: zone, Region: fmt.Sprintf("r%d", i)}))
+		w.put(store.EncodeRow(store.ZoneKey(zone), &schema.Zone{Name: zone, Region: fmt.Sprintf("r%d", i)}))
 	}
 	w.setRoutes(1, route("/x/", 1, "r0"))
 	w.run(4 * time.Second)
 	w.setRoutes(2, route("/x/", 1, "r1", "r2"))
 	w.run(10 * time.Second)
-	if got := w.holding(); got != "[d1 d2]" || w.unheld() > 0 || w.violations > 0 {
-		t.Fatalf("keys are held in %s, %d not held, %d with two holders", got, w.unheld(), w.violations)
+	if got := w.holding(); got != "[d1 d2]" || w.unleased() > 0 || w.violations > 0 {
+		t.Fatalf("keys are owned in %s, %d without a lease, %d with two owners", got, w.unleased(), w.violations)
 	}
-	w.cold = 0
+	w.coldStarts = 0
 	w.empty("d1", true)
-	w.put("", store.EncodeRow(store.ZoneKey("d1"), &schema.Zone{Name: "d1", Region: "r1", Emptied: true}))
+	w.put(store.EncodeRow(store.ZoneKey("d1"), &schema.Zone{Name: "d1", Region: "r1", Emptied: true}))
 	w.run(10 * time.Second)
-	if got := w.holding(); got != "[d2]" || w.unheld() > 0 || w.violations > 0 {
-		t.Fatalf("with an emptied home keys are held in %s, %d not held, %d with two holders", got, w.unheld(), w.violations)
+	if got := w.holding(); got != "[d2]" || w.unleased() > 0 || w.violations > 0 {
+		t.Fatalf("with an emptied home keys are owned in %s, %d without a lease, %d with two owners", got, w.unleased(), w.violations)
 	}
 }
--- a/internal/sharding/failing_test.go
+++ b/internal/sharding/failing_test.go
@@ -11,27 +11,27 @@
 
 func TestAFailingOwnerLosesItsKeys(t *testing.T) {
 	w := settled(t, 4)
-	h := w.owners[0]
+	backend := w.owners[0]
 	turn := func(isFailing bool) {
-		h.row = proto.Clone(h.row).(*schema.Backend)
-		h.row.Failing = isFailing
-		w.list(h)
+		backend.row = proto.Clone(backend.row).(*schema.Backend)
+		backend.row.Failing = isFailing
+		w.list(backend)
 	}
-	w.work, w.cold, w.moved = 100*ms, 0, 0
+	w.workTime, w.coldStarts, w.moved = 100*ms, 0, 0
 	turn(true)
-	w.until(1500*ms, func() bool { return !w.has(h.row.Instance) })
+	w.until(1500*ms, func() bool { return !w.has(backend.row.Instance) })
 	w.run(time.Second)
-	if w.unheld() > 0 || w.violations > 0 || w.cold > 0 || w.moved != 16384 {
-		t.Fatalf("%d not held, %d breaches, %d without handover, %d moved", w.unheld(), w.violations, w.cold, w.moved)
+	if w.unleased() > 0 || w.violations > 0 || w.coldStarts > 0 || w.moved != 16384 {
+		t.Fatalf("%d without a lease, %d violations, %d without handover, %d moved", w.unleased(), w.violations, w.coldStarts, w.moved)
 	}
 	w.run(10 * time.Second)
-	if w.has(h.row.Instance) {
+	if w.has(backend.row.Instance) {
 		t.Fatal("it was given keys while it fails")
 	}
 	turn(false)
-	w.warm(0, buckets-1, 20)
+	w.setLoad(0, buckets-1, 20)
 	w.run(15 * time.Second)
-	if !w.has(h.row.Instance) || w.unheld() > 0 || w.violations > 0 {
-		t.Fatalf("it holds keys again: %v; %d not held, %d breaches", w.has(h.row.Instance), w.unheld(), w.violations)
+	if !w.has(backend.row.Instance) || w.unleased() > 0 || w.violations > 0 {
+		t.Fatalf("it owns keys again: %v; %d without a lease, %d violations", w.has(backend.row.Instance), w.unleased(), w.violations)
 	}
 }
--- a/internal/sharding/load.go
+++ b/internal/sharding/load.go
@@ -6,73 +6,80 @@
 	"topazshed/internal/constants"
 )
 
-// heat is a service's load by equal buckets of its keys.
+// keyCount is the number of keys of a service.
+const keyCount = constants.LastKey + 1
+
+// keyLoad is a service's load by equal buckets of its keys, in requests in flight.
 type keyLoad struct {
 	buckets []float64
-	sums    []float64
-	total   float64
+	// sums holds, at each index, the load of all buckets below it.
+	sums  []float64
+	total float64
 }
 
 func newKeyLoad(buckets []float64) keyLoad {
-	h := keyLoad{buckets: buckets, sums: make([]float64, len(buckets)+1)}
-	for i, rate := range buckets {
-		h.sums[i+1] = h.sums[i] + rate
+	load := keyLoad{buckets: buckets, sums: make([]float64, len(buckets)+1)}
+	for i, inFlight := range buckets {
+		load.sums[i+1] = load.sums[i] + inFlight
 	}
-	h.total = h.sums[len(buckets)]
-	return h
+	load.total = load.sums[len(buckets)]
+	return load
 }
 
-// below is the heat of the keys under one.
-func (h keyLoad) below(key uint32) float64 {
-	count := uint64(len(h.buckets))
-	place := uint64(key) * count
-	i := place / (constants.LastKey + 1)
+// below is the load of the keys under one.
+func (l keyLoad) below(key Key) float64 {
+	count := uint64(len(l.buckets))
+	position := uint64(key) * count
+	i := position / keyCount
 	if i >= count {
-		return h.total
+		return l.total
 	}
-	return h.sums[i] + h.buckets[i]*float64(place%(constants.LastKey+1))/(constants.LastKey+1)
+	return l.sums[i] + l.buckets[i]*float64(position%keyCount)/keyCount
 }
 
-func (h keyLoad) sum(first, last uint32) float64 {
-	if len(h.buckets) == 0 {
+// sum is the load of a range.
+func (l keyLoad) sum(keys keyRange) float64 {
+	if len(l.buckets) == 0 {
 		return 0
 	}
-	return h.below(last+1) - h.below(first)
+	return l.below(keys.last+1) - l.below(keys.first)
 }
 
-// weight is a range's share of heat and keys.
-func (h keyLoad) weight(first, last uint32) float64 {
-	share := float64(last-first+1) / (constants.LastKey + 1)
-	if h.total < constants.KeyLoadLeast {
+// weight is a range's share of the load and of the keys; 1 is the whole service. With little load only the keys count.
+func (l keyLoad) weight(keys keyRange) float64 {
+	share := float64(keys.width()) / keyCount
+	if l.total < constants.KeyLoadLeast {
 		return share
 	}
-	return (1-constants.KeyWidthPart)*h.sum(first, last)/h.total + constants.KeyWidthPart*share
+	return (1-constants.KeyWidthPart)*l.sum(keys)/l.total + constants.KeyWidthPart*share
 }
 
-// cut is the last key of the range from first that weighs about as much as told.
-func (h keyLoad) cut(first, most uint32, weight float64) uint32 {
-	return first + uint32(sort.Search(int(most-first), func(i int) bool { return h.weight(first, first+uint32(i)) >= weight }))
+// cut returns the first key, up to a bound, with which a range from first has at least a weight.
+func (l keyLoad) cut(first, bound Key, weight float64) Key {
+	return first + Key(sort.Search(int(bound-first), func(i int) bool {
+		return l.weight(keyRange{first, first + Key(i)}) >= weight
+	}))
 }
 
-// start is the first key of a key's bucket.
-func (h keyLoad) start(key uint32) uint32 {
-	count := uint64(len(h.buckets))
-	i := uint64(key) * count / (constants.LastKey + 1)
-	return uint32((i*(constants.LastKey+1) + count - 1) / count)
+// bucketStart is the first key of a key's bucket.
+func (l keyLoad) bucketStart(key Key) Key {
+	count := uint64(len(l.buckets))
+	i := uint64(key) * count / keyCount
+	return Key((i*keyCount + count - 1) / count)
 }
 
-// end is the last key of a key's bucket.
-func (h keyLoad) end(key uint32) uint32 {
-	count := uint64(len(h.buckets))
-	i := uint64(key)*count/(constants.LastKey+1) + 1
-	return uint32((i*(constants.LastKey+1)+count-1)/count) - 1
+// bucketEnd is the last key of a key's bucket.
+func (l keyLoad) bucketEnd(key Key) Key {
+	count := uint64(len(l.buckets))
+	i := uint64(key)*count/keyCount + 1
+	return Key((i*keyCount+count-1)/count) - 1
 }
 
-// each visits the parts of a range by buckets.
-func (h keyLoad) each(first, last uint32, visit func(first, last uint32)) {
-	for first <= last {
-		end := min(h.end(first), last)
-		visit(first, end)
-		first = end + 1
+// eachBucket visits the parts of a range by buckets.
+func (l keyLoad) eachBucket(keys keyRange, visit func(part keyRange)) {
+	for first := keys.first; first <= keys.last; {
+		last := min(l.bucketEnd(first), keys.last)
+		visit(keyRange{first, last})
+		first = last + 1
 	}
 }
--- a/internal/sharding/unresponsive_test.go
+++ b/internal/sharding/unresponsive_test.go
@@ -11,40 +11,40 @@
 
 func TestAnUnreachableOwnerOfManyRangesGetsNoMoreLeases(t *testing.T) {
 	for _, c := range []struct {
-		spans int
-		after time.Duration
+		ranges int
+		after  time.Duration
 	}{{4, 0}, {16, 0}, {16, 300 * ms}, {16, 700 * ms}, {40, 0}, {40, 1100 * ms}} {
-		t.Run(fmt.Sprint(c.spans, " spans, dark after ", c.after), func(t *testing.T) {
-			w := striped(t, 4, 4, c.spans)
-			h := w.owners[0]
+		t.Run(fmt.Sprint(c.ranges, " ranges, unreachable after ", c.after), func(t *testing.T) {
+			w := alternating(t, 4, 4, c.ranges)
+			backend := w.owners[0]
 			offset := time.Duration(0)
 			for _, p := range w.nodes[w.leader].services["a"].leases { // renewals do not fall together
-				p.next += offset
+				p.nextAt += offset
 				offset = (offset + 170*ms) % time.Second
 			}
 			w.run(c.after)
-			h.cutUntil = w.now + time.Minute
-			dark, last, leases := w.now, w.now, map[uint64]time.Duration{}
+			backend.cutUntil = w.now + time.Minute
+			unreachableAt, last, leases := w.now, w.now, map[uint64]time.Duration{}
 			first := time.Duration(0)
 			took := w.until(12*time.Second, func() bool {
 				for id, p := range w.nodes[w.leader].pending {
-					if p.call.Kind == GrantLease && p.call.Instance == h.row.Instance && p.sent > dark && leases[id] == 0 {
-						leases[id], last = p.sent, max(last, p.sent)
-						if first == 0 || p.sent < first {
-							first = p.sent
+					if p.call.Kind == GrantLease && p.call.Instance == backend.row.Instance && p.sentAt > unreachableAt && leases[id] == 0 {
+						leases[id], last = p.sentAt, max(last, p.sentAt)
+						if first == 0 || p.sentAt < first {
+							first = p.sentAt
 						}
 					}
 				}
-				return !w.has(h.row.Instance)
+				return !w.has(backend.row.Instance)
 			})
 			w.run(2 * time.Second)
-			t.Logf("%d grants, the last %v after the first, gone after %v", len(leases), last-first, took)
+			t.Logf("%d leases, the last %v after the first, gone after %v", len(leases), last-first, took)
 			if first > 0 && last-first > constants.KeyDoubt+100*ms {
-				t.Errorf("a dark back end was still granted keys %v after the first grant that it left unanswered", last-first)
+				t.Errorf("an unreachable back end was still given leases %v after the first one that it left unanswered", last-first)
 			}
-			bound := last - dark + constants.KeyLeaseWait + lapse(w.nodes[w.leader].hold) + constants.KeyArrivalMargin + 500*ms
-			if took > bound || w.violations > 0 || w.unheld() > 0 {
-				t.Errorf("its keys were free after %v, want %v; %d breaches, %d not held", took, bound, w.violations, w.unheld())
+			bound := last - unreachableAt + constants.KeyLeaseWait + lapseAfter(w.nodes[w.leader].leaseDuration) + constants.KeyArrivalMargin + 500*ms
+			if took > bound || w.violations > 0 || w.unleased() > 0 {
+				t.Errorf("its keys were free after %v, want %v; %d violations, %d without a lease", took, bound, w.violations, w.unleased())
 			}
 		})
 	}
@@ -64,11 +64,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := settled(t, 1)
-			g := New(Options{Most: 10 * time.Second})
+			g := New(Options{MaxLease: 10 * time.Second})
 			f := w.facts()
 			calls := g.Step(f).Calls
 			if len(calls) != 1 || calls[0].Kind != GrantLease {
-				t.Fatalf("got %v, want a grant", calls)
+				t.Fatalf("got %v, want a lease call", calls)
 			}
 			f.Now += constants.KeyLeaseWait
 			f.LeaseAt = f.Now
@@ -76,7 +76,7 @@
 			f.Now += constants.KeyRetryPause
 			f.LeaseAt = f.Now
 			next := g.Step(f).Calls
-			if isHeld := slices.ContainsFunc(g.outstandingCalls, func(e *outstandingCall) bool { return e.address != "" && !e.isOpen }); isHeld != c.isHeld {
+			if isHeld := slices.ContainsFunc(g.outstandingCalls, func(e *outstandingCall) bool { return e.address != "" && !e.isInFlight }); isHeld != c.isHeld {
 				t.Errorf("perhaps held: %v, want %v", isHeld, c.isHeld)
 			}
 			if isQuiet := len(next) == 1 && next[0].Kind == Probe; isQuiet != c.isQuiet {
--- a/internal/sharding/world_test.go
+++ b/internal/sharding/world_test.go
@@ -26,9 +26,9 @@
 	isListed bool
 	endedAt  time.Duration
 	cutUntil time.Duration
-	seen     []uint64
+	seen     []Fence
 	until    []time.Duration
-	fence    []uint64
+	fence    []Fence
 	slowness float64
 }
 
@@ -42,8 +42,8 @@
 	record *schema.Record
 }
 
-// stale is a leader that does not know that it was replaced.
-type stale struct {
+// formerLeader is a leader that does not know that it was replaced.
+type formerLeader struct {
 	node      int
 	table     *store.Table
 	view      *store.View
@@ -54,41 +54,41 @@
 }
 
 type world struct {
-	t          *testing.T
-	random     *rand.Rand
-	now        time.Duration
-	cells      []uint32
-	owners     []*owner
-	nodes      []*LeaseManager
-	leader     int
-	electedAt  time.Duration
-	old        *stale
-	table      *store.Table
-	view       *store.View
-	index      uint64
-	commits    []commit
-	events     []event
-	keyLoad    []float64
-	isRough    bool
-	isHasty    bool
-	services   []string
-	violations int
-	calls      int
-	moved      uint32
-	cold       int
-	serial     int
-	work       time.Duration
+	t                  *testing.T
+	random             *rand.Rand
+	now                time.Duration
+	sampledKeys        []Key
+	owners             []*owner
+	nodes              []*LeaseManager
+	leader             int
+	electedAt          time.Duration
+	former             *formerLeader
+	table              *store.Table
+	view               *store.View
+	index              uint64
+	commits            []commit
+	events             []event
+	keyLoad            []float64
+	hasFaults          bool
+	forgetsOutstanding bool
+	services           []string
+	violations         int
+	calls              int
+	moved              uint32
+	coldStarts         int
+	serial             int
+	workTime           time.Duration
 }
 
 func newWorld(t *testing.T, seed int64, count int, services ...string) *world {
 	w := &world{t: t, random: rand.New(rand.NewSource(seed)), now: time.Minute, table: store.NewTable(), view: store.NewView(), services: services, leader: 0, electedAt: time.Minute}
-	w.cells = []uint32{0, 1, constants.LastKey}
+	w.sampledKeys = []Key{0, 1, constants.LastKey}
 	for range 37 {
-		w.cells = append(w.cells, uint32(w.random.Intn(constants.LastKey+1)))
+		w.sampledKeys = append(w.sampledKeys, Key(w.random.Intn(constants.LastKey+1)))
 	}
-	slices.Sort(w.cells)
+	slices.Sort(w.sampledKeys)
 	for range 3 {
-		w.nodes = append(w.nodes, New(Options{Most: 10 * time.Second}))
+		w.nodes = append(w.nodes, New(Options{MaxLease: 10 * time.Second}))
 	}
 	for _, service := range services {
 		w.apply(&schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: true})}})
@@ -105,70 +105,70 @@
 
 func (w *world) apply(record *schema.Record) {
 	w.index++
-	before := w.spans()
+	before := w.shardRanges()
 	changed, err := w.table.Apply(w.index, record, nil)
 	if err != nil {
 		return
 	}
 	w.view = w.view.With(w.table, changed)
-	for name, spans := range w.spans() {
+	for name, ranges := range w.shardRanges() {
 		if err := checkLayout(w.view.Services[name]); err != nil && (len(before[name]) > 0 || !errors.Is(err, errNotKeyed)) {
 			w.t.Fatalf("%v: %v", w.now, err)
 		}
 		old := &store.Service{Spans: before[name]}
-		for _, span := range spans {
-			if former := old.Span(span.First); former != nil && former.Instance != span.Instance {
-				w.moved += span.Last - span.First + 1
+		for _, keys := range ranges {
+			if former := old.Span(keys.First); former != nil && former.Instance != keys.Instance {
+				w.moved += keys.Last - keys.First + 1
 			}
 		}
 	}
 }
 
-func (w *world) spans() map[string][]*schema.ShardRange {
-	spans := map[string][]*schema.ShardRange{}
+func (w *world) shardRanges() map[string][]*schema.ShardRange {
+	ranges := map[string][]*schema.ShardRange{}
 	for name, service := range w.view.Services {
-		spans[name] = service.Spans
+		ranges[name] = service.Spans
 	}
-	return spans
+	return ranges
 }
 
-func (w *world) put(key string, row *schema.Row) {
+func (w *world) put(row *schema.Row) {
 	w.apply(&schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{row}})
 }
 
 func (w *world) empty(zone string, isEmptied bool) {
-	w.put("", store.EncodeRow(store.ZoneKey(zone), &schema.Zone{Name: zone, Emptied: isEmptied}))
+	w.put(store.EncodeRow(store.ZoneKey(zone), &schema.Zone{Name: zone, Emptied: isEmptied}))
 }
 
-func (w *world) list(h *owner) {
-	h.isListed = true
-	w.put("", store.EncodeRow(store.BackendKey(h.row.Service, h.row.Instance), h.row))
+func (w *world) list(backend *owner) {
+	backend.isListed = true
+	w.put(store.EncodeRow(store.BackendKey(backend.row.Service, backend.row.Instance), backend.row))
 }
 
-func (w *world) strike(h *owner) {
-	h.isListed = false
-	w.put("", store.Tombstone(store.BackendKey(h.row.Service, h.row.Instance)))
+func (w *world) unlist(backend *owner) {
+	backend.isListed = false
+	w.put(store.Tombstone(store.BackendKey(backend.row.Service, backend.row.Instance)))
 }
 
 func (w *world) start(service, address, zone string) *owner {
 	w.serial++
-	h := &owner{row: &schema.Backend{Service: service, Instance: fmt.Sprintf("i%03d", w.serial), Address: address, Zone: zone, State: schema.BackendState_BACKEND_READY},
-		isAlive: true, seen: make([]uint64, len(w.cells)), until: make([]time.Duration, len(w.cells)), fence: make([]uint64, len(w.cells)),
+	backend := &owner{row: &schema.Backend{Service: service, Instance: fmt.Sprintf("i%03d", w.serial), Address: address, Zone: zone, State: schema.BackendState_BACKEND_READY},
+		isAlive: true, seen: make([]Fence, len(w.sampledKeys)), until: make([]time.Duration, len(w.sampledKeys)), fence: make([]Fence, len(w.sampledKeys)),
 		slowness: 1 / (1 - 0.02*w.random.Float64())}
-	w.owners = append(w.owners, h)
-	w.list(h)
-	return h
+	w.owners = append(w.owners, backend)
+	w.list(backend)
+	return backend
 }
 
-func (w *world) crash(h *owner) {
-	h.isAlive, h.endedAt = false, w.now
-	clear(h.until)
+func (w *world) crash(backend *owner) {
+	backend.isAlive, backend.endedAt = false, w.now
+	clear(backend.until)
 }
 
 func (w *world) isDead(instance string) bool {
-	for _, h := range w.owners {
-		if h.row.Instance == instance {
-			return !h.isAlive && w.now-h.endedAt > 700*ms
+	for _, backend := range w.owners {
+		if backend.row.Instance == instance {
+			return !backend.isAlive && w.now-backend.endedAt > 700*ms
 		}
 	}
 	return false
@@ -176,7 +176,9 @@
 
 func (w *world) at(at time.Duration, run func()) { w.events = append(w.events, event{at, run}) }
 
-func (w *world) span(d time.Duration) time.Duration { return time.Duration(w.random.Int63n(int64(d))) }
+func (w *world) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(w.random.Int63n(int64(d)))
+}
 
 // send carries a call to whatever process has its address by then.
 func (w *world) send(node int, call Call) {
@@ -190,86 +192,86 @@
 		}
 	}
 	way := func() time.Duration {
-		if w.isRough && w.random.Intn(12) == 0 {
-			return w.span(2500 * ms)
+		if w.hasFaults && w.random.Intn(12) == 0 {
+			return w.randomDuration(2500 * ms)
 		}
-		return 1*ms + w.span(30*ms)
+		return 1*ms + w.randomDuration(30*ms)
 	}
-	w.at(sent+call.Wait, func() {
+	w.at(sent+call.Timeout, func() {
 		if isLost && call.Kind == GrantLease && call.ID%2 == 0 { // no connection came up
 			answer(Answer{Result: Unsent})
 		}
 		answer(Answer{Result: Unknown})
 	})
 	arrival := sent + way()
-	if arrival > sent+call.Wait+constants.KeyArrivalMargin-stride || w.isRough && w.random.Intn(25) == 0 {
+	if arrival > sent+call.Timeout+constants.KeyArrivalMargin-stride || w.hasFaults && w.random.Intn(25) == 0 {
 		isLost = true
 		return
 	}
 	w.at(arrival, func() {
-		var h *owner
+		var backend *owner
 		for _, other := range w.owners {
 			if other.isAlive && other.row.Address == call.Address {
-				h = other
+				backend = other
 			}
 		}
 		back := w.now + way()
 		reply := func(a Answer) {
-			if !w.isRough || w.random.Intn(25) > 0 {
+			if !w.hasFaults || w.random.Intn(25) > 0 {
 				w.at(back, func() { answer(a) })
 			}
 		}
 		switch {
-		case h == nil:
+		case backend == nil:
 			reply(Answer{Result: Failed})
-		case h.cutUntil > w.now:
+		case backend.cutUntil > w.now:
 			isLost = true
 		case call.Kind == Probe:
 			reply(Answer{Result: Done})
 		case call.Kind == GrantLease:
-			reply(w.take(h, call))
+			reply(w.takeLease(backend, call))
 		default:
-			w.give(h, call, reply, &back, way)
+			w.releaseLease(backend, call, reply, &back, way)
 		}
 	})
 }
 
-func (w *world) take(h *owner, call Call) Answer {
-	for i, key := range w.cells {
-		if key >= call.First && key <= call.Last && h.seen[i] > call.Fence {
+func (w *world) takeLease(backend *owner, call Call) Answer {
+	for i, key := range w.sampledKeys {
+		if key >= call.First && key <= call.Last && backend.seen[i] > call.Fence {
 			return Answer{Result: Refused}
 		}
 	}
-	for i, key := range w.cells {
+	for i, key := range w.sampledKeys {
 		if key >= call.First && key <= call.Last {
-			h.seen[i], h.fence[i] = call.Fence, call.Fence
-			if h.until[i] <= w.now && call.Handover == "" && call.Fence > 1 {
-				w.cold++
+			backend.seen[i], backend.fence[i] = call.Fence, call.Fence
+			if backend.until[i] <= w.now && call.Handover == "" && call.Fence > 1 {
+				w.coldStarts++
 			}
-			h.until[i] = w.now + time.Duration(float64(call.Hold)*h.slowness)
+			backend.until[i] = w.now + time.Duration(float64(call.LeaseDuration)*backend.slowness)
 		}
 	}
 	return Answer{Result: Done}
 }
 
-// give counts keys as held until the running work on them has ended.
-func (w *world) give(h *owner, call Call, reply func(Answer), back *time.Duration, way func() time.Duration) {
-	end := w.now + w.work
-	if w.isRough {
-		end = w.now + w.span(4*time.Second)
+// releaseLease counts keys as owned until the running work on them has ended.
+func (w *world) releaseLease(backend *owner, call Call, reply func(Answer), back *time.Duration, way func() time.Duration) {
+	end := w.now + w.workTime
+	if w.hasFaults {
+		end = w.now + w.randomDuration(4*time.Second)
 	}
-	for i, key := range w.cells {
+	for i, key := range w.sampledKeys {
 		if key >= call.First && key <= call.Last {
-			h.seen[i] = max(h.seen[i], call.Fence)
+			backend.seen[i] = max(backend.seen[i], call.Fence)
 		}
 	}
 	w.at(end, func() {
-		if !h.isAlive {
+		if !backend.isAlive {
 			return
 		}
-		for i, key := range w.cells {
-			if key >= call.First && key <= call.Last && h.fence[i] <= call.Fence {
-				h.until[i] = min(h.until[i], w.now)
+		for i, key := range w.sampledKeys {
+			if key >= call.First && key <= call.Last && backend.fence[i] <= call.Fence {
+				backend.until[i] = min(backend.until[i], w.now)
 			}
 		}
 		*back = w.now + way()
@@ -277,7 +279,7 @@
 	})
 }
 
-func (w *world) carry(node int, effects Effects) {
+func (w *world) sendCalls(node int, effects Effects) {
 	for _, call := range effects.Calls {
 		w.send(node, call)
 	}
@@ -288,29 +290,29 @@
 	copied := store.NewTable()
 	copied.Restore(w.table.Whole())
 	w.settle()
-	old := &stale{node: w.leader, table: copied, view: store.Compile(copied), electedAt: w.electedAt, leaseAt: w.now, from: w.now, until: w.now + 3*time.Second}
-	wait := 600*ms + w.span(1500*ms)
+	old := &formerLeader{node: w.leader, table: copied, view: store.Compile(copied), electedAt: w.electedAt, leaseAt: w.now, from: w.now, until: w.now + 3*time.Second}
+	wait := 600*ms + w.randomDuration(1500*ms)
 	switch w.random.Intn(4) {
 	case 0: // crashed
-		w.nodes[w.leader], old = New(Options{Most: 10 * time.Second}), nil
+		w.nodes[w.leader], old = New(Options{MaxLease: 10 * time.Second}), nil
 	case 1: // frozen
-		old.from = w.now + w.span(3*time.Second)
+		old.from = w.now + w.randomDuration(3*time.Second)
 	case 2: // handed over
 		wait = 40 * ms
 	}
 	w.retire()
-	w.old = old
+	w.former = old
 	w.leader = (w.leader + 1 + w.random.Intn(2)) % 3
-	if w.old == nil {
+	if w.former == nil {
 		w.nodes[w.leader].Step(Facts{})
 	}
 	w.electedAt = w.now + wait
 }
 
 func (w *world) retire() {
-	if w.old != nil {
-		w.nodes[w.old.node].Step(Facts{})
-		w.old = nil
+	if w.former != nil {
+		w.nodes[w.former.node].Step(Facts{})
+		w.former = nil
 	}
 }
 
@@ -329,7 +331,7 @@
 	for _, service := range w.services {
 		keyLoad[service] = w.keyLoad
 	}
-	return Facts{Now: w.now, View: w.view, Table: w.table, IsLeading: true, ElectedAt: w.electedAt, LeaseAt: w.now - w.span(120*ms), Load: keyLoad, Dead: w.isDead}
+	return Facts{Now: w.now, View: w.view, Table: w.table, IsLeading: true, ElectedAt: w.electedAt, LeaseAt: w.now - w.randomDuration(120*ms), Load: keyLoad, Dead: w.isDead}
 }
 
 func (w *world) step() {
@@ -353,22 +355,22 @@
 	w.commits = later
 	if w.now%(100*ms) == 0 {
 		if w.now >= w.electedAt+100*ms {
-			if w.isHasty { // the breach: the leader forgets who may still hold what
+			if w.forgetsOutstanding { // fault injection: the leader forgets which leases may still be in use
 				w.nodes[w.leader].outstandingCalls = nil
 			}
 			effects := w.nodes[w.leader].Step(w.facts())
 			for _, record := range effects.Records {
-				if !w.isRough || w.random.Intn(15) > 0 {
-					w.commits = append(w.commits, commit{w.now + w.span(120*ms), record})
+				if !w.hasFaults || w.random.Intn(15) > 0 {
+					w.commits = append(w.commits, commit{w.now + w.randomDuration(120*ms), record})
 				}
 			}
-			w.carry(w.leader, effects)
+			w.sendCalls(w.leader, effects)
 		}
-		if w.old != nil && w.now >= w.old.from {
+		if w.former != nil && w.now >= w.former.from {
 			f := w.facts()
-			f.Table, f.View, f.ElectedAt, f.LeaseAt = w.old.table, w.old.view, w.old.electedAt, w.old.leaseAt
-			w.carry(w.old.node, w.nodes[w.old.node].Step(f))
-			if w.now >= w.old.until {
+			f.Table, f.View, f.ElectedAt, f.LeaseAt = w.former.table, w.former.view, w.former.electedAt, w.former.leaseAt
+			w.sendCalls(w.former.node, w.nodes[w.former.node].Step(f))
+			if w.now >= w.former.until {
 				w.retire()
 			}
 		}
@@ -379,12 +381,12 @@
 // check counts the keys that two live back ends of a service hold at once.
 func (w *world) check() {
 	for _, service := range w.services {
-		isHeld := make([]bool, len(w.cells))
-		for _, h := range w.owners {
-			if !h.isAlive || h.row.Service != service {
+		isHeld := make([]bool, len(w.sampledKeys))
+		for _, backend := range w.owners {
+			if !backend.isAlive || backend.row.Service != service {
 				continue
 			}
-			for i, until := range h.until {
+			for i, until := range backend.until {
 				if until > w.now && isHeld[i] {
 					w.violations++
 				}
@@ -394,15 +396,15 @@
 	}
 }
 
-// unheld counts the keys that nobody holds who is written down for them.
-func (w *world) unheld() int {
+// unleased counts the keys whose owner has no lease on them.
+func (w *world) unleased() int {
 	count := 0
 	for _, service := range w.services {
-		for i, key := range w.cells {
+		for i, key := range w.sampledKeys {
 			isHeld := false
-			if span := w.view.Services[service].Span(key); span != nil {
-				for _, h := range w.owners {
-					isHeld = isHeld || h.isAlive && h.row.Instance == span.Instance && h.until[i] > w.now && !span.Releasing
+			if keys := w.view.Services[service].Span(uint32(key)); keys != nil {
+				for _, backend := range w.owners {
+					isHeld = isHeld || backend.isAlive && backend.row.Instance == keys.Instance && backend.until[i] > w.now && !keys.Releasing
 				}
 			}
 			if !isHeld {
@@ -419,7 +421,7 @@
 	}
 }
 
-func (w *world) warm(first, count int, rate float64) {
+func (w *world) setLoad(first, count int, rate float64) {
 	for i := range w.keyLoad {
 		w.keyLoad[i] = 0.5
 		if i >= first && i < first+count {
@@ -428,52 +430,52 @@
 	}
 }
 
-// loads are the heat of each instance by the written spans.
+// loads are the load of each instance by the shard ranges of the table.
 func (w *world) loads(service string) map[string]float64 {
-	loads, h := map[string]float64{}, newKeyLoad(w.keyLoad)
-	for _, span := range w.view.Services[service].Spans {
-		loads[span.Instance] += h.sum(span.First, span.Last)
+	loads, load := map[string]float64{}, newKeyLoad(w.keyLoad)
+	for _, keys := range w.view.Services[service].Spans {
+		loads[keys.Instance] += load.sum(keyRange{Key(keys.First), Key(keys.Last)})
 	}
 	return loads
 }
 
-// trouble lets something happen.
-func (w *world) trouble() {
-	h := w.owners[w.random.Intn(len(w.owners))]
-	if !h.isAlive {
+// injectFault lets one random fault or change happen.
+func (w *world) injectFault() {
+	backend := w.owners[w.random.Intn(len(w.owners))]
+	if !backend.isAlive {
 		return
 	}
 	switch w.random.Intn(9) {
 	case 0, 1:
-		w.crash(h)
-		w.at(w.now+500*ms+w.span(2*time.Second), func() { w.strike(h) })
-		w.at(w.now+2*time.Second+w.span(3*time.Second), func() { w.start(h.row.Service, h.row.Address, h.row.Zone) })
+		w.crash(backend)
+		w.at(w.now+500*ms+w.randomDuration(2*time.Second), func() { w.unlist(backend) })
+		w.at(w.now+2*time.Second+w.randomDuration(3*time.Second), func() { w.start(backend.row.Service, backend.row.Address, backend.row.Zone) })
 	case 2:
-		h.row = &schema.Backend{Service: h.row.Service, Instance: h.row.Instance, Address: h.row.Address, Zone: h.row.Zone, State: schema.BackendState_BACKEND_DRAINING}
-		w.list(h)
+		backend.row = &schema.Backend{Service: backend.row.Service, Instance: backend.row.Instance, Address: backend.row.Address, Zone: backend.row.Zone, State: schema.BackendState_BACKEND_DRAINING}
+		w.list(backend)
 		w.at(w.now+2500*ms, func() {
-			if h.isAlive {
-				w.crash(h)
-				w.strike(h)
-				w.at(w.now+2*time.Second, func() { w.start(h.row.Service, h.row.Address, h.row.Zone) })
+			if backend.isAlive {
+				w.crash(backend)
+				w.unlist(backend)
+				w.at(w.now+2*time.Second, func() { w.start(backend.row.Service, backend.row.Address, backend.row.Zone) })
 			}
 		})
 	case 3:
-		zone := h.row.Zone
+		zone := backend.row.Zone
 		w.empty(zone, true)
-		w.at(w.now+time.Second+w.span(6*time.Second), func() { w.empty(zone, false) })
+		w.at(w.now+time.Second+w.randomDuration(6*time.Second), func() { w.empty(zone, false) })
 	case 4:
-		h.cutUntil = w.now + w.span(9*time.Second)
+		backend.cutUntil = w.now + w.randomDuration(9*time.Second)
 	case 5: // taken off the list although it runs on
-		h.cutUntil = w.now + w.span(6*time.Second)
-		w.strike(h)
-		w.at(w.now+w.span(12*time.Second), func() {
-			if h.isAlive {
-				w.list(h)
+		backend.cutUntil = w.now + w.randomDuration(6*time.Second)
+		w.unlist(backend)
+		w.at(w.now+w.randomDuration(12*time.Second), func() {
+			if backend.isAlive {
+				w.list(backend)
 			}
 		})
 	case 6:
-		w.warm(w.random.Intn(buckets), 1+w.random.Intn(20), 30)
+		w.setLoad(w.random.Intn(buckets), 1+w.random.Intn(20), 30)
 	default:
 		w.depose()
 	}
