--- a/internal/node/native_test.go
+++ b/internal/node/native_test.go
@@ -39,7 +39,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	span := [2]uint32{call.First, call.Last}
+	span := [2]uint32{uint32(call.First), uint32(call.Last)}
 	switch {
 	case r.URL.Path == "/keys/release":
 		h.releases++
@@ -151,7 +151,7 @@
 		if err := m.settings.Check(); err != nil {
 			t.Fatal(err)
 		}
-		n, err := node.Start(m.settings, slog.New(slog.DiscardHandler), node.OpenFolder)
+		n, err := node.Start(node.Options{Settings: m.settings, Log: slog.New(slog.DiscardHandler), OpenFolder: node.OpenFolder})
 		if err != nil {
 			t.Fatal(err)
 		}
