--- a/internal/node/lease_calls.go
+++ b/internal/node/lease_calls.go
@@ -14,7 +14,7 @@
 func (s *routeService) grantLease(call controlplane.LeaseCall) {
 	n := s.node
 	n.tasks.Go(func() {
-		ctx, cancel := context.WithTimeout(n.ctx, call.Wait)
+		ctx, cancel := context.WithTimeout(n.ctx, call.Timeout)
 		defer cancel()
 		answer, err := s.platform.GrantLease(ctx, call.Call)
 		n.do(func() {
