--- a/internal/adminapi/routed.go
+++ b/internal/adminapi/routed.go
@@ -148,9 +148,9 @@
 			return "nobody"
 		}
 		if d.options.Routed != nil {
-			return failover.PlaceName(view, number)
+			return failover.RouteOwnerName(view, failover.Number(number))
 		}
-		return failover.GroupName(view, number)
+		return failover.EntryOwnerName(view, failover.Number(number))
 	}
 }
 
@@ -248,7 +248,7 @@
 		write(w, http.StatusNotFound, Reply{Kind: "unknown", Message: "no such region or service is known here; see status for the names"})
 		return
 	}
-	place, err := failover.Locate(view, service, region)
+	place, err := failover.ResolveRegion(view, service, region)
 	if err != nil {
 		write(w, http.StatusServiceUnavailable, Reply{Kind: "no-standing", Message: err.Error()})
 		return
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -368,10 +368,10 @@
 		for _, entry := range service.Entries {
 			s.Entries = append(s.Entries, entry.Service+entry.Path)
 			for _, row := range service.Assignments[entry.Path] {
-				s.Assignments = append(s.Assignments, Assignment{row.Service, row.Path, "region", row.Region, failover.GroupName(view, row.Number), row.Number, row.Fenced, row.Reason})
+				s.Assignments = append(s.Assignments, Assignment{row.Service, row.Path, "region", row.Region, failover.EntryOwnerName(view, failover.Number(row.Number)), row.Number, row.Fenced, row.Reason})
 			}
-			if row := service.Entities[entry.Path]; row != nil && failover.IsBound(entry) {
-				s.Assignments = append(s.Assignments, Assignment{row.Service, row.Path, "entity", row.Region, failover.GroupName(view, row.Number), row.Number, row.Fenced, row.Reason})
+			if row := service.Entities[entry.Path]; row != nil && failover.IsEntity(entry) {
+				s.Assignments = append(s.Assignments, Assignment{row.Service, row.Path, "entity", row.Region, failover.EntryOwnerName(view, failover.Number(row.Number)), row.Number, row.Fenced, row.Reason})
 			}
 		}
 		for _, b := range service.Backends {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -252,7 +252,7 @@
 	if err != nil {
 		return
 	}
-	for _, extra := range failover.Plan(view.With(scratch, changed), scratch, func(uint64) (bool, uint64) { return false, 0 }) {
+	for _, extra := range failover.PlanEntries(view.With(scratch, changed), scratch, func(uint64) (bool, uint64) { return false, 0 }) {
 		for i, guard := range extra.Guards {
 			if row := table.Get(guard.Key); row == nil && guard.Index == 0 {
 				record.Guards = append(record.Guards, extra.Guards[i])
--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -54,7 +54,7 @@
 	c.planEndpoints()
 	c.planReplicaSets()
 	c.planShardSlots()
-	for _, record := range failover.Plan(c.view, c.table, c.released) {
+	for _, record := range failover.PlanEntries(c.view, c.table, c.released) {
 		c.sign(record)
 		c.propose(record)
 	}
--- a/internal/controlplane/routed.go
+++ b/internal/controlplane/routed.go
@@ -169,7 +169,7 @@
 	if record := r.outlierQuorum.Plan(c.now, c.view, c.table); record != nil && c.propose(record) {
 		c.log.Info("back ends failing or well again", "rows", len(record.Rows))
 	}
-	for _, record := range failover.PlanPlaces(c.view, c.table) {
+	for _, record := range failover.PlanRoutes(c.view, c.table) {
 		c.sign(record)
 		if c.propose(record) {
 			c.log.Info("standing", "change", record.Reason, "evidence", record.Evidence)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -60,7 +60,7 @@
 		return nil, &proxy.RefusalError{Status: http.StatusServiceUnavailable, Kind: "no-standing", Message: message, Result: proxy.ResultRefused, RetryAfter: constants.RetryAfter}, ""
 	}
 	origin := failover.Origin{Region: region}
-	if failover.IsBound(entry) {
+	if failover.IsEntity(entry) {
 		origin = failover.Origin{Service: entry.Service, Path: entry.Path}
 	} else if homes := failover.Homes(local.View, entry); !slices.Contains(homes, region) {
 		if len(homes) == 0 {
@@ -72,7 +72,7 @@
 	if err != nil {
 		return later(err.Error())
 	}
-	match := &Match{Origin: origin.String(), Version: local.View.Head.Version, Number: owner.Number, LiveMilli: constants.MatchTTL.Milliseconds()}
+	match := &Match{Origin: origin.String(), Version: local.View.Head.Version, Number: uint64(owner.Number), LiveMilli: constants.MatchTTL.Milliseconds()}
 	var nodes []*schema.Node
 	for _, node := range local.View.Nodes {
 		if node.Zone == owner.Zone && node.State == schema.NodeState_NODE_READY {
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -10,50 +10,48 @@
 	"topazshed/internal/store"
 )
 
-// evidence tells what a region's failover assignment rests on: which of its zones are emptied or dark, and whether a service has ready back ends in the others.
-func evidence(view *store.View, service *store.Service, region string, all, open []string) string {
+// evidence says what a change of a region's row rests on: which of its zones are emptied or have lost their nodes, and
+// how many ready back ends a service, if there is one, has in the open zones.
+func evidence(view *store.View, service *store.Service, region string, zones, open []string) string {
 	var facts []string
-	for _, name := range all {
-		zone := view.Zones[name]
-		switch {
-		case slices.Contains(open, name):
-		case zone.GetEmptied():
-			facts = append(facts, fmt.Sprintf("%s is emptied (%s)", name, zone.GetReason()))
-		default:
-			lost := 0
-			for _, node := range view.Nodes {
-				if node.Zone == name {
-					lost++
-				}
-			}
-			facts = append(facts, fmt.Sprintf("%s is dark: its machines, %d, are lost", name, lost))
+	for _, name := range zones {
+		if !slices.Contains(open, name) {
+			facts = append(facts, whyClosed(view, name))
 		}
 	}
-	if len(facts) > constants.EvidenceMost {
-		facts = append(facts[:constants.EvidenceMost], fmt.Sprintf("%d more districts are emptied or dark", len(facts)-constants.EvidenceMost))
+	if surplus := len(facts) - constants.EvidenceMost; surplus > 0 {
+		facts = append(facts[:constants.EvidenceMost], fmt.Sprintf("%d more zones are emptied or unreachable", surplus))
 	}
 	if len(facts) == 0 {
-		facts = append(facts, "no district of "+region+" is emptied or dark")
+		facts = append(facts, "no zone of "+region+" is emptied or unreachable")
 	}
 	if service != nil {
-		ready := 0
-		for _, backend := range service.Backends {
-			if backend.State == schema.BackendState_BACKEND_READY && slices.Contains(open, backend.Zone) {
-				ready++
-			}
-		}
-		facts = append(facts, fmt.Sprintf("%s has %d ready back ends in the others", service.Name, ready))
+		facts = append(facts, fmt.Sprintf("%s has %d ready back ends in the others", service.Name, countReady(service, open)))
 	}
 	return strings.Join(facts, "; ")
 }
 
-// PlaceName names what a number's residue stands for in a routed fleet.
-func PlaceName(view *store.View, number uint64) string {
-	if group := groupOf(view, number); group != nil {
-		return group.Name
+// whyClosed says why a zone is not open: it is emptied, or all its nodes are lost.
+func whyClosed(view *store.View, name string) string {
+	if zone := view.Zones[name]; zone.GetEmptied() {
+		return fmt.Sprintf("%s is emptied (%s)", name, zone.GetReason())
+	}
+	lost := 0
+	for _, node := range view.Nodes {
+		if node.Zone == name {
+			lost++
+		}
 	}
-	if region := regionNumbered(view, number); region != "" {
-		return "region " + region
+	return fmt.Sprintf("%s is unreachable: its nodes, %d, are lost", name, lost)
+}
+
+// countReady counts a service's ready back ends in some zones.
+func countReady(service *store.Service, zones []string) int {
+	count := 0
+	for _, backend := range service.Backends {
+		if backend.State == schema.BackendState_BACKEND_READY && slices.Contains(zones, backend.Zone) {
+			count++
+		}
 	}
-	return "nobody"
+	return count
 }
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -45,7 +45,7 @@
 // Choice is the back end to try, or why there is none.
 type Choice struct {
 	Backend *schema.Backend
-	Place   failover.Place
+	Place   failover.ActiveGroup
 	Refusal Refusal
 	// IsCold says that the attempt was counted for a cold back end.
 	IsCold bool
@@ -53,7 +53,7 @@
 
 type candidate struct {
 	backend *schema.Backend
-	place   failover.Place
+	place   failover.ActiveGroup
 	reading Reading
 	cost    float64
 	isCold  bool
@@ -76,7 +76,7 @@
 	if service == nil || len(service.Backends) == 0 {
 		return Choice{Refusal: RefusalNoService}
 	}
-	places := failover.Places(s.View, s.Service, s.Route.HomeRegions, s.Self.Region, s.Token)
+	places := failover.ActiveGroups(s.View, s.Service, s.Route.HomeRegions, s.Self.Region, s.Token)
 	if len(places) == 0 {
 		return Choice{Refusal: RefusalNoPlace}
 	}
@@ -86,7 +86,7 @@
 	return s.chooseFree(service, places)
 }
 
-func (s Situation) chooseOwner(service *store.Service, places []failover.Place) Choice {
+func (s Situation) chooseOwner(service *store.Service, places []failover.ActiveGroup) Choice {
 	if !s.HasKey {
 		return Choice{Refusal: RefusalNoKey}
 	}
@@ -99,7 +99,7 @@
 		return Choice{Refusal: RefusalMoving}
 	}
 	region := s.View.Zones[backend.Zone].Region
-	at := slices.IndexFunc(places, func(p failover.Place) bool { return p.Region == region })
+	at := slices.IndexFunc(places, func(p failover.ActiveGroup) bool { return p.Region == region })
 	if at < 0 {
 		if len(s.Route.HomeRegions) > 0 && !slices.Contains(s.Route.HomeRegions, region) {
 			return Choice{Refusal: RefusalMoving}
@@ -128,7 +128,7 @@
 	return 1 + constants.StrainBelow*use + constants.StrainAbove*max(0, use-constants.StrainFrom)
 }
 
-func (s Situation) chooseFree(service *store.Service, places []failover.Place) Choice {
+func (s Situation) chooseFree(service *store.Service, places []failover.ActiveGroup) Choice {
 	refusal := RefusalBusy
 	var best *candidate
 	aim := float64(time.Duration(max(s.Route.TargetMs, 100)) * time.Millisecond)
@@ -136,7 +136,7 @@
 	open := 0
 	for rank, place := range places {
 		for _, backend := range service.Backends {
-			if !isOpen(s.View, backend) || !place.Holds(backend.Zone) || slices.Contains(s.Tried, backend.Instance) {
+			if !isOpen(s.View, backend) || !place.HasZone(backend.Zone) || slices.Contains(s.Tried, backend.Instance) {
 				continue
 			}
 			c := candidate{backend: backend, place: place, reading: s.Loads.Read(s.Now, backend.Instance), isCold: isCold(s.View, backend)}
--- a/internal/proxy/request_machine.go
+++ b/internal/proxy/request_machine.go
@@ -301,7 +301,7 @@
 	c.asked, c.taken, c.elsewhere = len(members), 0, 0
 	order := Order{Kind: OrderReserve, For: constants.ReservationWait}
 	for _, m := range members {
-		order.Reservations = append(order.Reservations, ReservationCall{m, &schema.ReservationRequest{Attempt: c.Request.Attempt, Digest: c.Request.Digest, Owner: c.Owner, Number: d.Owner.Number,
+		order.Reservations = append(order.Reservations, ReservationCall{m, &schema.ReservationRequest{Attempt: c.Request.Attempt, Digest: c.Request.Digest, Owner: c.Owner, Number: uint64(d.Owner.Number),
 			ReplicaSet: d.Replicas.Number, Region: d.Replicas.Region, Round: c.round, WaitMs: uint32(c.Request.Wait.Milliseconds()), AgeMs: uint64(c.age().Milliseconds())}})
 	}
 	return order
--- a/internal/sim/failover.go
+++ b/internal/sim/failover.go
@@ -27,7 +27,7 @@
 		view := f.View(f.Leader())
 		entry := view.Services[kind.service].Entry(kind.path)
 		origin := failover.Origin{Region: "r0"}
-		if failover.IsBound(entry) {
+		if failover.IsEntity(entry) {
 			origin = failover.Origin{Service: entry.Service, Path: entry.Path}
 		}
 		owner, err := failover.Resolve(view, entry, origin)
