--- a/cmd/topazshed/doctor_fleet.go
+++ b/cmd/topazshed/doctor_fleet.go
@@ -101,7 +101,7 @@
 }
 
 func examineLeader(found *findings, leader *adminapi.Status) {
-	if leader.LeaderUnreachable == "" && leader.LossesBorne == 0 {
+	if leader.LeaderUnreachable == "" && leader.ToleratedLosses == 0 {
 		found.add("thin-quorum", "bring a disk machine back, empty if need be; with fewer than three voters, add one",
 			"%d of %d voters are unresponsive (%s); one more loss stops changes",
 			len(leader.UnresponsiveVoters), len(leader.Voters), strings.Join(leader.UnresponsiveVoters, ", "))
--- a/cmd/topazshed/doctor_test.go
+++ b/cmd/topazshed/doctor_test.go
@@ -41,7 +41,7 @@
 		{"healthy", nil, ""},
 		{"nobody leads", func(l, _ *adminapi.Status) { l.Role = "follower" }, "no-quorum"},
 		{"too few voters", func(l, _ *adminapi.Status) {
-			l.Voters, l.LossesBorne, l.UnresponsiveVoters = []string{"a", "x", "y"}, 0, []string{"x", "y"}
+			l.Voters, l.ToleratedLosses, l.UnresponsiveVoters = []string{"a", "x", "y"}, 0, []string{"x", "y"}
 			l.Nodes = append(l.Nodes, adminapi.NodeStatus{ID: "x", State: "lost"}, adminapi.NodeStatus{ID: "y", State: "lost"})
 		}, "lost-node thin-quorum"},
 		{"an older configuration", func(_, r *adminapi.Status) { r.Configuration = 2 }, "differing-versions"},
@@ -57,11 +57,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			leader := &adminapi.Status{Node: "a", Role: "leader", Term: 3, Fit: true, Configuration: 3, Voters: []string{"a", "p", "q"}, LossesBorne: 1, Entries: []string{"ledger/balances"},
+			leader := &adminapi.Status{Node: "a", Role: "leader", Term: 3, Fit: true, Configuration: 3, Voters: []string{"a", "p", "q"}, ToleratedLosses: 1, Entries: []string{"ledger/balances"},
 				Backends: []adminapi.BackendStatus{{Service: "ledger", State: "ready"}}}
 			reader := &adminapi.Status{Node: "b", Role: "reader", Fit: true, Configuration: 3}
 			serve := func(s *adminapi.Status) string {
-				server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 					json.NewEncoder(w).Encode(s)
 				}))
 				t.Cleanup(server.Close)
--- a/cmd/topazshed/status_test.go
+++ b/cmd/topazshed/status_test.go
@@ -38,8 +38,8 @@
 		{"one machine is behind, one is silent", func(s *adminapi.Status) {
 			s.Nodes[0].InForce, s.Nodes[1].HeardMs, s.Unconfirmed = false, -1, []string{"mu-b"}
 		}, []string{"newest configuration NOT in force (index 40)", "not heard by this leader", "not confirmed yet by every proxy of mu-b"}, []string{", configuration in force"}},
-		{"two of six voters are silent", func(s *adminapi.Status) { s.LossesBorne, s.UnresponsiveVoters = 0, []string{"b", "c"} }, []string{"losses   0 more voters may be lost before no order is taken, silent [b c]"}, nil},
-		{"all six are heard", func(s *adminapi.Status) { s.LossesBorne = 2 }, []string{"losses   2 more voters may be lost before no order is taken, silent []"}, nil},
+		{"two of six voters are silent", func(s *adminapi.Status) { s.ToleratedLosses, s.UnresponsiveVoters = 0, []string{"b", "c"} }, []string{"losses   0 more voters may be lost before no order is taken, silent [b c]"}, nil},
+		{"all six are heard", func(s *adminapi.Status) { s.ToleratedLosses = 2 }, []string{"losses   2 more voters may be lost before no order is taken, silent []"}, nil},
 		{"no leader answers", func(s *adminapi.Status) { s.LeaderUnreachable, s.Role = "no leader is known; ask again", "follower" }, []string{"the leader's word is missing: no leader is known; ask again"}, []string{"in force", "list ", "losses "}},
 		{"a fleet of entries", func(s *adminapi.Status) { s.Routed, s.Changes, s.Resting, s.Disk = nil, nil, nil, nil }, []string{"standing "}, []string{"in force", "routes", "resting", "disk    "}},
 	} {
--- a/cmd/topazshed/status_text.go
+++ b/cmd/topazshed/status_text.go
@@ -8,74 +8,95 @@
 	"topazshed/internal/adminapi"
 )
 
+// statusPrinter writes the lines of a status.
+type statusPrinter struct{ out io.Writer }
+
+func (p statusPrinter) line(form string, args ...any) { fmt.Fprintf(p.out, form+"\n", args...) }
+
 // printStatus writes a status for people; docs/operators.md tells what each line means.
-func printStatus(w io.Writer, s *adminapi.Status) {
-	line := func(form string, args ...any) { fmt.Fprintf(w, form+"\n", args...) }
-	line("node %s (%s), term %d, leader %s, index %d, configuration %d, fit %v, grant %d ms", s.Node, s.Role, s.Term, s.Leader, s.Index, s.Configuration, s.Fit, s.LeaseMs)
-	if s.LeaderUnreachable != "" {
-		line("the leader's word is missing: %s", s.LeaderUnreachable)
+func printStatus(out io.Writer, s *adminapi.Status) {
+	p := statusPrinter{out}
+	p.printNode(s)
+	for _, zone := range s.Zones {
+		p.line("district %-12s region %-10s residue %2d emptied %v %s", zone.Name, zone.Region, zone.Residue, zone.Emptied, zone.Reason)
 	}
-	if text := unconfirmedText(s.Unconfirmed); text != "" {
-		line("%s", text)
+	for _, node := range s.Nodes {
+		p.line("machine  %s %-9s district %-10s proxy %s door %s disk %v%s",
+			node.ID, node.State, node.Zone, node.Proxy, node.Admin, node.Disk, reportText(s, node))
 	}
-	if s.LeaderUnreachable == "" {
-		line("losses   %d more voters may be lost before no order is taken, silent %v", s.LossesBorne, s.UnresponsiveVoters)
+	for _, row := range s.Assignments {
+		p.line("standing %-20s %-6s %-10s -> %-14s number %d fenced %v: %s",
+			row.Service+row.Path, row.Kind, row.Region, row.Active, row.Number, row.Fenced, row.Reason)
 	}
-	if s.Disk != nil {
-		line("disk     %s last sync %d ms, worst %d ms, fault %s", s.Disk.Folder, s.Disk.LastSyncMs, s.Disk.WorstMs, cmp.Or(s.Disk.Fault, "none"))
-		line("votes    voters %v, learners %v", s.Voters, s.Learners)
+	for _, change := range s.Changes {
+		p.printChange(change)
 	}
-	if s.Role == "leader" {
-		line("list     read whole %d ms ago, fault %s", s.ListMs, cmp.Or(s.ListFault, "none"))
+	if s.Routed != nil {
+		p.printRouted(s.Routed)
 	}
-	for _, d := range s.Zones {
-		line("district %-12s region %-10s residue %2d emptied %v %s", d.Name, d.Region, d.Residue, d.Emptied, d.Reason)
+	for _, id := range s.Resting {
+		p.line("resting  %s failed this machine and gets nothing from it for a moment", id)
 	}
-	for _, n := range s.Nodes {
-		line("machine  %s %-9s district %-10s proxy %s door %s disk %v%s", n.ID, n.State, n.Zone, n.Proxy, n.Admin, n.Disk, wordOf(s, n))
+}
+
+func (p statusPrinter) printNode(s *adminapi.Status) {
+	p.line("node %s (%s), term %d, leader %s, index %d, configuration %d, fit %v, grant %d ms",
+		s.Node, s.Role, s.Term, s.Leader, s.Index, s.Configuration, s.Fit, s.LeaseMs)
+	if s.LeaderUnreachable != "" {
+		p.line("the leader's word is missing: %s", s.LeaderUnreachable)
 	}
-	for _, row := range s.Assignments {
-		line("standing %-20s %-6s %-10s -> %-14s number %d fenced %v: %s", row.Service+row.Path, row.Kind, row.Region, row.Active, row.Number, row.Fenced, row.Reason)
+	if text := unconfirmedText(s.Unconfirmed); text != "" {
+		p.line("%s", text)
 	}
-	for _, c := range s.Changes {
-		line("change   %s %s in %s: %s (%d) -> %s (%d): %s; evidence: %s; by %s in term %d, index %d", cmp.Or(c.At, "-"), cmp.Or(c.Service+c.Path, "every service"), c.Region, c.Was, c.From, c.Is, c.To,
-			c.Cause, cmp.Or(c.Evidence, "none told"), cmp.Or(c.Leader, "a configuration"), c.Term, c.Index)
+	if s.LeaderUnreachable == "" {
+		p.line("losses   %d more voters may be lost before no order is taken, silent %v", s.ToleratedLosses, s.UnresponsiveVoters)
 	}
-	if s.Routed != nil {
-		printRouted(line, s.Routed)
+	if s.Disk != nil {
+		p.line("disk     %s last sync %d ms, worst %d ms, fault %s",
+			s.Disk.Folder, s.Disk.LastSyncMs, s.Disk.WorstMs, cmp.Or(s.Disk.Fault, "none"))
+		p.line("votes    voters %v, learners %v", s.Voters, s.Learners)
 	}
-	for _, id := range s.Resting {
-		line("resting  %s failed this machine and gets nothing from it for a moment", id)
+	if s.Role == roleLeader {
+		p.line("list     read whole %d ms ago, fault %s", s.ListMs, cmp.Or(s.ListFault, "none"))
 	}
 }
 
-func printRouted(line func(form string, args ...any), r *adminapi.RoutedStatus) {
-	line("routes   %d", r.Routes)
+func (p statusPrinter) printChange(change adminapi.Change) {
+	p.line("change   %s %s in %s: %s (%d) -> %s (%d): %s; evidence: %s; by %s in term %d, index %d",
+		cmp.Or(change.At, "-"), cmp.Or(change.Service+change.Path, "every service"), change.Region,
+		change.Was, change.From, change.Is, change.To, change.Cause, cmp.Or(change.Evidence, "none told"),
+		cmp.Or(change.Leader, "a configuration"), change.Term, change.Index)
+}
+
+func (p statusPrinter) printRouted(r *adminapi.RoutedStatus) {
+	p.line("routes   %d", r.Routes)
 	for _, service := range r.Services {
 		keys := ""
 		if service.Keyed {
 			keys = fmt.Sprintf(", keys without a holder %d", service.Unheld)
 		}
-		line("service  %-20s routes %d, back ends ready %d (cold %d), draining %d%s", service.Name, service.Routes, service.Ready, service.Cold, service.Draining, keys)
+		p.line("service  %-20s routes %d, back ends ready %d (cold %d), draining %d%s",
+			service.Name, service.Routes, service.Ready, service.Cold, service.Draining, keys)
 	}
 	for _, span := range r.Spans {
 		state := "held"
 		if span.Releasing {
 			state = "being released"
 		}
-		line("keys     %-20s %5d to %5d %s by %s under %d", span.Service, span.First, span.Last, state, cmp.Or(span.Instance, "nobody"), span.Fence)
+		p.line("keys     %-20s %5d to %5d %s by %s under %d",
+			span.Service, span.First, span.Last, state, cmp.Or(span.Instance, "nobody"), span.Fence)
 	}
 }
 
-// wordOf is what the leader told of a machine.
-func wordOf(s *adminapi.Status, n adminapi.NodeStatus) string {
+// reportText is what the leader knows of a node.
+func reportText(s *adminapi.Status, node adminapi.NodeStatus) string {
 	switch {
 	case s.Routed == nil || s.LeaderUnreachable != "":
 		return ""
-	case n.HeardMs < 0:
+	case node.HeardMs < 0:
 		return ", not heard by this leader"
-	case n.InForce:
-		return fmt.Sprintf(", configuration in force, heard %d ms ago", n.HeardMs)
+	case node.InForce:
+		return fmt.Sprintf(", configuration in force, heard %d ms ago", node.HeardMs)
 	}
-	return fmt.Sprintf(", newest configuration NOT in force (index %d), heard %d ms ago", n.Index, n.HeardMs)
+	return fmt.Sprintf(", newest configuration NOT in force (index %d), heard %d ms ago", node.Index, node.HeardMs)
 }
--- a/internal/adminapi/metrics.go
+++ b/internal/adminapi/metrics.go
@@ -11,68 +11,99 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// metrics writes what this node counts anyway in the usual text form; nothing is counted for it, and no other node is asked.
-func (d *Server) metrics(w http.ResponseWriter, r *http.Request) {
-	var text bytes.Buffer
-	s := d.Status()
-	gauge := func(name string, value uint64, labels ...string) {
-		metrics.WriteGaugeUint64(&text, "topazshed_"+name+labelled(labels), value)
+// roleLeader is the role of a node that leads the log.
+const roleLeader = "leader"
+
+// exposition is a document of metrics in the text form of Prometheus.
+type exposition struct{ text bytes.Buffer }
+
+// gauge adds a value; labels are pairs of names and values.
+func (e *exposition) gauge(name string, value uint64, labels ...string) {
+	metrics.WriteGaugeUint64(&e.text, "topazshed_"+name+labelled(labels), value)
+}
+
+func (e *exposition) flag(name string, isSet bool, labels ...string) {
+	value := uint64(0)
+	if isSet {
+		value = 1
 	}
-	flag := func(isSet bool) uint64 {
-		if isSet {
-			return 1
-		}
-		return 0
+	e.gauge(name, value, labels...)
+}
+
+func (e *exposition) counter(name string, value uint64, labels ...string) {
+	metrics.WriteCounterUint64(&e.text, "topazshed_"+name+labelled(labels), value)
+}
+
+// showMetrics writes what this node counts anyway; nothing is counted for it, and no other node is asked.
+func (s *Server) showMetrics(w http.ResponseWriter, _ *http.Request) {
+	status := s.Status()
+	e := &exposition{}
+	e.addNode(status)
+	if status.Disk != nil {
+		e.addDisk(status)
 	}
+	e.addFleet(status)
+	if status.Routed != nil {
+		e.addRouted(status.Routed)
+	}
+	metrics.WriteProcessMetrics(&e.text)
+	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
+	w.Write(e.text.Bytes())
+}
+
+func (e *exposition) addNode(s *Status) {
 	for _, name := range slices.Sorted(maps.Keys(s.Results)) {
-		metrics.WriteCounterUint64(&text, "topazshed_requests_total"+labelled([]string{"outcome", name}), s.Results[name])
+		e.counter("requests_total", s.Results[name], "outcome", name)
 	}
-	gauge("configuration_version", s.Configuration)
-	gauge("state_index", s.Index)
-	gauge("state_rows", uint64(s.Rows))
-	gauge("term", s.Term)
-	gauge("leads", flag(s.Role == "leader"))
-	gauge("fit", flag(s.Fit))
-	metrics.WriteCounterUint64(&text, "topazshed_stray_answers_total", s.StaleResponses)
-	gauge("fresh_milliseconds", uint64(max(0, s.FreshMs)))
-	gauge("resting_back_ends", uint64(len(s.Resting)))
+	e.gauge("configuration_version", s.Configuration)
+	e.gauge("state_index", s.Index)
+	e.gauge("state_rows", uint64(s.Rows))
+	e.gauge("term", s.Term)
+	e.flag("leads", s.Role == roleLeader)
+	e.flag("fit", s.Fit)
+	e.counter("stray_answers_total", s.StaleResponses)
+	e.gauge("fresh_milliseconds", uint64(max(0, s.FreshMs)))
+	e.gauge("resting_back_ends", uint64(len(s.Resting)))
 	if s.ListMs >= 0 {
-		gauge("list_age_milliseconds", uint64(s.ListMs))
-	}
-	if s.Disk != nil {
-		gauge("disk_last_sync_milliseconds", uint64(s.Disk.LastSyncMs))
-		gauge("disk_worst_sync_milliseconds", uint64(s.Disk.WorstMs))
-		gauge("disk_fault", flag(s.Disk.Fault != ""))
-		gauge("voters", uint64(len(s.Voters)))
-		gauge("learners", uint64(len(s.Learners)))
+		e.gauge("list_age_milliseconds", uint64(s.ListMs))
 	}
-	machines := map[string]uint64{}
+}
+
+func (e *exposition) addDisk(s *Status) {
+	e.gauge("disk_last_sync_milliseconds", uint64(s.Disk.LastSyncMs))
+	e.gauge("disk_worst_sync_milliseconds", uint64(s.Disk.WorstMs))
+	e.flag("disk_fault", s.Disk.Fault != "")
+	e.gauge("voters", uint64(len(s.Voters)))
+	e.gauge("learners", uint64(len(s.Learners)))
+}
+
+func (e *exposition) addFleet(s *Status) {
+	nodes := map[string]uint64{}
 	for _, node := range s.Nodes {
-		machines[node.State]++
+		nodes[node.State]++
 	}
-	for _, state := range slices.Sorted(maps.Keys(machines)) {
-		gauge("machines", machines[state], "state", state)
+	for _, state := range slices.Sorted(maps.Keys(nodes)) {
+		e.gauge("machines", nodes[state], "state", state)
 	}
 	for _, zone := range s.Zones {
-		gauge("district_emptied", flag(zone.Emptied), "district", zone.Name)
+		e.flag("district_emptied", zone.Emptied, "district", zone.Name)
 	}
 	for _, row := range s.Assignments {
-		gauge("standing_number", row.Number, "region", row.Region, "service", row.Service, "path", row.Path, "kind", row.Kind, "active", row.Active)
+		e.gauge("standing_number", row.Number,
+			"region", row.Region, "service", row.Service, "path", row.Path, "kind", row.Kind, "active", row.Active)
 	}
-	if s.Routed != nil {
-		gauge("routes", uint64(s.Routed.Routes))
-		for _, service := range s.Routed.Services {
-			gauge("back_ends", uint64(service.Ready), "service", service.Name, "state", "ready")
-			gauge("back_ends", uint64(service.Draining), "service", service.Name, "state", "draining")
-			gauge("back_ends_cold", uint64(service.Cold), "service", service.Name)
-			if service.Keyed {
-				gauge("keys_unheld", uint64(service.Unheld), "service", service.Name)
-			}
+}
+
+func (e *exposition) addRouted(r *RoutedStatus) {
+	e.gauge("routes", uint64(r.Routes))
+	for _, service := range r.Services {
+		e.gauge("back_ends", uint64(service.Ready), "service", service.Name, "state", "ready")
+		e.gauge("back_ends", uint64(service.Draining), "service", service.Name, "state", "draining")
+		e.gauge("back_ends_cold", uint64(service.Cold), "service", service.Name)
+		if service.Keyed {
+			e.gauge("keys_unheld", uint64(service.Unheld), "service", service.Name)
 		}
 	}
-	metrics.WriteProcessMetrics(&text)
-	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	w.Write(text.Bytes())
 }
 
 // labelled writes pairs of names and values as labels; empty values are left out.
