--- a/internal/controlplane/export_test.go
+++ b/internal/controlplane/export_test.go
@@ -19,4 +19,4 @@
 func (c *Machine) Quorum() *raft.Node { return c.quorum }
 
 // Source is the machine that this one takes rows from, and FreshAt when a majority last confirmed its rows.
-func (c *Machine) Source() string { return c.source.address }
+func (c *Machine) Source() string { return c.subscription.Source() }
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -32,11 +32,12 @@
 
 func (c *Machine) heartbeatTarget() string {
 	isLeaderKnown := c.leader != "" && c.leader != c.self.Address && c.now-c.leaderAt <= constants.NodeLostAfter
+	source, isSourceAlive := c.subscription.LiveSource(c.now)
 	switch {
 	case c.view.Nodes[c.self.Id] == nil && c.leader != "" && c.leader != c.self.Address && c.serial%2 == 0:
 		return c.leader
-	case c.quorum == nil && c.source.isAlive(c.now):
-		return c.source.address
+	case c.quorum == nil && isSourceAlive:
+		return source
 	case isLeaderKnown:
 		return c.leader
 	}
--- /dev/null
+++ b/internal/controlplane/known.go
@@ -0,0 +1,45 @@
+package controlplane
+
+import (
+	"maps"
+	"slices"
+
+	"topazshed/internal/schema"
+)
+
+// fleetView is what a machine's parts may know of the nodes around it.
+type fleetView struct{ machine *Machine }
+
+// HasSystem tells whether the node has joined a system.
+func (v fleetView) HasSystem() bool { return v.machine.system != "" }
+
+// HasState tells whether the node holds rows of its system.
+func (v fleetView) HasState() bool { return v.machine.view.System != "" }
+
+// Addresses gives the addresses of the other known nodes that fit.
+func (v fleetView) Addresses(isFit func(*schema.Node) bool) []string { return v.machine.known(isFit) }
+
+// pick draws one of the known nodes that fit, or a seed if there is none.
+func (c *Machine) pick(isFit func(*schema.Node) bool) string {
+	options := c.known(isFit)
+	if len(options) == 0 {
+		options = c.options.Seeds
+	}
+	return options[c.options.Draw(int64(len(options)))]
+}
+
+// known gives the addresses of the other nodes that fit, of the views and of the table.
+func (c *Machine) known(isFit func(*schema.Node) bool) []string {
+	var addresses []string
+	for _, node := range c.peerSampler.Known() {
+		if isFit(node) {
+			addresses = append(addresses, node.Address)
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
+		if node := c.view.Nodes[id]; id != c.self.Id && isFit(node) && node.State != schema.NodeState_NODE_LOST && !slices.Contains(addresses, node.Address) {
+			addresses = append(addresses, node.Address)
+		}
+	}
+	return addresses
+}
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -14,9 +14,11 @@
 	"topazshed/internal/constants"
 	"topazshed/internal/discovery"
 	"topazshed/internal/failover"
+	"topazshed/internal/inflight"
 	"topazshed/internal/membership"
 	"topazshed/internal/protocolversion"
 	"topazshed/internal/raft"
+	"topazshed/internal/replication"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 	"topazshed/internal/timing"
@@ -118,12 +120,6 @@
 	hasWay bool
 }
 
-// asked is a question to another node, by whose number its answer is known: when it was sent, and to whom.
-type asked struct {
-	at time.Duration
-	to string
-}
-
 type nodeRecord struct {
 	until              time.Duration
 	oldestIndex        uint64
@@ -136,22 +132,6 @@
 	node               *schema.Node
 }
 
-type subscriber struct {
-	prefixes []string
-	wanted   []string
-	sent     uint64
-	serial   uint64
-	renewed  time.Duration
-	sentAt   time.Duration
-}
-
-// questionsKept (questions) of a kind are remembered until their answers come: heartbeats and subscriptions of half a minute.
-const questionsKept = 64
-
-// FirstNumberMost bounds the first number of a life's questions: two lives in hundreds of millions begin within reach of each other, and five
-// bytes hold it.
-const FirstNumberMost = 1 << 34
-
 // Machine is the machine.
 type Machine struct {
 	options            Options
@@ -171,18 +151,12 @@
 	leader             string
 	leaderAt           time.Duration
 	heartbeatAt        time.Duration
-	heartbeats         map[uint64]asked
+	heartbeats         *inflight.Requests
 	serial             uint64
 	leaseUntil         time.Duration
 	freshAt            time.Duration
-	held               map[string]bool
-	wanted             map[string]time.Duration
-	source             source
-	subSerial          uint64
-	subAt              time.Duration
-	subs               map[uint64]asked
-	digestAt           time.Duration
-	subscriber         map[string]*subscriber
+	subscription       *replication.Subscription
+	publisher          *replication.Publisher
 	nodes              map[string]*nodeRecord
 	planAt             time.Duration
 	wasLeader          bool
@@ -230,8 +204,7 @@
 // New restores a node from its journal, or makes an empty one.
 func New(now time.Duration, options Options) *Machine {
 	c := &Machine{options: options, log: options.Log, self: proto.Clone(options.Self).(*schema.Node), system: options.System,
-		table: store.NewTable(), view: store.NewView(), endpoints: discovery.New(), heartbeats: map[uint64]asked{}, held: map[string]bool{},
-		wanted: map[string]time.Duration{}, subs: map[uint64]asked{}, subscriber: map[string]*subscriber{}, nodes: map[string]*nodeRecord{},
+		table: store.NewTable(), view: store.NewView(), endpoints: discovery.New(), nodes: map[string]*nodeRecord{},
 		releasedAt: map[uint64]time.Duration{}, reads: map[uint64]*pendingRequest{}, seeds: map[string]time.Duration{}, empties: map[string]bool{},
 		peers: map[string]time.Duration{}, pending: map[string]uint64{}, verdicts: map[uint64]string{}, fences: map[string]time.Duration{}, opened: map[string]time.Duration{}, openedAs: map[string]uint64{}, addresses: map[string]string{}, now: now, tickedAt: now, speaks: options.Speaks.OrOwn(), refusedNodes: map[string]uint64{}}
 	c.timing = timing.ForEntries()
@@ -239,8 +212,9 @@
 		c.timing = timing.ForRoutes(options.Routed.Quiet)
 		c.routed = newRoutedState(options)
 	}
-	c.source.staleAt = map[string]time.Duration{}
-	c.serial, c.subSerial = c.firstNumber(), c.firstNumber()
+	c.heartbeats = inflight.New(c.firstSerial())
+	c.subscription = c.newSubscription(c.firstSerial())
+	c.publisher = replication.NewPublisher(c.table, c.timing.DeltaInterval)
 	c.peerSampler = membership.New(membership.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Pace: c.timing.Sampler})
 	if options.Self.Disk {
 		if options.Snapshot != nil {
@@ -256,8 +230,8 @@
 	return c
 }
 
-// firstNumber draws where this life of the process begins to number its questions, so that an answer to a former life's is known as such.
-func (c *Machine) firstNumber() uint64 { return uint64(c.options.Draw(FirstNumberMost)) }
+// firstSerial draws where this incarnation begins to number its requests, so that a response to a former incarnation's is known as stale.
+func (c *Machine) firstSerial() uint64 { return uint64(c.options.Draw(inflight.FirstSerialLimit)) }
 
 // Whole gives the snapshot at the applied index, for a follower or for the disk.
 func (c *Machine) Whole() *schema.Snapshot {
@@ -301,9 +275,7 @@
 	}
 	c.options.Seeds = slices.Clone(seeds)
 	c.peerSampler.SetSeeds(c.options.Seeds)
-	if c.view.System == "" {
-		c.source.address = ""
-	}
+	c.subscription.SetSeeds(c.options.Seeds)
 	c.log.Info("other seeds are asked from now on", "seeds", seeds)
 }
 
@@ -333,12 +305,9 @@
 
 // Want asks for a service's slice.
 func (c *Machine) Want(now time.Duration, service string) {
-	prefix := store.ServicePrefix(service)
-	isNew := !c.held[prefix]
-	c.wanted[prefix] = now
 	c.now = now
-	if isNew && c.quorum == nil {
-		c.subscribe()
+	if c.quorum == nil {
+		c.sendAll(c.subscription.Want(now, service))
 	}
 }
 
@@ -439,20 +408,14 @@
 	case *schema.Frame_HeartbeatResponse:
 		c.takeLease(f, body.HeartbeatResponse)
 	case *schema.Frame_Subscribe:
-		c.takeSubscribe(f.Address, body.Subscribe)
+		c.sendAll(c.publisher.Subscribe(now, c.confirmation(), f.Address, body.Subscribe))
 	case *schema.Frame_Delta:
 		c.takeDelta(f.Address, body.Delta)
 	case *schema.Frame_DigestRequest:
-		if body.DigestRequest.Version == c.table.Version() {
-			c.send(f.Address, &schema.Frame{Body: &schema.Frame_DigestResponse{DigestResponse: &schema.DigestResponse{Version: body.DigestRequest.Version, Differing: c.table.Differing(body.DigestRequest.Ranges)}}})
-		}
+		c.sendAll(c.publisher.CompareDigests(f.Address, body.DigestRequest))
 	case *schema.Frame_DigestResponse:
-		if f.Address == c.source.address && len(body.DigestResponse.Differing) > 0 {
-			c.log.Warn("ranges differ from the source and are fetched again", "ranges", body.DigestResponse.Differing)
-			for _, prefix := range body.DigestResponse.Differing {
-				c.hold(prefix, false)
-			}
-			c.subscribe()
+		if c.quorum == nil {
+			c.sendAll(c.subscription.TakeDigests(now, f.Address, body.DigestResponse))
 		}
 	case *schema.Frame_OperatorRequest:
 		c.operate(&pendingRequest{call: f.Call, to: f.Address, request: body.OperatorRequest})
@@ -509,9 +472,9 @@
 	}
 	c.seekSystem()
 	if c.quorum == nil {
-		c.keepSource()
+		c.sendAll(c.subscription.Tick(now))
 	}
-	c.spread()
+	c.publishDeltas()
 	c.expire()
 }
 
@@ -567,7 +530,7 @@
 		return
 	}
 	c.heartbeatAt = c.now
-	c.serial++
+	c.serial = c.heartbeats.Next()
 	b := &schema.Heartbeat{Node: c.spoken(c.peerSampler.Self()), Version: c.table.Version(), Health: c.healthReports, Suspects: c.peerSampler.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isReservationReady, OldestIndex: c.oldestIndex}
 	if c.routed != nil {
 		b.Load = c.routed.takeLoad(c.now)
@@ -591,33 +554,7 @@
 }
 
 func (c *Machine) noteHeartbeatSent(to string) {
-	c.heartbeats[c.serial] = asked{c.now, to}
-	delete(c.heartbeats, c.serial-questionsKept)
-}
-
-// pick draws one of the known nodes that fit, or a seed if there is none.
-func (c *Machine) pick(isFit func(*schema.Node) bool) string {
-	options := c.known(isFit)
-	if len(options) == 0 {
-		options = c.options.Seeds
-	}
-	return options[c.options.Draw(int64(len(options)))]
-}
-
-// known gives the addresses of the other nodes that fit, of the views and of the table.
-func (c *Machine) known(isFit func(*schema.Node) bool) []string {
-	var addresses []string
-	for _, node := range c.peerSampler.Known() {
-		if isFit(node) {
-			addresses = append(addresses, node.Address)
-		}
-	}
-	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
-		if node := c.view.Nodes[id]; id != c.self.Id && isFit(node) && node.State != schema.NodeState_NODE_LOST && !slices.Contains(addresses, node.Address) {
-			addresses = append(addresses, node.Address)
-		}
-	}
-	return addresses
+	c.heartbeats.Sent(c.now, to)
 }
 
 func (c *Machine) takeHeartbeat(f *schema.Frame, b *schema.Heartbeat) {
@@ -667,13 +604,12 @@
 		return
 	}
 	c.leader, c.leaderAt = f.Address, c.now
-	heartbeat, isKnown := c.heartbeats[o.Serial]
-	if !isKnown || heartbeat.to != f.Address {
-		c.staleResponses++
+	sentAt, isKnown := c.heartbeats.Match(o.Serial, f.Address)
+	if !isKnown {
 		return
 	}
 	if o.LeaseMs > 0 {
-		c.leaseUntil = max(c.leaseUntil, heartbeat.at+time.Duration(o.LeaseMs)*time.Millisecond)
+		c.leaseUntil = max(c.leaseUntil, sentAt+time.Duration(o.LeaseMs)*time.Millisecond)
 	}
 }
 
@@ -736,9 +672,9 @@
 
 // Local gives what the hot path may rely on now.
 func (c *Machine) Local() *Local {
-	l := &Local{View: c.view, HeldPrefixes: c.held, IsFull: c.isFull(), FreshAt: c.freshAt, LeaseUntil: c.leaseUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
+	l := &Local{View: c.view, HeldPrefixes: c.subscription.Held(), IsFull: c.isFull(), FreshAt: c.rowsFreshAt(), LeaseUntil: c.leaseUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
 		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
-		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", StaleResponses: c.staleResponses}
+		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", StaleResponses: c.staleResponses + c.heartbeats.Stale() + c.subscription.StaleResponses()}
 	if c.quorum != nil {
 		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), c.quorum.Term(), c.quorum.Commit(), c.quorum.Members(), c.quorum.First()
 		if c.quorum.Role() == raft.Leader {
@@ -797,7 +733,7 @@
 	if c.quorum != nil {
 		c.apply()
 		c.refresh()
-		c.spread()
+		c.publishDeltas()
 	}
 	if c.refused != nil {
 		return Effects{}
@@ -855,7 +791,7 @@
 	for _, ticket := range effects.Quorum.LostReads {
 		c.loseRead(ticket)
 	}
-	c.spread()
+	c.publishDeltas()
 }
 
 func (c *Machine) refresh() {
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -3,7 +3,6 @@
 import (
 	"crypto/sha256"
 	"slices"
-	"strings"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -288,15 +287,8 @@
 			c.reply(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER, Message: "no majority answered in time; ask again"})
 		}
 	}
-	for prefix, at := range c.wanted {
-		if c.now-at > 10*time.Minute {
-			delete(c.wanted, prefix)
-			c.hold(prefix, false)
-			gone := c.table.Rows([]string{prefix})
-			if c.quorum == nil && len(gone) > 0 && strings.HasPrefix(prefix, "s/") {
-				c.publish(c.table.Forget(c.prefixes()))
-			}
-		}
+	if c.quorum == nil {
+		c.perform(c.subscription.DropUnwanted(c.now))
 	}
 }
 
--- /dev/null
+++ b/internal/controlplane/replicate.go
@@ -0,0 +1,104 @@
+package controlplane
+
+import (
+	"time"
+
+	"topazshed/internal/constants"
+	"topazshed/internal/frame"
+	"topazshed/internal/raft"
+	"topazshed/internal/replication"
+	"topazshed/internal/schema"
+	"topazshed/internal/store"
+)
+
+// newSubscription makes the reader's side of replication; a node that keeps the log has one too and never steps it.
+func (c *Machine) newSubscription(firstSerial uint64) *replication.Subscription {
+	options := replication.SubscriptionOptions{
+		Region:      c.self.Region,
+		Seeds:       c.options.Seeds,
+		FirstSerial: firstSerial,
+		Draw:        c.options.Draw,
+		Log:         c.log,
+		Base:        store.Common,
+		RenewEvery:  c.timing.SubscribeInterval,
+		DigestEvery: c.timing.DigestInterval,
+	}
+	if c.routed != nil {
+		options.Base = store.Routed
+		options.BaseOnly = true
+		options.PrefersHome = true
+		options.RemoteAfter = c.timing.RemoteSourceAfter
+	}
+	return replication.NewSubscription(options, c.table, fleetView{c})
+}
+
+// confirmation is what this node may tell its subscribers about its rows now.
+func (c *Machine) confirmation() replication.Confirmation {
+	if !c.isFull() {
+		return replication.Confirmation{}
+	}
+	confirmation := replication.Confirmation{IsMember: true, Age: c.now - c.freshAt}
+	if c.quorum.Role() == raft.Leader {
+		confirmation.Age = c.now - c.quorum.Contact()
+	}
+	if c.routed != nil {
+		confirmation.Leader = c.leader
+	}
+	return confirmation
+}
+
+// publishDeltas sends its subscribers what has changed.
+func (c *Machine) publishDeltas() {
+	c.sendAll(c.publisher.Tick(c.now, c.confirmation()))
+}
+
+// takeDelta takes rows from the source; a node that keeps the log asks for none.
+func (c *Machine) takeDelta(from string, delta *schema.Delta) {
+	if c.quorum != nil {
+		c.staleResponses++
+		return
+	}
+	c.perform(c.subscription.TakeDelta(c.now, from, delta))
+}
+
+// perform carries out what the subscription asks for.
+func (c *Machine) perform(effects replication.Effects) {
+	c.sendAll(effects.Sends)
+	if effects.Leader != nil {
+		c.leader, c.leaderAt = effects.Leader.Address, effects.Leader.SeenAt
+	}
+	if effects.IsInstalled {
+		c.publish(effects.Changed)
+	}
+}
+
+// rowsFreshAt is the latest instant for which a majority has confirmed this node's rows.
+func (c *Machine) rowsFreshAt() time.Duration {
+	if c.quorum == nil {
+		return c.subscription.FreshAt()
+	}
+	return c.freshAt
+}
+
+func (c *Machine) sendAll(envelopes []frame.Envelope) {
+	for _, envelope := range envelopes {
+		c.send(envelope.To, envelope.Frame)
+	}
+}
+
+// seekSystem asks around for members of the log while this node has no source of rows.
+func (c *Machine) seekSystem() {
+	if c.routed == nil || c.quorum != nil {
+		return
+	}
+	_, isSourceAlive := c.subscription.LiveSource(c.now)
+	if isSourceAlive && c.view.System != "" || c.now-c.whoAt < constants.WhoEvery {
+		return
+	}
+	c.whoAt = c.now
+	to := c.options.Seeds[c.options.Draw(int64(len(c.options.Seeds)))]
+	if known := c.peerSampler.Known(); len(known) > 0 && c.options.Draw(2) == 0 {
+		to = known[c.options.Draw(int64(len(known)))].Address
+	}
+	c.send(to, &schema.Frame{Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: c.peerSampler.Self()}}})
+}
--- a/internal/controlplane/source_test.go
+++ b/internal/controlplane/source_test.go
@@ -26,6 +26,7 @@
 			}
 			begun := time.Hour
 			first, heardAt, leftAt := "", begun, time.Duration(0)
+			serial := uint64(0)
 			for now := begun; now < begun+8*time.Second && leftAt == 0; now += 50 * time.Millisecond {
 				core.Tick(now)
 				for _, send := range core.Take().Sends {
@@ -35,6 +36,7 @@
 					if send.Frame.GetSubscribe() == nil {
 						continue
 					}
+					serial = send.Frame.GetSubscribe().Serial
 					switch {
 					case first == "":
 						first, heardAt = send.To, now
@@ -44,7 +46,7 @@
 				}
 				if first != "" && now < begun+c.speaks {
 					heardAt = now
-					core.Receive(now, &schema.Frame{System: "x", From: first, Address: first, Body: &schema.Frame_Delta{Delta: &schema.Delta{Serial: core.subSerial}}})
+					core.Receive(now, &schema.Frame{System: "x", From: first, Address: first, Body: &schema.Frame_Delta{Delta: &schema.Delta{Serial: serial}}})
 				}
 			}
 			if most := constants.SourceTimeout + 2*constants.RoutedTick; leftAt == 0 || leftAt-heardAt > most {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,6 +29,7 @@
 	"topazshed/internal/frame"
 	"topazshed/internal/gateway"
 	"topazshed/internal/idempotency"
+	"topazshed/internal/inflight"
 	"topazshed/internal/journal"
 	"topazshed/internal/proxy"
 	"topazshed/internal/schema"
@@ -114,7 +115,7 @@
 	n.context, n.cancel = context.WithCancel(context.Background())
 	n.local.Store(&controlplane.Local{View: store.NewView()})
 	n.disk.Store(&adminapi.Disk{Folder: s.Data})
-	n.serial.Store(uint64(draw(controlplane.FirstNumberMost)))
+	n.serial.Store(uint64(draw(inflight.FirstSerialLimit)))
 	if err := n.start(); err != nil {
 		n.cancel()
 		return nil, errors.Join(err, n.Close())
--- /dev/null
+++ b/internal/replication/source.go
@@ -0,0 +1,88 @@
+package replication
+
+import (
+	"time"
+
+	"topazshed/internal/constants"
+	"topazshed/internal/schema"
+)
+
+// source is the member of the log that a reader takes its rows from, with what the reader knows of members that it left.
+type source struct {
+	// address is "" before one is chosen.
+	address  string
+	chosenAt time.Duration
+	// confirmedAt is when it last sent rows that a majority had confirmed shortly before; 0 is never.
+	confirmedAt time.Duration
+	// failedAt is when each member was last found silent, or with rows that no majority had confirmed lately.
+	failedAt map[string]time.Duration
+	// tries counts the members chosen since seekingSince, when the last good source was lost; triedAt is when the last one was chosen.
+	tries        int
+	triedAt      time.Duration
+	seekingSince time.Duration
+}
+
+// isAlive tells whether the source may still be relied on.
+func (s *source) isAlive(now time.Duration) bool {
+	return s.address != "" && now-max(s.chosenAt, s.confirmedAt) <= constants.SourceTimeout
+}
+
+// isConfirmed tells whether the source sent confirmed rows lately.
+func (s *source) isConfirmed(now time.Duration) bool {
+	return now-s.confirmedAt <= constants.SourceTimeout
+}
+
+// isSeeking tells whether the last good source was lost and none has been found since.
+func (s *source) isSeeking() bool { return s.seekingSince > 0 }
+
+// choose takes another member as the source; it must still prove itself by sending confirmed rows.
+func (s *source) choose(now time.Duration, address string) {
+	s.address = address
+	s.chosenAt = now
+	s.triedAt = now
+	s.confirmedAt = 0
+	s.tries++
+}
+
+// confirm notes that a member sends rows that a majority has confirmed, which makes it the source.
+func (s *source) confirm(now time.Duration, address string) {
+	s.address = address
+	s.confirmedAt = now
+	s.tries = 0
+	s.seekingSince = 0
+	delete(s.failedAt, address)
+}
+
+// fail notes that a member is silent or sends old rows; if it is the source, another one is needed.
+func (s *source) fail(now time.Duration, address string) {
+	s.failedAt[address] = now
+	if s.seekingSince == 0 {
+		s.seekingSince = now
+	}
+	if address == s.address {
+		s.chosenAt = 0
+		s.confirmedAt = 0
+	}
+}
+
+// failIfUnresponsive notes the failure of a source that timed out, once.
+func (s *source) failIfUnresponsive(now time.Duration) {
+	if s.address != "" && s.chosenAt > 0 {
+		s.fail(now, s.address)
+	}
+}
+
+// isTryDue bounds how often members are tried in turn while all of them are silent or have old rows.
+func (s *source) isTryDue(now time.Duration) bool {
+	pause := min(time.Duration(s.tries)*constants.SourceTryPause, constants.SourceTryPauseMost)
+	return now-s.triedAt >= pause
+}
+
+// isCandidate tells whether a node may be tried as the next source.
+func (s *source) isCandidate(now time.Duration, node *schema.Node) bool {
+	if !node.Disk || node.Address == s.address {
+		return false
+	}
+	failedAt, hasFailed := s.failedAt[node.Address]
+	return !hasFailed || now-failedAt > constants.SourceTimeout
+}
--- /dev/null
+++ b/internal/replication/subscription.go
@@ -0,0 +1,378 @@
+package replication
+
+import (
+	"log/slog"
+	"maps"
+	"slices"
+	"time"
+
+	"topazshed/internal/constants"
+	"topazshed/internal/frame"
+	"topazshed/internal/inflight"
+	"topazshed/internal/schema"
+	"topazshed/internal/store"
+)
+
+const (
+	// wantedFor is how long a service's rows are kept after they were last asked for.
+	wantedFor = 10 * time.Minute
+	// remoteSourceOdds is how many choices of a source a reader that does not prefer its own region makes for one in another region.
+	remoteSourceOdds = 4
+)
+
+// ReaderTable is the table of a reader; only its Subscription changes it.
+type ReaderTable interface {
+	// Version is the log index that the table stands at.
+	Version() uint64
+	// Rows gives all rows below the prefixes.
+	Rows(prefixes []string) []*schema.Row
+	// Digest is the digest of all rows below a prefix.
+	Digest(prefix string) *schema.RangeDigest
+	// Merge takes a delta and gives the rows that it changed; it tells false for a delta that is older or leaves a gap.
+	Merge(delta *schema.Delta) ([]*schema.Row, bool)
+	// Forget drops the rows that are below none of the prefixes, and gives tombstones of them.
+	Forget(prefixes []string) []*schema.Row
+}
+
+// Fleet is what a Subscription must know of the system that its node belongs to.
+type Fleet interface {
+	// HasSystem tells whether the node has joined a system.
+	HasSystem() bool
+	// HasState tells whether the node holds rows of its system, and so knows the system's nodes.
+	HasState() bool
+	// Addresses gives the addresses of the other known nodes that fit, in a fixed order.
+	Addresses(isFit func(*schema.Node) bool) []string
+}
+
+// SubscriptionOptions make a Subscription; all but RemoteAfter and BaseOnly must be set.
+type SubscriptionOptions struct {
+	// Region is that of the reader.
+	Region string
+	// Seeds are the addresses to try while the reader knows no member of the log.
+	Seeds []string
+	// FirstSerial is the number before that of the first subscription; see package inflight.
+	FirstSerial uint64
+	// Draw gives a number below its argument from the node's seeded source.
+	Draw func(int64) int64
+	Log  *slog.Logger
+	// Base are the prefixes that every reader holds.
+	Base []string
+	// BaseOnly says that wanted services need no subscription of their own, since Base has all rows.
+	BaseOnly bool
+	// RenewEvery is the pause between two renewals of the subscription.
+	RenewEvery time.Duration
+	// DigestEvery is the pause between two comparisons of digests with the source.
+	DigestEvery time.Duration
+	// PrefersHome says that a source in another region is taken only once none was found in the own region for RemoteAfter, and that it is
+	// left as soon as one is found there. Otherwise one choice in remoteSourceOdds falls on another region.
+	PrefersHome bool
+	// RemoteAfter is how long a source of the own region is sought first.
+	RemoteAfter time.Duration
+}
+
+// LeaderHint is where a source saw the leader.
+type LeaderHint struct {
+	Address string
+	// SeenAt is when the source last heard of it, by this node's clock.
+	SeenAt time.Duration
+}
+
+// Effects are what a Subscription asks of its owner: to send the envelopes in their order, then to publish.
+type Effects struct {
+	Sends []frame.Envelope
+	// IsInstalled says that the table changed; Changed are the rows that did.
+	IsInstalled bool
+	Changed     []*schema.Row
+	// Leader is nil if the delta told nothing fresh of the leader.
+	Leader *LeaderHint
+}
+
+// Subscription is the side of a reader. It owns the choice of the source, the prefixes held and wanted, and the subscriptions in flight.
+type Subscription struct {
+	options  SubscriptionOptions
+	table    ReaderTable
+	fleet    Fleet
+	source   source
+	requests *inflight.Requests
+	// held is replaced, never changed, since readers of other goroutines hold it.
+	held map[string]bool
+	// wanted is when each further prefix was last asked for.
+	wanted      map[string]time.Duration
+	renewedAt   time.Duration
+	comparedAt  time.Duration
+	homeAskedAt time.Duration
+	freshAt     time.Duration
+}
+
+// NewSubscription makes a Subscription that holds no rows and has no source yet.
+func NewSubscription(options SubscriptionOptions, table ReaderTable, fleet Fleet) *Subscription {
+	return &Subscription{
+		options:  options,
+		table:    table,
+		fleet:    fleet,
+		source:   source{failedAt: map[string]time.Duration{}},
+		requests: inflight.New(options.FirstSerial),
+		held:     map[string]bool{},
+		wanted:   map[string]time.Duration{},
+	}
+}
+
+// Source is the address of the current source; "" is none.
+func (s *Subscription) Source() string { return s.source.address }
+
+// LiveSource is the address of the source if it may still be relied on; it tells false if not.
+func (s *Subscription) LiveSource(now time.Duration) (string, bool) {
+	return s.source.address, s.source.isAlive(now)
+}
+
+// FreshAt is the latest instant for which a majority has confirmed the rows; 0 is never.
+func (s *Subscription) FreshAt() time.Duration { return s.freshAt }
+
+// Held are the prefixes whose rows this reader has. The map is never changed once it is given out.
+func (s *Subscription) Held() map[string]bool { return s.held }
+
+// StaleResponses counts the deltas that answered no subscription of this incarnation.
+func (s *Subscription) StaleResponses() uint64 { return s.requests.Stale() }
+
+// SetSeeds takes other seeds. A reader without rows lets go of its source, which was one of the former seeds.
+func (s *Subscription) SetSeeds(seeds []string) {
+	s.options.Seeds = seeds
+	if !s.fleet.HasState() {
+		s.source.address = ""
+	}
+}
+
+// Want asks for a service's rows for the next minutes.
+func (s *Subscription) Want(now time.Duration, service string) []frame.Envelope {
+	prefix := store.ServicePrefix(service)
+	s.wanted[prefix] = now
+	if s.held[prefix] {
+		return nil
+	}
+	return s.subscribe(now)
+}
+
+// Tick renews the subscription, or turns to another source if this one is silent or sends old rows.
+func (s *Subscription) Tick(now time.Duration) []frame.Envelope {
+	if !s.source.isAlive(now) {
+		s.source.failIfUnresponsive(now)
+		if s.source.isTryDue(now) && s.chooseSource(now) {
+			return s.subscribe(now)
+		}
+	}
+	if now-s.renewedAt < s.options.RenewEvery {
+		return nil
+	}
+	envelopes := s.subscribe(now)
+	return append(envelopes, s.askAtHome(now)...)
+}
+
+// DropUnwanted lets go of the services that nobody asked for lately.
+func (s *Subscription) DropUnwanted(now time.Duration) Effects {
+	var effects Effects
+	for prefix, wantedAt := range s.wanted {
+		if now-wantedAt <= wantedFor {
+			continue
+		}
+		delete(s.wanted, prefix)
+		s.setHeld(prefix, false)
+		if len(s.table.Rows([]string{prefix})) > 0 {
+			effects.IsInstalled = true
+			effects.Changed = append(effects.Changed, s.table.Forget(s.prefixes())...)
+		}
+	}
+	return effects
+}
+
+// TakeDelta installs the rows of a delta if it answers a subscription of this incarnation and joins the table without a gap.
+func (s *Subscription) TakeDelta(now time.Duration, from string, delta *schema.Delta) Effects {
+	askedAt, isKnown := s.requests.Match(delta.Serial, from)
+	if !isKnown {
+		return Effects{}
+	}
+	age := time.Duration(delta.AgeMs) * time.Millisecond
+	isConfirmed := age < constants.SourceTimeout
+	if !s.mayTake(now, from, isConfirmed) {
+		return Effects{}
+	}
+	changed, isMerged := s.table.Merge(delta)
+	if !isMerged {
+		return s.afterRefusedDelta(now, delta)
+	}
+	if isConfirmed {
+		s.source.confirm(now, from)
+	} else {
+		s.source.fail(now, from)
+	}
+	for _, prefix := range delta.Whole {
+		s.setHeld(prefix, true)
+	}
+	s.freshAt = max(s.freshAt, askedAt-age)
+	effects := Effects{IsInstalled: true, Changed: changed}
+	if delta.Leader != "" && age < constants.NodeLostAfter {
+		effects.Leader = &LeaderHint{Address: delta.Leader, SeenAt: now - age}
+	}
+	return effects
+}
+
+// afterRefusedDelta asks again from the table's version if a delta begins after it; an older delta needs nothing.
+func (s *Subscription) afterRefusedDelta(now time.Duration, delta *schema.Delta) Effects {
+	if delta.From <= s.table.Version() {
+		return Effects{}
+	}
+	return Effects{Sends: s.subscribe(now)}
+}
+
+// TakeDigests fetches the ranges again whose rows differ from the source's.
+func (s *Subscription) TakeDigests(now time.Duration, from string, response *schema.DigestResponse) []frame.Envelope {
+	if from != s.source.address || len(response.Differing) == 0 {
+		return nil
+	}
+	s.options.Log.Warn("rows differ from the source's and are fetched again", "ranges", response.Differing)
+	for _, prefix := range response.Differing {
+		s.setHeld(prefix, false)
+	}
+	return s.subscribe(now)
+}
+
+// mayTake tells whether rows are taken from a node: from the source always; from another node that was asked only if its rows are confirmed,
+// and the source's are not or the source is farther away.
+func (s *Subscription) mayTake(now time.Duration, from string, isConfirmed bool) bool {
+	switch {
+	case from == s.source.address:
+		return true
+	case !isConfirmed:
+		return false
+	case !s.source.isConfirmed(now):
+		return true
+	}
+	return s.options.PrefersHome && s.isAtHome(from) && !s.isAtHome(s.source.address)
+}
+
+func (s *Subscription) isAtHome(address string) bool {
+	isMatch := func(node *schema.Node) bool {
+		return node.Address == address && node.Region == s.options.Region
+	}
+	return len(s.fleet.Addresses(isMatch)) > 0
+}
+
+// chooseSource takes another member of the log as the source; it tells false if there is no other.
+func (s *Subscription) chooseSource(now time.Duration) bool {
+	candidates := s.candidates(now)
+	if len(candidates) == 0 {
+		return false
+	}
+	s.source.choose(now, s.drawOne(candidates))
+	return true
+}
+
+// candidates are the members to choose a source from: those of the own region unless one elsewhere is due, or a seed if none is known.
+func (s *Subscription) candidates(now time.Duration) []string {
+	hasSource := s.source.address != ""
+	candidates := s.fleet.Addresses(func(node *schema.Node) bool {
+		return s.source.isCandidate(now, node) && node.Region == s.options.Region
+	})
+	if s.isRemoteDue(now) || !hasSource && len(candidates) == 0 {
+		remote := s.fleet.Addresses(func(node *schema.Node) bool {
+			return s.source.isCandidate(now, node) && node.Region != s.options.Region
+		})
+		if len(remote) > 0 {
+			candidates = remote
+		}
+	}
+	if len(candidates) == 0 && (!hasSource || !s.fleet.HasState()) {
+		candidates = s.options.Seeds
+	}
+	return candidates
+}
+
+// isRemoteDue tells whether the next source shall be in another region.
+func (s *Subscription) isRemoteDue(now time.Duration) bool {
+	if !s.options.PrefersHome {
+		return s.options.Draw(remoteSourceOdds) == 0
+	}
+	return s.source.isSeeking() && now-s.source.seekingSince > s.options.RemoteAfter
+}
+
+// askAtHome asks a member of the own region for rows while the source is elsewhere, since bytes between regions are dear. That member becomes
+// the source once it sends confirmed rows.
+func (s *Subscription) askAtHome(now time.Duration) []frame.Envelope {
+	if !s.options.PrefersHome || now-s.homeAskedAt < constants.HomeSourceEvery || s.source.isSeeking() {
+		return nil
+	}
+	members := s.fleet.Addresses(func(node *schema.Node) bool {
+		return node.Disk && node.Region == s.options.Region
+	})
+	if len(members) == 0 || slices.Contains(members, s.source.address) {
+		return nil
+	}
+	s.homeAskedAt = now
+	return []frame.Envelope{s.newRequest(now, s.drawOne(members))}
+}
+
+// subscribe asks the source for what has changed, and compares digests with it when that is due.
+func (s *Subscription) subscribe(now time.Duration) []frame.Envelope {
+	if !s.fleet.HasSystem() {
+		return nil
+	}
+	if s.source.address == "" && !s.chooseSource(now) {
+		return nil
+	}
+	s.renewedAt = now
+	envelopes := []frame.Envelope{s.newRequest(now, s.source.address)}
+	if now-s.comparedAt < s.options.DigestEvery {
+		return envelopes
+	}
+	s.comparedAt = now
+	if digests := s.digests(); len(digests.Ranges) > 0 {
+		envelopes = append(envelopes, digestRequestEnvelope(s.source.address, digests))
+	}
+	return envelopes
+}
+
+func (s *Subscription) newRequest(now time.Duration, to string) frame.Envelope {
+	request := &schema.Subscribe{Version: s.table.Version(), Serial: s.requests.Next()}
+	s.requests.Sent(now, to)
+	for _, prefix := range s.prefixes() {
+		if s.held[prefix] {
+			request.Prefixes = append(request.Prefixes, prefix)
+		} else {
+			request.Wanted = append(request.Wanted, prefix)
+		}
+	}
+	return subscribeEnvelope(to, request)
+}
+
+func (s *Subscription) digests() *schema.DigestRequest {
+	request := &schema.DigestRequest{Version: s.table.Version()}
+	for _, prefix := range s.prefixes() {
+		if s.held[prefix] {
+			request.Ranges = append(request.Ranges, s.table.Digest(prefix))
+		}
+	}
+	return request
+}
+
+// prefixes are those that this reader holds or shall hold.
+func (s *Subscription) prefixes() []string {
+	if s.options.BaseOnly {
+		return s.options.Base
+	}
+	return slices.Concat(s.options.Base, slices.Sorted(maps.Keys(s.wanted)))
+}
+
+func (s *Subscription) setHeld(prefix string, isHeld bool) {
+	if s.held[prefix] == isHeld {
+		return
+	}
+	s.held = maps.Clone(s.held)
+	if isHeld {
+		s.held[prefix] = true
+	} else {
+		delete(s.held, prefix)
+	}
+}
+
+func (s *Subscription) drawOne(addresses []string) string {
+	return addresses[s.options.Draw(int64(len(addresses)))]
+}
