--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -184,8 +184,8 @@
 	peers              map[string]time.Duration
 	proposals          *proposals.Proposer
 	verdicts           map[uint64]string
-	snapshotAt         uint64
-	knownCommit        uint64
+	snapshotAt         raft.Index
+	knownCommit        raft.Index
 	fences             map[string]time.Duration
 	behindAt           time.Duration
 	opened             map[string]time.Duration
@@ -381,7 +381,7 @@
 		if c.quorum.LeaderID() == f.From {
 			c.leader, c.leaderAt = f.Address, now
 			if body.Raft.Kind == schema.RaftKind_RAFT_APPEND {
-				c.knownCommit, c.knownCommitAt = body.Raft.Commit, now
+				c.knownCommit, c.knownCommitAt = raft.Index(body.Raft.Commit), now
 			}
 		}
 	case *schema.Frame_DiscoverRequest:
@@ -553,7 +553,7 @@
 	}
 	c.heartbeatAt = c.now
 	c.serial = c.heartbeats.Next()
-	b := &schema.Heartbeat{Node: c.spoken(c.peerSampler.Self()), Version: c.table.Version(), Health: c.healthReports, Suspects: c.peerSampler.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isReservationReady, OldestIndex: c.oldestIndex}
+	b := &schema.Heartbeat{Node: c.spoken(c.peerSampler.Self()), Version: uint64(c.table.Version()), Health: c.healthReports, Suspects: c.peerSampler.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isReservationReady, OldestIndex: c.oldestIndex}
 	if c.routed != nil {
 		b.Load = c.routed.takeLoad(c.now)
 		if healthReports := c.routed.options.HealthReports; healthReports != nil {
@@ -580,7 +580,7 @@
 }
 
 func (c *Machine) takeHeartbeat(f *schema.Frame, b *schema.Heartbeat) {
-	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: c.table.Version()}
+	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: uint64(c.table.Version())}
 	isLeader := c.IsLeading() && c.isFitNode(b.Node)
 	if isLeader {
 		response.Leader, response.Accepted = c.self.Address, true
@@ -698,7 +698,7 @@
 		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
 		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", StaleResponses: c.staleResponses + c.heartbeats.Stale() + c.subscription.StaleResponses()}
 	if c.quorum != nil {
-		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), c.quorum.Term(), c.quorum.Commit(), c.quorum.Members(), c.quorum.First()
+		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), uint64(c.quorum.Term()), uint64(c.quorum.Commit()), c.quorum.Members(), uint64(c.quorum.First())
 		if c.quorum.Role() == raft.Leader {
 			l.FreshAt = c.quorum.Contact()
 		}
@@ -799,7 +799,7 @@
 		c.view = store.Compile(c.table)
 		c.fences = map[string]time.Duration{}
 		c.noteFences(effects.Quorum.Snapshot.Rows)
-		c.snapshotAt = effects.Quorum.Snapshot.Index
+		c.snapshotAt = raft.Index(effects.Quorum.Snapshot.Index)
 		if c.guard(c.view.Fleet) != nil {
 			return
 		}
@@ -840,12 +840,12 @@
 			return
 		}
 		before := c.numbersOf(item.Record)
-		rows, err := c.table.Apply(item.Index, item.Record, failover.Check)
+		rows, err := c.table.Apply(raft.Index(item.Index), item.Record, failover.Check)
 		if err != nil {
 			c.verdicts[item.Index] = err.Error()
 			c.log.Info("record void", "index", item.Index, "reason", err.Error())
 		}
-		if c.table.Version() < item.Index {
+		if uint64(c.table.Version()) < item.Index {
 			continue
 		}
 		changed = append(changed, rows...)
@@ -870,7 +870,7 @@
 }
 
 // Compacted tells that a snapshot of that index is on disk.
-func (c *Machine) Compacted(index uint64) {
+func (c *Machine) Compacted(index raft.Index) {
 	c.snapshotAt = index
 	c.quorum.Compact(index)
 }
--- a/internal/proposals/proposals.go
+++ b/internal/proposals/proposals.go
@@ -8,37 +8,38 @@
 import (
 	"time"
 
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
 // Log accepts proposals; raft.Node implements it.
 type Log interface {
 	// Propose appends a record and gives its place in the log. It fails where this node doesn't lead.
-	Propose(now time.Duration, record *schema.Record) (index, term uint64, err error)
+	Propose(now time.Duration, record *schema.Record) (index raft.Index, term raft.Term, err error)
 }
 
 // State is the replicated state as applied so far; store.Table implements it.
 type State interface {
 	// Version is the index of the newest applied record.
-	Version() uint64
+	Version() raft.Index
 }
 
 // Position is a record's place in the log. Another term at the same index is another record.
 type Position struct {
-	Index uint64
-	Term  uint64
+	Index raft.Index
+	Term  raft.Term
 }
 
 // Proposer proposes records and remembers for each row at which index it was last proposed.
 type Proposer struct {
 	log     Log
 	state   State
-	indexes map[string]uint64
+	indexes map[string]raft.Index
 }
 
 // New gives a proposer with nothing in flight.
 func New(log Log, state State) *Proposer {
-	return &Proposer{log: log, state: state, indexes: map[string]uint64{}}
+	return &Proposer{log: log, state: state, indexes: map[string]raft.Index{}}
 }
 
 // IsInFlight tells whether a row was proposed and the proposal is not applied yet.
@@ -73,7 +74,7 @@
 
 // Reset forgets all proposals; a node that no longer leads doesn't know what became of them.
 func (p *Proposer) Reset() {
-	p.indexes = map[string]uint64{}
+	p.indexes = map[string]raft.Index{}
 }
 
 func (p *Proposer) isAnyInFlight(record *schema.Record) bool {
--- a/internal/replication/publisher.go
+++ b/internal/replication/publisher.go
@@ -7,6 +7,7 @@
 
 	"topazshed/internal/constants"
 	"topazshed/internal/frame"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
@@ -16,9 +17,9 @@
 // PublishedTable is the table that a Publisher reads; it never changes it.
 type PublishedTable interface {
 	// Version is the log index that the table stands at; 0 is an empty table.
-	Version() uint64
+	Version() raft.Index
 	// Changes gives the rows below the prefixes that changed after an index; it tells false if the table no longer remembers.
-	Changes(after uint64, prefixes []string) ([]*schema.Row, bool)
+	Changes(after raft.Index, prefixes []string) ([]*schema.Row, bool)
 	// Rows gives all rows below the prefixes.
 	Rows(prefixes []string) []*schema.Row
 	// Differing names the ranges whose digests differ from the table's.
@@ -44,7 +45,7 @@
 	serial    uint64
 	renewedAt time.Duration
 	// sent is the version that the reader has once it takes the last delta.
-	sent   uint64
+	sent   raft.Index
 	sentAt time.Duration
 }
 
@@ -74,7 +75,7 @@
 	reader.wanted = request.Wanted
 	reader.serial = request.Serial
 	reader.renewedAt = now
-	reader.sent = request.Version
+	reader.sent = raft.Index(request.Version)
 	return p.appendDelta(nil, now, confirmation, from, reader)
 }
 
@@ -96,7 +97,7 @@
 
 // CompareDigests answers a reader at the same version with the names of the ranges that differ; at another version nothing can be said.
 func (p *Publisher) CompareDigests(from string, request *schema.DigestRequest) []frame.Envelope {
-	if request.Version != p.table.Version() {
+	if raft.Index(request.Version) != p.table.Version() {
 		return nil
 	}
 	response := &schema.DigestResponse{Version: request.Version, Differing: p.table.Differing(request.Ranges)}
@@ -119,8 +120,8 @@
 func (p *Publisher) delta(confirmation Confirmation, reader *subscriber) *schema.Delta {
 	age := min(confirmation.Age, maxReportedAge)
 	delta := &schema.Delta{
-		From:   reader.sent,
-		To:     p.table.Version(),
+		From:   uint64(reader.sent),
+		To:     uint64(p.table.Version()),
 		Serial: reader.serial,
 		AgeMs:  uint32(age.Milliseconds()),
 		Leader: confirmation.Leader,
--- a/internal/replication/subscription.go
+++ b/internal/replication/subscription.go
@@ -9,6 +9,7 @@
 	"topazshed/internal/constants"
 	"topazshed/internal/frame"
 	"topazshed/internal/inflight"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -23,7 +24,7 @@
 // ReaderTable is the table of a reader; only its Subscription changes it.
 type ReaderTable interface {
 	// Version is the log index that the table stands at.
-	Version() uint64
+	Version() raft.Index
 	// Rows gives all rows below the prefixes.
 	Rows(prefixes []string) []*schema.Row
 	// Digest is the digest of all rows below a prefix.
@@ -217,7 +218,7 @@
 
 // afterRefusedDelta asks again from the table's version if a delta begins after it; an older delta needs nothing.
 func (s *Subscription) afterRefusedDelta(now time.Duration, delta *schema.Delta) Effects {
-	if delta.From <= s.table.Version() {
+	if raft.Index(delta.From) <= s.table.Version() {
 		return Effects{}
 	}
 	return Effects{Sends: s.subscribe(now)}
@@ -331,7 +332,7 @@
 }
 
 func (s *Subscription) newRequest(now time.Duration, to string) frame.Envelope {
-	request := &schema.Subscribe{Version: s.table.Version(), Serial: s.requests.Next()}
+	request := &schema.Subscribe{Version: uint64(s.table.Version()), Serial: s.requests.Next()}
 	s.requests.Sent(now, to)
 	for _, prefix := range s.prefixes() {
 		if s.held[prefix] {
@@ -344,7 +345,7 @@
 }
 
 func (s *Subscription) digests() *schema.DigestRequest {
-	request := &schema.DigestRequest{Version: s.table.Version()}
+	request := &schema.DigestRequest{Version: uint64(s.table.Version())}
 	for _, prefix := range s.prefixes() {
 		if s.held[prefix] {
 			request.Ranges = append(request.Ranges, s.table.Digest(prefix))
