--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -1,7 +1,6 @@
 package controlplane
 
 import (
-	"maps"
 	"slices"
 	"strings"
 
@@ -58,20 +57,3 @@
 		record.AtMs = c.options.Epoch.Add(c.now).UnixMilli()
 	}
 }
-
-// reports are what this leader heard last from each node; a configuration is in force where its row's index was reached.
-func (c *Machine) reports() []*schema.NodeReport {
-	head := c.table.Get(store.HeadKey).GetIndex()
-	var reports []*schema.NodeReport
-	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
-		report := &schema.NodeReport{Id: id, NeverHeard: true}
-		if id == c.self.Id {
-			report.Index, report.NeverHeard = c.table.Version(), false
-		} else if g := c.nodes[id]; g != nil && g.heard > 0 {
-			report.Index, report.HeardMs, report.NeverHeard = g.version, uint32((c.now - g.heard).Milliseconds()), false
-		}
-		report.InForce = head > 0 && report.Index >= head
-		reports = append(reports, report)
-	}
-	return reports
-}
--- a/internal/controlplane/losses_test.go
+++ b/internal/controlplane/losses_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"topazshed/internal/operations"
 	"topazshed/internal/schema"
 	"topazshed/internal/sim"
 )
@@ -39,7 +40,7 @@
 // add starts a machine with an empty disk at another address in a zone.
 func (w *world) add(zone, region string) *machine {
 	w.added++
-	m := &machine{w: w, name: fmt.Sprintf("n%02d", w.added), zone: zone, region: region, isDisk: true, isFounded: true, disk: sim.NewDisk(), answers: map[uint64]func(*schema.OperatorResponse){}}
+	m := &machine{w: w, name: fmt.Sprintf("n%02d", w.added), zone: zone, region: region, isDisk: true, isFounded: true, disk: sim.NewDisk(), answers: map[operations.Ticket]func(*schema.OperatorResponse){}}
 	w.machines = append(w.machines, m)
 	m.start()
 	return m
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -15,6 +15,7 @@
 	"topazshed/internal/discovery"
 	"topazshed/internal/failover"
 	"topazshed/internal/membership"
+	"topazshed/internal/operations"
 	"topazshed/internal/proposals"
 	"topazshed/internal/protocolversion"
 	"topazshed/internal/raft"
@@ -52,12 +53,6 @@
 	Frame *schema.Frame
 }
 
-// LocalResponse answers a local operator's request.
-type LocalResponse struct {
-	Ticket   uint64
-	Response *schema.OperatorResponse
-}
-
 // Effects are what the shell performs: sync, then send and answer.
 type Effects struct {
 	Quorum    raft.Ready
@@ -97,28 +92,6 @@
 	StaleResponses uint64
 }
 
-// waiter is an order that is not answered yet.
-type pendingRequest struct {
-	// ticket names a local caller; call and to name the node that passed the order on.
-	ticket  uint64
-	call    uint64
-	to      string
-	request *schema.OperatorRequest
-	bornAt  time.Duration
-	until   time.Duration
-	// index and term are the place in the log of the record that was proposed for it, version the configuration's.
-	index   uint64
-	term    uint64
-	version uint64
-	// isConfirmed says that a majority has confirmed since the order came that this machine leads.
-	isConfirmed bool
-	// isSent says that the order is passed on; asked are the nodes that it was sent to.
-	isSent bool
-	asked  []string
-	sentAt time.Duration
-	hasWay bool
-}
-
 // asked is a question to another node, by whose number its answer is known: when it was sent, and to whom.
 type asked struct {
 	at time.Duration
@@ -189,12 +162,8 @@
 	wasLeader          bool
 	electedAt          time.Duration
 	releasedAt         map[uint64]time.Duration
-	operations         []*pendingRequest
-	confirming         []*pendingRequest
-	undecided          []*pendingRequest
+	operations         *operations.Manager
 	staleResponses     uint64
-	reads              map[uint64]*pendingRequest
-	nextRead           uint64
 	whoAt              time.Duration
 	askedSeeds         int
 	seeds              map[string]time.Duration
@@ -245,7 +214,6 @@
 		subscriber:   map[string]*subscriber{},
 		nodes:        map[string]*nodeRecord{},
 		releasedAt:   map[uint64]time.Duration{},
-		reads:        map[uint64]*pendingRequest{},
 		seeds:        map[string]time.Duration{},
 		empties:      map[string]bool{},
 		peers:        map[string]time.Duration{},
@@ -273,6 +241,9 @@
 		}
 		c.quorum = raft.New(now, raft.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Snapshot: options.Snapshot, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.timing.Raft})
 		c.proposals = proposals.New(c.quorum, c.table)
+	}
+	c.operations = newOperations(c)
+	if c.quorum != nil {
 		c.view = store.Compile(c.table)
 		c.noteFences(c.table.Rows(store.All))
 		c.guard(c.view.Fleet)
@@ -481,9 +452,9 @@
 			c.subscribe()
 		}
 	case *schema.Frame_OperatorRequest:
-		c.operate(&pendingRequest{call: f.Call, to: f.Address, request: body.OperatorRequest})
+		c.operations.ReceiveRequest(now, f.Address, f.Call, body.OperatorRequest)
 	case *schema.Frame_OperatorResponse:
-		c.takeResponse(f, body.OperatorResponse)
+		c.operations.ReceiveResponse(now, f.Address, operations.Ticket(f.Call), body.OperatorResponse)
 	}
 }
 
@@ -538,7 +509,8 @@
 		c.keepSource()
 	}
 	c.spread()
-	c.expire()
+	c.operations.Tick(now)
+	c.dropUnwanted()
 }
 
 // asked are the nodes to ask for a system now. Seeds and machines with a disk must hear all seeds to found one; the others ask one seed
@@ -764,7 +736,7 @@
 func (c *Machine) Local() *Local {
 	l := &Local{View: c.view, HeldPrefixes: c.held, IsFull: c.isFull(), FreshAt: c.freshAt, LeaseUntil: c.leaseUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
 		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
-		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", StaleResponses: c.staleResponses}
+		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", StaleResponses: c.staleResponses + c.operations.StaleResponses()}
 	if c.quorum != nil {
 		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), c.quorum.Term(), c.quorum.Commit(), c.quorum.Members(), c.quorum.First()
 		if c.quorum.Role() == raft.Leader {
@@ -876,10 +848,10 @@
 	defer c.refresh()
 	c.apply()
 	for _, ticket := range effects.Quorum.Reads {
-		c.answerRead(ticket)
+		c.operations.ReadConfirmed(now, ticket)
 	}
 	for _, ticket := range effects.Quorum.LostReads {
-		c.loseRead(ticket)
+		c.operations.ReadLost(now, ticket)
 	}
 	c.spread()
 }
@@ -921,12 +893,15 @@
 		if item.Record.Kind == schema.RecordKind_RECORD_MEMBERS {
 			c.log.Info("members", "voters", len(item.Record.Members.Voters), "learners", len(item.Record.Members.Learners), "reason", item.Record.Reason)
 		}
-		c.settle(item)
+		_, isVoid := c.verdicts[item.Index]
+		delete(c.verdicts, item.Index)
+		if c.operations.Applied(c.now, proposals.Position{Index: item.Index, Term: item.Term}, isVoid) {
+			c.planAt = 0
+		}
 		c.noteOwners(rows)
 	}
 	c.publish(changed)
-	c.decideAgain()
-	c.resumeDeferred()
+	c.operations.Resume(c.now)
 }
 
 // Compactable tells whether a new snapshot should be written.
--- /dev/null
+++ b/internal/controlplane/operator.go
@@ -0,0 +1,102 @@
+package controlplane
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"topazshed/internal/constants"
+	"topazshed/internal/operations"
+	"topazshed/internal/schema"
+	"topazshed/internal/store"
+)
+
+// LocalResponse answers a local operator's request.
+type LocalResponse struct {
+	Ticket   operations.Ticket
+	Response *schema.OperatorResponse
+}
+
+// Operate takes a local operator's request; its response comes as an effect that bears the same ticket.
+func (c *Machine) Operate(now time.Duration, ticket operations.Ticket, request *schema.OperatorRequest) {
+	c.now = now
+	c.operations.Operate(now, ticket, request)
+}
+
+func newOperations(c *Machine) *operations.Manager {
+	host := operatorHost{c}
+	options := operations.Options{Log: host, Proposer: c.proposals, State: host, Fleet: host, Sender: host}
+	if c.routed != nil {
+		options.Routes = &operations.RouteOptions{Fits: c.routed.options.Fits, FitsWhole: c.routed.options.FitsWhole}
+	}
+	return operations.New(options)
+}
+
+// operatorHost gives the operators' requests what they need of the machine.
+type operatorHost struct{ machine *Machine }
+
+func (h operatorHost) IsLeading() bool { return h.machine.IsLeading() }
+
+func (h operatorHost) ConfirmLeadership(now time.Duration, number uint64) error {
+	return h.machine.quorum.Read(now, number)
+}
+
+func (h operatorHost) Table() *store.Table { return h.machine.table }
+
+func (h operatorHost) View() *store.View { return h.machine.view }
+
+func (h operatorHost) Changes() []*schema.FailoverChange { return h.machine.changes }
+
+func (h operatorHost) Leader() (address string, isReachable bool) {
+	c := h.machine
+	isOther := c.leader != "" && c.leader != c.self.Address
+	return c.leader, isOther && c.now-c.leaderAt <= constants.NodeLostAfter
+}
+
+func (h operatorHost) ToleratedLosses() (count uint32, unresponsive []string) {
+	return h.machine.toleratedLosses()
+}
+
+func (h operatorHost) Unconfirmed(index uint64) []string {
+	var zones []string
+	for id, node := range h.machine.view.Nodes {
+		record := h.machine.nodes[id]
+		isConfirmed := record != nil && record.version >= index
+		if node.State != schema.NodeState_NODE_STOPPING && !isConfirmed && !slices.Contains(zones, node.Zone) {
+			zones = append(zones, node.Zone)
+		}
+	}
+	slices.Sort(zones)
+	return zones
+}
+
+// Reports tell where the newest configuration is in force: where the index of its row was reached.
+func (h operatorHost) Reports() []*schema.NodeReport {
+	c := h.machine
+	head := c.table.Get(store.HeadKey).GetIndex()
+	var reports []*schema.NodeReport
+	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
+		report := c.reportOf(id)
+		report.InForce = head > 0 && report.Index >= head
+		reports = append(reports, report)
+	}
+	return reports
+}
+
+func (c *Machine) reportOf(id string) *schema.NodeReport {
+	if id == c.self.Id {
+		return &schema.NodeReport{Id: id, Index: c.table.Version()}
+	}
+	record := c.nodes[id]
+	if record == nil || record.heard == 0 {
+		return &schema.NodeReport{Id: id, NeverHeard: true}
+	}
+	return &schema.NodeReport{Id: id, Index: record.version, HeardMs: uint32((c.now - record.heard).Milliseconds())}
+}
+
+func (h operatorHost) Send(to string, frame *schema.Frame) { h.machine.send(to, frame) }
+
+func (h operatorHost) Respond(ticket operations.Ticket, response *schema.OperatorResponse) {
+	effects := &h.machine.effects
+	effects.Responses = append(effects.Responses, LocalResponse{ticket, response})
+}
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"topazshed/internal/operations"
 	"topazshed/internal/routes"
 	"topazshed/internal/schema"
 )
@@ -20,14 +21,14 @@
 	names     []string
 	cores     map[string]*Machine
 	isDown    map[string]bool
-	responses map[uint64]*schema.OperatorResponse
-	ticket    uint64
+	responses map[operations.Ticket]*schema.OperatorResponse
+	ticket    operations.Ticket
 }
 
 func newFleet(t *testing.T) *fleet { return newFleetOf(t) }
 
 func newFleetOf(t testing.TB) *fleet {
-	f := &fleet{t: t, now: time.Hour, names: []string{"a", "b", "c", "r"}, cores: map[string]*Machine{}, isDown: map[string]bool{}, responses: map[uint64]*schema.OperatorResponse{}}
+	f := &fleet{t: t, now: time.Hour, names: []string{"a", "b", "c", "r"}, cores: map[string]*Machine{}, isDown: map[string]bool{}, responses: map[operations.Ticket]*schema.OperatorResponse{}}
 	random := rand.New(rand.NewSource(3))
 	for _, name := range f.names {
 		self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "g", Disk: name != "r", Incarnation: 1, State: schema.NodeState_NODE_READY}
@@ -89,13 +90,13 @@
 }
 
 // order gives a request to a machine, and its ticket.
-func (f *fleet) order(at string, request *schema.OperatorRequest) uint64 {
+func (f *fleet) order(at string, request *schema.OperatorRequest) operations.Ticket {
 	f.ticket++
 	f.cores[at].Operate(f.now, f.ticket, request)
 	return f.ticket
 }
 
-func (f *fleet) refused(ticket uint64) schema.RefusalKind {
+func (f *fleet) refused(ticket operations.Ticket) schema.RefusalKind {
 	f.t.Helper()
 	response := f.responses[ticket]
 	if response == nil {
@@ -176,7 +177,7 @@
 	if f.refused(first) != taken {
 		t.Fatal(f.responses[first])
 	}
-	var tickets []uint64
+	var tickets []operations.Ticket
 	for i := range 8 {
 		at := f.leader()
 		if i%3 > 0 {
@@ -230,7 +231,7 @@
 		for _, isAtOnce := range []bool{false, true} {
 			t.Run(fmt.Sprint(c.name, " at once ", isAtOnce), func(t *testing.T) {
 				f := newFleet(t)
-				var tickets []uint64
+				var tickets []operations.Ticket
 				for i, kind := range c.orders {
 					at := f.leader()
 					if !isAtOnce && i%2 > 0 {
--- a/internal/controlplane/routed.go
+++ b/internal/controlplane/routed.go
@@ -55,7 +55,6 @@
 	loads         map[string][]nodeLoad
 	loadAt        time.Duration
 	dead          map[string]bool
-	deferred      []*pendingRequest
 	// relayed are the heartbeats that this node took for the leader since it last told it.
 	relayed        map[string]*schema.Heartbeat
 	heartbeatTo    string
--- a/internal/controlplane/spread.go
+++ b/internal/controlplane/spread.go
@@ -3,6 +3,7 @@
 import (
 	"maps"
 	"slices"
+	"strings"
 	"time"
 
 	"topazshed/internal/constants"
@@ -305,3 +306,21 @@
 	}
 	c.send(to, &schema.Frame{Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: c.peerSampler.Self()}}})
 }
+
+// wantedFor is how long a node that keeps no log holds the rows of a service after they were last wanted.
+const wantedFor = 10 * time.Minute
+
+// dropUnwanted forgets the rows of services that nobody has wanted for long.
+func (c *Machine) dropUnwanted() {
+	for prefix, at := range c.wanted {
+		if c.now-at <= wantedFor {
+			continue
+		}
+		delete(c.wanted, prefix)
+		c.hold(prefix, false)
+		gone := c.table.Rows([]string{prefix})
+		if c.quorum == nil && len(gone) > 0 && strings.HasPrefix(prefix, "s/") {
+			c.publish(c.table.Forget(c.prefixes()))
+		}
+	}
+}
--- a/internal/controlplane/startup_world_test.go
+++ b/internal/controlplane/startup_world_test.go
@@ -18,6 +18,7 @@
 	"topazshed/internal/discovery"
 	"topazshed/internal/frame"
 	"topazshed/internal/journal"
+	"topazshed/internal/operations"
 	"topazshed/internal/schema"
 	"topazshed/internal/sharding"
 	"topazshed/internal/sim"
@@ -303,7 +304,7 @@
 	}
 	f.putAt[version] = f.now
 	request := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: startupConfig(version)}
-	f.step(leader, func() { leader.core.Operate(f.clock(leader), version, request) })
+	f.step(leader, func() { leader.core.Operate(f.clock(leader), operations.Ticket(version), request) })
 }
 
 // settle puts the first configuration as soon as there is a leader, and gives the time from the start until every node held every row.
--- a/internal/controlplane/world_test.go
+++ b/internal/controlplane/world_test.go
@@ -17,6 +17,7 @@
 	"topazshed/internal/constants"
 	"topazshed/internal/controlplane"
 	"topazshed/internal/journal"
+	"topazshed/internal/operations"
 	"topazshed/internal/schema"
 	"topazshed/internal/sim"
 )
@@ -57,8 +58,8 @@
 	writing     func() error
 	syncTime    time.Duration
 	frozenUntil time.Duration
-	answers     map[uint64]func(*schema.OperatorResponse)
-	ticket      uint64
+	answers     map[operations.Ticket]func(*schema.OperatorResponse)
+	ticket      operations.Ticket
 	isFounded   bool
 }
 
@@ -116,7 +117,7 @@
 		log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 	for i := range voters + readers {
 		place := i % 6
-		m := &machine{w: w, name: fmt.Sprintf("m%02d", i), region: fmt.Sprint("r", place%3), zone: fmt.Sprint("z", place), isDisk: i < voters, disk: sim.NewDisk(), answers: map[uint64]func(*schema.OperatorResponse){}}
+		m := &machine{w: w, name: fmt.Sprintf("m%02d", i), region: fmt.Sprint("r", place%3), zone: fmt.Sprint("z", place), isDisk: i < voters, disk: sim.NewDisk(), answers: map[operations.Ticket]func(*schema.OperatorResponse){}}
 		w.machines = append(w.machines, m)
 	}
 	for _, m := range w.machines {
@@ -311,7 +312,7 @@
 func (m *machine) kill() {
 	m.isUp = false
 	m.incarnation++
-	m.answers = map[uint64]func(*schema.OperatorResponse){}
+	m.answers = map[operations.Ticket]func(*schema.OperatorResponse){}
 	m.disk.Flush()
 }
 
@@ -319,7 +320,7 @@
 func (m *machine) cutPower() {
 	m.isUp = false
 	m.incarnation++
-	m.answers = map[uint64]func(*schema.OperatorResponse){}
+	m.answers = map[operations.Ticket]func(*schema.OperatorResponse){}
 	if m.writing != nil {
 		m.disk.CutAfter(m.w.random.Intn(6))
 		_ = m.writing()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -56,7 +56,7 @@
 	disk  atomic.Pointer[adminapi.Disk]
 
 	transport        *transport
-	operatorRequests sync.Map // ticket (uint64) -> chan *schema.OperatorResponse
+	operatorRequests sync.Map // ticket (operations.Ticket) -> chan *schema.OperatorResponse
 	servers          []*http.Server
 
 	// ctx ends with the process; every task is given it and is counted by tasks.
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -6,6 +6,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/controlplane"
+	"topazshed/internal/operations"
 	"topazshed/internal/schema"
 )
 
@@ -13,7 +14,7 @@
 // error the request may still take effect.
 func (n *Node) operate(ctx context.Context, request *schema.OperatorRequest) (*schema.OperatorResponse, error) {
 	answer := make(chan *schema.OperatorResponse, 1)
-	ticket := n.transport.nextNumber()
+	ticket := operations.Ticket(n.transport.nextNumber())
 	n.operatorRequests.Store(ticket, answer)
 	defer n.operatorRequests.Delete(ticket)
 	n.do(func() { n.machine.Operate(n.Now(), ticket, proto.Clone(request).(*schema.OperatorRequest)) })
--- /dev/null
+++ b/internal/operations/request.go
@@ -0,0 +1,50 @@
+package operations
+
+import (
+	"slices"
+	"time"
+
+	"topazshed/internal/constants"
+	"topazshed/internal/proposals"
+	"topazshed/internal/schema"
+)
+
+// origin is who made a request: a local caller, or the node that forwarded it.
+type origin struct {
+	ticket  Ticket
+	address string
+	call    uint64
+}
+
+func (o origin) isRemote() bool { return o.address != "" }
+
+// pendingRequest is a request that has no response yet.
+type pendingRequest struct {
+	origin  origin
+	request *schema.OperatorRequest
+	bornAt  time.Duration
+	// until is when it is given up.
+	until time.Duration
+	// position is where its record was proposed; version is that of the configuration in it.
+	position proposals.Position
+	version  uint64
+	// isLeaderConfirmed says that a majority has confirmed since the request came that this node leads.
+	isLeaderConfirmed bool
+	// recipients are the nodes that it was forwarded to, forwardedAt is when that was done or tried last.
+	recipients  []string
+	forwardedAt time.Duration
+	// wasLeaderReachable says that a leader was known when it was last forwarded, and has not refused it since.
+	wasLeaderReachable bool
+}
+
+func newRequest(now time.Duration, from origin, request *schema.OperatorRequest) *pendingRequest {
+	return &pendingRequest{origin: from, request: request, bornAt: now, until: now + constants.ProposalWait}
+}
+
+func (p *pendingRequest) isExpired(now time.Duration) bool { return now > p.until }
+
+func (p *pendingRequest) addRecipient(address string) {
+	if !slices.Contains(p.recipients, address) {
+		p.recipients = append(p.recipients, address)
+	}
+}
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -22,6 +22,7 @@
 	"topazshed/internal/failover"
 	"topazshed/internal/idempotency"
 	"topazshed/internal/journal"
+	"topazshed/internal/operations"
 	"topazshed/internal/protocolversion"
 	"topazshed/internal/proxy"
 	"topazshed/internal/schema"
@@ -555,8 +556,8 @@
 }
 
 func (f *Fleet) answer(n *Node, o controlplane.LocalResponse) {
-	if take := n.calls[o.Ticket]; take != nil {
-		delete(n.calls, o.Ticket)
+	if take := n.calls[uint64(o.Ticket)]; take != nil {
+		delete(n.calls, uint64(o.Ticket))
 		take(&schema.Frame{Body: &schema.Frame_OperatorResponse{OperatorResponse: o.Response}})
 	}
 }
@@ -588,7 +589,7 @@
 			f.notified(n, at, base, request, o)
 			take(o)
 		}
-		n.core.Operate(f.clock(n), n.serial, request)
+		n.core.Operate(f.clock(n), operations.Ticket(n.serial), request)
 		f.perform(n)
 	})
 }
