--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -7,6 +7,7 @@
 
 	"topazshed/internal/constants"
 	"topazshed/internal/operations"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -57,11 +58,11 @@
 	return h.machine.toleratedLosses()
 }
 
-func (h operatorHost) Unconfirmed(index uint64) []string {
+func (h operatorHost) Unconfirmed(index raft.Index) []string {
 	var zones []string
 	for id, node := range h.machine.view.Nodes {
 		record := h.machine.nodes[id]
-		isConfirmed := record != nil && record.version >= index
+		isConfirmed := record != nil && raft.Index(record.version) >= index
 		if node.State != schema.NodeState_NODE_STOPPING && !isConfirmed && !slices.Contains(zones, node.Zone) {
 			zones = append(zones, node.Zone)
 		}
@@ -85,7 +86,7 @@
 
 func (c *Machine) reportOf(id string) *schema.NodeReport {
 	if id == c.self.Id {
-		return &schema.NodeReport{Id: id, Index: c.table.Version()}
+		return &schema.NodeReport{Id: id, Index: uint64(c.table.Version())}
 	}
 	record := c.nodes[id]
 	if record == nil || record.heard == 0 {
--- a/internal/node/native_leases.go
+++ b/internal/node/native_leases.go
@@ -41,12 +41,12 @@
 }
 
 func (l *nativeLeases) grantLease(ctx context.Context, call sharding.Call) (sharding.Answer, error) {
-	body := KeyCall{Service: call.Service, First: call.First, Last: call.Last, Number: call.Fence}
+	body := KeyCall{Service: call.Service, First: uint32(call.First), Last: uint32(call.Last), Number: uint64(call.Fence)}
 	switch call.Kind {
 	case sharding.Probe:
 		return l.client.Probe(ctx, call)
 	case sharding.GrantLease:
-		body.HoldMS, body.Handover = call.Hold.Milliseconds(), call.Handover
+		body.HoldMS, body.Handover = call.LeaseDuration.Milliseconds(), call.Handover
 		return l.client.Post(ctx, call, grantPath, body)
 	default:
 		return l.client.Post(ctx, call, releasePath, body)
--- a/internal/node/routed_test.go
+++ b/internal/node/routed_test.go
@@ -122,12 +122,12 @@
 	h := p.owners[call.Instance]
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	span := [2]uint32{call.First, call.Last}
+	span := [2]uint32{uint32(call.First), uint32(call.Last)}
 	if call.Kind == sharding.GrantLease {
-		if h.held[span] > call.Fence {
+		if h.held[span] > uint64(call.Fence) {
 			return sharding.Answer{ID: call.ID, Result: sharding.Refused}, nil
 		}
-		h.held[span] = call.Fence
+		h.held[span] = uint64(call.Fence)
 		p.leases.Add(1)
 		return sharding.Answer{ID: call.ID, Result: sharding.Done}, nil
 	}
@@ -234,7 +234,7 @@
 	for i := range 4 {
 		ip := fmt.Sprintf("127.0.77.%d", i+1)
 		s := &settings.Settings{Peer: free(t, ip), Proxy: free(t, ip), Admin: ip + ":1", Zone: []string{"mu-a", "mu-b", "xi-a", "mu-a"}[i], Region: []string{"mu", "mu", "xi", "mu"}[i], DiskBytes: 16 << 20}
-		s.PeerShown, s.ProxyShow, s.AdminShown = s.Peer, s.Proxy, s.Admin
+		s.PeerShown, s.ProxyShown, s.AdminShown = s.Peer, s.Proxy, s.Admin
 		if i < 3 {
 			s.Data = t.TempDir()
 			seeds = append(seeds, s.Peer)
--- a/internal/operations/host_test.go
+++ b/internal/operations/host_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"topazshed/internal/proposals"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -34,10 +35,10 @@
 	view        *store.View
 	isLeading   bool
 	isLogFailed bool
-	term        uint64
-	last        uint64
-	records     map[uint64]*schema.Record
-	inFlight    map[string]uint64
+	term        raft.Term
+	last        raft.Index
+	records     map[raft.Index]*schema.Record
+	inFlight    map[string]raft.Index
 	asked       []uint64
 	leader      string
 	zonesBehind []string
@@ -54,8 +55,8 @@
 		view:      store.NewView(),
 		isLeading: true,
 		term:      3,
-		records:   map[uint64]*schema.Record{},
-		inFlight:  map[string]uint64{},
+		records:   map[raft.Index]*schema.Record{},
+		inFlight:  map[string]raft.Index{},
 		sends:     map[string][]*schema.Frame{},
 		responses: map[Ticket]*schema.OperatorResponse{},
 	}
@@ -95,7 +96,7 @@
 
 func (h *host) Leader() (string, bool) { return h.leader, h.leader != "" }
 
-func (h *host) Unconfirmed(uint64) []string { return h.zonesBehind }
+func (h *host) Unconfirmed(raft.Index) []string { return h.zonesBehind }
 
 func (h *host) Reports() []*schema.NodeReport { return nil }
 
@@ -118,14 +119,14 @@
 	h.apply(h.last, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows})
 }
 
-func (h *host) apply(index uint64, record *schema.Record) (isVoid bool) {
+func (h *host) apply(index raft.Index, record *schema.Record) (isVoid bool) {
 	changed, err := h.table.Apply(index, record, nil)
 	h.view = h.view.With(h.table, changed)
 	return err != nil
 }
 
 // commit applies all that was proposed, as records of a term.
-func (h *host) commit(term uint64) {
+func (h *host) commit(term raft.Term) {
 	for index := h.table.Version() + 1; index <= h.last; index++ {
 		isVoid := h.apply(index, h.records[index])
 		h.manager.Applied(h.now, proposals.Position{Index: index, Term: term}, isVoid)
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -14,6 +14,7 @@
 
 	"topazshed/internal/constants"
 	"topazshed/internal/proposals"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -51,7 +52,7 @@
 	// Leader gives the leader's address, and whether that is another node that was heard of lately.
 	Leader() (address string, isReachable bool)
 	// Unconfirmed are the zones, sorted, with nodes that have not reported an index of the log yet.
-	Unconfirmed(index uint64) []string
+	Unconfirmed(index raft.Index) []string
 	// Reports are what the leader heard last from each node.
 	Reports() []*schema.NodeReport
 	// ToleratedLosses is how many more voters may be lost before there is no majority, and the voters that don't respond.
--- a/internal/operations/propose.go
+++ b/internal/operations/propose.go
@@ -42,7 +42,7 @@
 
 func (m *Manager) accepted(p *pendingRequest) {
 	if !m.policy.awaitsNodes {
-		m.respond(p, &schema.OperatorResponse{Version: p.version, Index: p.position.Index})
+		m.respond(p, &schema.OperatorResponse{Version: p.version, Index: uint64(p.position.Index)})
 		return
 	}
 	p.until = m.now + constants.ConfirmWait
@@ -69,7 +69,7 @@
 			waiting = append(waiting, p)
 			continue
 		}
-		m.respond(p, &schema.OperatorResponse{Version: p.version, Index: p.position.Index, Unconfirmed: zones})
+		m.respond(p, &schema.OperatorResponse{Version: p.version, Index: uint64(p.position.Index), Unconfirmed: zones})
 	}
 	m.awaitingNodes = waiting
 }
--- a/internal/operations/read.go
+++ b/internal/operations/read.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -85,7 +86,11 @@
 		}
 	}
 	document := m.document()
-	return &schema.OperatorResponse{Version: document.GetVersion(), Document: document.GetDocument(), Index: m.state.Table().Version()}
+	return &schema.OperatorResponse{
+		Version:  document.GetVersion(),
+		Document: document.GetDocument(),
+		Index:    uint64(m.state.Table().Version()),
+	}
 }
 
 func (m *Manager) document() *schema.CatalogDocument {
@@ -97,7 +102,7 @@
 	losses, unresponsive := m.fleet.ToleratedLosses()
 	return &schema.OperatorResponse{
 		Version:            m.document().GetVersion(),
-		Index:              newest,
+		Index:              uint64(newest),
 		Unconfirmed:        m.fleet.Unconfirmed(newest),
 		Reports:            m.fleet.Reports(),
 		Changes:            m.state.Changes(),
@@ -107,11 +112,11 @@
 }
 
 // newestChange is the index of the newest change that an operator has made: of the configuration or of a zone.
-func (m *Manager) newestChange() uint64 {
+func (m *Manager) newestChange() raft.Index {
 	table := m.state.Table()
-	newest := table.Get(headKey).GetIndex()
+	newest := raft.Index(table.Get(headKey).GetIndex())
 	for name := range m.state.View().Zones {
-		newest = max(newest, table.Get(store.ZoneKey(name)).GetIndex())
+		newest = max(newest, raft.Index(table.Get(store.ZoneKey(name)).GetIndex()))
 	}
 	return newest
 }
--- a/internal/operations/zone.go
+++ b/internal/operations/zone.go
@@ -3,6 +3,7 @@
 import (
 	"google.golang.org/protobuf/proto"
 
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -25,7 +26,7 @@
 		return refuseOnState(unknown(0, "zone "+request.Zone+" is not known", "see status for the names"))
 	}
 	if zone.Emptied == isEmptied && !d.proposer.IsInFlight(key) {
-		return answer{&schema.OperatorResponse{Index: row.Index, Unconfirmed: d.fleet.Unconfirmed(row.Index)}}
+		return answer{&schema.OperatorResponse{Index: row.Index, Unconfirmed: d.fleet.Unconfirmed(raft.Index(row.Index))}}
 	}
 	fresh := proto.Clone(zone).(*schema.Zone)
 	fresh.Emptied = isEmptied
