--- a/internal/adminapi/assignments.go
+++ b/internal/adminapi/assignments.go
@@ -47,7 +47,7 @@
 		write(w, http.StatusNotFound, Reply{Kind: kindUnknown, Message: message})
 		return
 	}
-	place, err := failover.Locate(view, service, region)
+	place, err := failover.ResolveRegion(view, service, region)
 	if err != nil {
 		write(w, http.StatusServiceUnavailable, Reply{Kind: kindNoPlace, Message: err.Error()})
 		return
@@ -115,9 +115,9 @@
 		case number == 0:
 			return groupNobody
 		case s.options.Routed != nil:
-			return failover.PlaceName(view, number)
+			return failover.RouteOwnerName(view, failover.Number(number))
 		default:
-			return failover.GroupName(view, number)
+			return failover.EntryOwnerName(view, failover.Number(number))
 		}
 	}
 }
