--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -211,7 +211,7 @@
 		system:       options.System,
 		table:        store.NewTable(),
 		view:         store.NewView(),
-		endpoints:    discovery.New(),
+		endpoints:    discovery.NewEndpoints(),
 		nodes:        map[string]*nodeRecord{},
 		releasedAt:   map[uint64]time.Duration{},
 		reads:        map[uint64]*pendingRequest{},
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -1,10 +1,8 @@
-// Package discovery turns the platform's paged, lagging list into the back ends that the log should hold.
 package discovery
 
 import (
-	"fmt"
+	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"topazshed/internal/constants"
@@ -12,209 +10,178 @@
 	"topazshed/internal/store"
 )
 
-// Item is one line of the platform's list.
-type Item struct {
-	Service  string `json:"service"`
-	Instance string `json:"instance"`
-	Address  string `json:"address"`
-	Zone     string `json:"district"`
-	State    string `json:"state"`
+// Endpoints plans the rows of back ends in a fleet of entries, by the list and the nodes' health checks.
+type Endpoints struct {
+	// missingReads counts the whole reads in a row that lacked a listed back end.
+	missingReads map[backendID]int
+	// isFailingAt holds what each node found of the instances that it checks.
+	isFailingAt map[string]map[string]bool
+	// coldAt holds when a back end began to warm up.
+	coldAt map[backendID]time.Duration
 }
 
-// Page is one page of the list.
-type Page struct {
-	Page     int    `json:"page"`
-	Pages    int    `json:"pages"`
-	Total    int    `json:"total"`
-	Revision uint64 `json:"revision"`
-	Backends []Item `json:"backends"`
+// NewEndpoints returns an Endpoints that has heard of no back end.
+func NewEndpoints() *Endpoints {
+	return &Endpoints{
+		missingReads: map[backendID]int{},
+		isFailingAt:  map[string]map[string]bool{},
+		coldAt:       map[backendID]time.Duration{},
+	}
 }
 
-// RoutedItem is one line of the list of a fleet that carries routes.
-type RoutedItem struct {
-	Item
-	// Slots are the requests that it works on at once, ColdLeftMS is how long it stays slow.
-	Slots      uint32 `json:"slots"`
-	ColdLeftMS int64  `json:"cold_left_ms"`
+// Report takes a node's health checks in place of its former ones.
+func (e *Endpoints) Report(node string, reports []*schema.HealthReport) {
+	isFailing := map[string]bool{}
+	for _, report := range reports {
+		isFailing[report.Instance] = report.Failing
+	}
+	e.isFailingAt[node] = isFailing
 }
 
-// RoutedPage is one page of that list.
-type RoutedPage struct {
-	Page
-	Backends []RoutedItem `json:"backends"`
-}
+// Drop forgets a lost node's health checks.
+func (e *Endpoints) Drop(node string) { delete(e.isFailingAt, node) }
 
-// ListRead is a whole read of the list.
-type ListRead struct {
-	Items   []Item
-	IsWhole bool
-	Reason  string
+// isFailing reports whether an instance fails the health checks of most nodes that check it, and of more than one
+// unless it passes none.
+func (e *Endpoints) isFailing(instance string) bool {
+	failed, passed := 0, 0
+	for _, isFailing := range e.isFailingAt {
+		switch hasFailed, isChecked := isFailing[instance]; {
+		case isChecked && hasFailed:
+			failed++
+		case isChecked:
+			passed++
+		}
+	}
+	return failed > 0 && failed >= passed+min(passed, 1) && (failed >= 2 || passed == 0)
 }
 
-// Join checks the pages of one sweep; missing, repeated or differing ones make it partial.
-func Join(pages []Page) ListRead {
-	listRead := ListRead{}
-	seen := map[int]bool{}
-	instances := map[string]bool{}
-	for _, page := range pages {
-		if seen[page.Page] {
-			listRead.Reason = fmt.Sprintf("page %d came twice", page.Page)
-		}
-		seen[page.Page] = true
-		if page.Pages != pages[0].Pages || page.Revision != pages[0].Revision || page.Total != pages[0].Total {
-			listRead.Reason = "the list changed between its pages"
-		}
-		for _, item := range page.Backends {
-			if item.Service == "" || item.Instance == "" || item.Address == "" || strings.Contains(item.Service+item.Instance, "/") {
-				listRead.Reason = "an item lacks service, instance or address"
-				continue
-			}
-			if instances[item.Service+"/"+item.Instance] {
-				continue
-			}
-			instances[item.Service+"/"+item.Instance] = true
-			listRead.Items = append(listRead.Items, item)
+// Plan returns the record that brings the rows in line with a read of the list, if there is a new one, and with the
+// health checks; nil if nothing changes.
+func (e *Endpoints) Plan(now time.Duration, view *store.View, table *store.Table, read *ListRead) *schema.Record {
+	p := &endpointsPlan{
+		Endpoints: e,
+		now:       now,
+		read:      read,
+		changes:   newChanges(table, "back ends"),
+		known:     map[backendID]*schema.Backend{},
+		counts:    map[string]int{},
+		listed:    map[backendID]bool{},
+		missing:   map[string]int{},
+	}
+	for _, service := range view.Services {
+		for _, backend := range service.Backends {
+			p.known[idOf(backend)] = backend
+			p.counts[backend.Service]++
 		}
 	}
-	if listRead.Reason == "" {
-		switch {
-		case len(pages) == 0 || len(seen) != pages[0].Pages:
-			listRead.Reason = "pages are missing"
-		case len(listRead.Items) != pages[0].Total:
-			listRead.Reason = fmt.Sprintf("%d of %d back ends came", len(listRead.Items), pages[0].Total)
-		case len(listRead.Items) == 0:
-			listRead.Reason = "the list is empty"
+	p.takeListed()
+	p.countMissing()
+	for _, id := range slices.Sorted(maps.Keys(p.known)) {
+		if backend := p.known[id]; !p.removeIfMissing(id, backend) {
+			p.updateHealth(id, backend)
 		}
 	}
-	listRead.IsWhole = listRead.Reason == ""
-	return listRead
+	return p.changes.recordOrNil()
 }
 
-// Endpoints remembers at the leader how long a back end has been missing and who finds it failing.
-type Endpoints struct {
-	missing       map[string]int
-	healthReports map[string]map[string]bool
-	coldAt        map[string]time.Duration
+// endpointsPlan is one call of Plan.
+type endpointsPlan struct {
+	*Endpoints
+	now     time.Duration
+	read    *ListRead
+	changes *changes
+	// known are the rows that are not changed by the list itself.
+	known map[backendID]*schema.Backend
+	// counts are the rows of each service, missing those that enough reads in a row lacked.
+	counts  map[string]int
+	missing map[string]int
+	listed  map[backendID]bool
 }
 
-// New makes an empty endpoint list.
-func New() *Endpoints {
-	return &Endpoints{missing: map[string]int{}, healthReports: map[string]map[string]bool{}, coldAt: map[string]time.Duration{}}
-}
-
-// Report takes one node's probes.
-func (r *Endpoints) Report(node string, healthReports []*schema.HealthReport) {
-	fresh := map[string]bool{}
-	for _, healthReport := range healthReports {
-		fresh[healthReport.Instance] = healthReport.Failing
+// takeListed writes the rows of back ends that are new to the list or whose line differs.
+func (p *endpointsPlan) takeListed() {
+	if p.read == nil {
+		return
 	}
-	r.healthReports[node] = fresh
-}
-
-// Drop forgets a lost node's probes.
-func (r *Endpoints) Drop(node string) { delete(r.healthReports, node) }
-
-func (r *Endpoints) isFailing(instance string) bool {
-	bad, good := 0, 0
-	for _, healthReports := range r.healthReports {
-		if isBad, isSeen := healthReports[instance]; isSeen && isBad {
-			bad++
-		} else if isSeen {
-			good++
+	for _, item := range p.read.Items {
+		id := newBackendID(item.Service, item.Instance)
+		p.listed[id] = true
+		delete(p.missingReads, id)
+		old := p.known[id]
+		isMoved := old == nil || old.Address != item.Address
+		state := schema.BackendState_BACKEND_READY
+		if item.State == drainingState || !isMoved && old.State == schema.BackendState_BACKEND_DRAINING {
+			state = schema.BackendState_BACKEND_DRAINING
 		}
+		if !isMoved && old.State == state && old.Zone == item.Zone {
+			continue
+		}
+		p.changes.putBackend(&schema.Backend{
+			Service:  item.Service,
+			Instance: item.Instance,
+			Address:  item.Address,
+			Zone:     item.Zone,
+			State:    state,
+			Cold:     p.counts[item.Service] > 0 && (isMoved || old.Cold),
+		})
+		delete(p.known, id)
 	}
-	return bad > 0 && bad >= good+min(good, 1) && (bad >= 2 || good == 0)
 }
 
-// Plan gives the record that brings the rows in line with a sweep and the probes; sweep may be nil.
-func (r *Endpoints) Plan(now time.Duration, view *store.View, table *store.Table, listRead *ListRead) *schema.Record {
-	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "back ends"}
-	put := func(b *schema.Backend) {
-		key := store.BackendKey(b.Service, b.Instance)
-		guard := &schema.Guard{Key: key}
-		if row := table.Get(key); row != nil {
-			guard.Index = row.Index
+// countMissing counts the back ends that a whole read lacks.
+func (p *endpointsPlan) countMissing() {
+	for id, backend := range p.known {
+		if !p.isMissing(id) {
+			continue
 		}
-		record.Guards = append(record.Guards, guard)
-		record.Rows = append(record.Rows, store.EncodeRow(key, b))
-	}
-	known := map[string]*schema.Backend{}
-	count := map[string]int{}
-	for _, service := range view.Services {
-		for _, backend := range service.Backends {
-			known[backend.Service+"/"+backend.Instance] = backend
-			count[backend.Service]++
+		p.missingReads[id]++
+		if p.missingReads[id] >= constants.EndpointMissingReads {
+			p.missing[backend.Service]++
 		}
 	}
-	listed := map[string]bool{}
-	if listRead != nil {
-		for _, item := range listRead.Items {
-			name := item.Service + "/" + item.Instance
-			listed[name] = true
-			delete(r.missing, name)
-			state := schema.BackendState_BACKEND_READY
-			if item.State == "draining" {
-				state = schema.BackendState_BACKEND_DRAINING
-			}
-			old := known[name]
-			if old != nil && old.State == schema.BackendState_BACKEND_DRAINING && old.Address == item.Address {
-				state = schema.BackendState_BACKEND_DRAINING
-			}
-			if old == nil || old.Address != item.Address || old.State != state || old.Zone != item.Zone {
-				put(&schema.Backend{Service: item.Service, Instance: item.Instance, Address: item.Address, Zone: item.Zone, State: state, Cold: count[item.Service] > 0 && (old == nil || old.Cold || old.Address != item.Address)})
-				known[name] = nil
-			}
-		}
+}
+
+func (p *endpointsPlan) isMissing(id backendID) bool {
+	return p.read != nil && p.read.IsWhole && !p.listed[id]
+}
+
+// removeIfMissing takes out a back end that enough reads lacked. Where most of a service is missing it takes out only
+// those that fail their health checks.
+func (p *endpointsPlan) removeIfMissing(id backendID, backend *schema.Backend) (isRemoved bool) {
+	if !p.isMissing(id) || p.missingReads[id] < constants.EndpointMissingReads {
+		return false
 	}
-	names := make([]string, 0, len(known))
-	for name := range known {
-		names = append(names, name)
+	isMost := p.missing[backend.Service]*100 > p.counts[backend.Service]*constants.EndpointFloor
+	if isMost && !p.isFailing(backend.Instance) {
+		return false
 	}
-	slices.Sort(names)
-	lost := map[string]int{}
-	for _, name := range names {
-		backend := known[name]
-		if backend == nil {
-			continue
-		}
-		if listRead != nil && listRead.IsWhole && !listed[name] {
-			r.missing[name]++
-			if r.missing[name] >= constants.EndpointMissingReads {
-				lost[backend.Service]++
-			}
-		}
+	p.changes.removeBackend(backend.Service, backend.Instance)
+	delete(p.missingReads, id)
+	return true
+}
+
+// updateHealth marks a back end that fails, and one that is warming up after it came back or was first listed.
+func (p *endpointsPlan) updateHealth(id backendID, backend *schema.Backend) {
+	isFailing := p.isFailing(backend.Instance)
+	isBack := backend.Failing && !isFailing
+	if isBack || backend.Cold && p.coldAt[id] == 0 {
+		p.coldAt[id] = p.now
 	}
-	for _, name := range names {
-		backend := known[name]
-		if backend == nil {
-			continue
-		}
-		isFailing := r.isFailing(backend.Instance)
-		if r.missing[name] >= constants.EndpointMissingReads && listRead != nil && listRead.IsWhole && !listed[name] {
-			isTooMany := lost[backend.Service]*100 > count[backend.Service]*constants.EndpointFloor
-			if !isTooMany || isFailing {
-				key := store.BackendKey(backend.Service, backend.Instance)
-				record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: table.Get(key).GetIndex()})
-				record.Rows = append(record.Rows, store.Tombstone(key))
-				delete(r.missing, name)
-				continue
-			}
-		}
-		isBack := backend.Failing && !isFailing
-		if isBack || backend.Cold && r.coldAt[name] == 0 {
-			r.coldAt[name] = now
-		}
-		isCold := (backend.Cold || isBack) && now-r.coldAt[name] < constants.ColdRamp
-		if !isCold {
-			delete(r.coldAt, name)
-		}
-		if isFailing != backend.Failing || isCold != backend.Cold {
-			put(&schema.Backend{Service: backend.Service, Instance: backend.Instance, Address: backend.Address, Zone: backend.Zone,
-				State: backend.State, Failing: isFailing, Cold: isCold})
-		}
+	isCold := (backend.Cold || isBack) && p.now-p.coldAt[id] < constants.ColdRamp
+	if !isCold {
+		delete(p.coldAt, id)
 	}
-	if len(record.Rows) == 0 {
-		return nil
+	if isFailing == backend.Failing && isCold == backend.Cold {
+		return
 	}
-	return record
+	p.changes.putBackend(&schema.Backend{
+		Service:  backend.Service,
+		Instance: backend.Instance,
+		Address:  backend.Address,
+		Zone:     backend.Zone,
+		State:    backend.State,
+		Failing:  isFailing,
+		Cold:     isCold,
+	})
 }
--- a/internal/discovery/endpoints_test.go
+++ b/internal/discovery/endpoints_test.go
@@ -57,22 +57,22 @@
 	all := []string{"l-1", "l-2", "l-3", "l-4"}
 	for _, c := range []struct {
 		name    string
-		sweeps  []ListRead
+		reads   []ListRead
 		failing []string
 		want    string
 	}{
 		{"nothing new", []ListRead{Join(pages(all...))}, nil, "l-1 l-2 l-3 l-4"},
 		{"one missing once stays", []ListRead{Join(pages("l-1", "l-2", "l-3"))}, nil, "l-1 l-2 l-3 l-4"},
 		{"one missing twice goes", []ListRead{Join(pages("l-1", "l-2", "l-3")), Join(pages("l-1", "l-2", "l-3"))}, nil, "l-1 l-2 l-3"},
-		{"most missing stay without the probes' word", []ListRead{Join(pages("l-1")), Join(pages("l-1")), Join(pages("l-1"))}, nil, "l-1 l-2 l-3 l-4"},
+		{"most missing stay without failed health checks", []ListRead{Join(pages("l-1")), Join(pages("l-1")), Join(pages("l-1"))}, nil, "l-1 l-2 l-3 l-4"},
 		{"and go with it", []ListRead{Join(pages("l-1")), Join(pages("l-1"))}, []string{"l-2", "l-3", "l-4"}, "l-1"},
-		{"a draining mark counts at once, also on a partial sweep", []ListRead{{Items: []Item{{"ledger", "l-2", "l-2:1", "a", "draining"}}}}, nil, "l-1 l-2! l-3 l-4"},
+		{"a draining mark counts at once, also on a partial read", []ListRead{{Items: []Item{{"ledger", "l-2", "l-2:1", "a", "draining"}}}}, nil, "l-1 l-2! l-3 l-4"},
 		{"an empty list empties nothing", []ListRead{Join([]Page{{0, 1, 0, 1, nil}}), Join([]Page{{0, 1, 0, 1, nil}}), Join([]Page{{0, 1, 0, 1, nil}})}, nil, "l-1 l-2 l-3 l-4"},
 		{"a new one is cold", []ListRead{Join(pages(append(slices.Clone(all), "l-5")...))}, nil, "l-1 l-2 l-3 l-4 l-5*"},
 		{"a failing one is marked", []ListRead{Join(pages(all...))}, []string{"l-3"}, "l-1 l-2 l-3? l-4"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, table := New(), store.NewTable()
+			r, table := NewEndpoints(), store.NewTable()
 			now := time.Minute
 			step := func(listRead *ListRead) {
 				now += constants.ListReadEvery
@@ -91,8 +91,8 @@
 				}
 				r.Report(node, healthReports)
 			}
-			for i := range c.sweeps {
-				step(&c.sweeps[i])
+			for i := range c.reads {
+				step(&c.reads[i])
 			}
 			var got []string
 			for _, b := range store.Compile(table).Services["ledger"].Backends {
@@ -116,7 +116,7 @@
 }
 
 func TestABackEndThatFailedComesBackCold(t *testing.T) {
-	r, table := New(), store.NewTable()
+	r, table := NewEndpoints(), store.NewTable()
 	now := time.Minute
 	state := func(isFailing bool) *schema.Backend {
 		now += constants.ListReadEvery
@@ -148,7 +148,7 @@
 }
 
 func TestColdMarkIsClearedByTime(t *testing.T) {
-	r, table := New(), store.NewTable()
+	r, table := NewEndpoints(), store.NewTable()
 	now := time.Minute
 	for i, list := range [][]string{{"l-1", "l-2"}, {"l-1", "l-2", "l-3"}, {"l-1", "l-2", "l-3"}, {"l-1", "l-2", "l-3"}} {
 		if i == 3 {
@@ -168,7 +168,7 @@
 			}
 		}
 		if want := []int{0, 1, 1, 0}[i]; cold != want {
-			t.Fatalf("sweep %d: %d cold, want %d", i, cold, want)
+			t.Fatalf("read %d: %d cold, want %d", i, cold, want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/discovery/list_limiter.go
@@ -0,0 +1,71 @@
+package discovery
+
+import (
+	"fmt"
+	"time"
+
+	"topazshed/internal/constants"
+)
+
+// ListLimiter limits the rate of calls to the platform's list, which takes only so many from all nodes together.
+type ListLimiter struct {
+	// rate is the usable part of the list's rate, in calls a second; 0 is no bound.
+	rate float64
+	// calls are the latest reserved calls, as many as the rate allows in one second.
+	calls []time.Duration
+	// begunAt is when the read under way began, reported how many of its back ends were taken before its end.
+	begunAt  time.Duration
+	reported int
+}
+
+// NewListLimiter returns a limiter for a list that takes rate calls a second; 0 is no bound.
+func NewListLimiter(rate float64) *ListLimiter {
+	return &ListLimiter{rate: rate * constants.ListRateShare}
+}
+
+// BusyError says that the list refused one page again and again.
+type BusyError struct{ Refusals int }
+
+func (e *BusyError) Error() string {
+	return fmt.Sprintf("one page was refused %d times for too many calls; raise the list's rate, or find who else calls it", e.Refusals)
+}
+
+// BeginRead notes that a read of the list begins, and returns when.
+func (l *ListLimiter) BeginRead(now time.Duration) (begunAt time.Duration) {
+	l.begunAt = now
+	l.reported = 0
+	return now
+}
+
+// Partial returns when the read under way began, and whether the count back ends that it has found so far are to be
+// taken now: the pages of a long read are taken as they come.
+func (l *ListLimiter) Partial(now time.Duration, count int) (begunAt time.Duration, isDue bool) {
+	isDue = count > l.reported && now-l.begunAt >= constants.ListTellAfter
+	if isDue {
+		l.reported = count
+	}
+	return l.begunAt, isDue
+}
+
+// Reserve counts a call and returns how long it must wait; refusals is how often the list has refused its page. It
+// fails with a *BusyError once these are too many.
+func (l *ListLimiter) Reserve(now time.Duration, refusals int) (wait time.Duration, err error) {
+	if refusals > constants.ListRefusals {
+		return 0, &BusyError{refusals}
+	}
+	at := now
+	if refusals > 0 {
+		at += constants.ListRefused << (refusals - 1)
+	}
+	if l.rate <= 0 {
+		return at - now, nil
+	}
+	burst := max(1, int(l.rate))
+	if len(l.calls) >= burst {
+		period := time.Duration(float64(burst) / l.rate * float64(time.Second))
+		at = max(at, l.calls[len(l.calls)-burst]+max(constants.ListSecond, period))
+	}
+	l.calls = append(l.calls, at)
+	l.calls = l.calls[max(0, len(l.calls)-burst):]
+	return at - now, nil
+}
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/list_limiter_test.go
@@ -23,10 +23,10 @@
 		{"less than a call a second", 0.5, 3, 4 * time.Second, 6 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p, now := NewPace(c.rate), time.Hour
+			limiter, now := NewListLimiter(c.rate), time.Hour
 			var calls []time.Duration
 			for range c.pages {
-				wait, err := p.Turn(now, 0)
+				wait, err := limiter.Reserve(now, 0)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -52,17 +52,17 @@
 }
 
 func TestARefusedPageIsAskedForAgain(t *testing.T) {
-	p := NewPace(10)
+	limiter := NewListLimiter(10)
 	last := time.Duration(0)
 	for refusals := 1; refusals <= constants.ListRefusals; refusals++ {
-		wait, err := p.Turn(time.Hour, refusals)
+		wait, err := limiter.Reserve(time.Hour, refusals)
 		if err != nil || wait <= last {
 			t.Fatalf("%d refusals: wait of %v after %v, %v", refusals, wait, last, err)
 		}
 		last = wait
 	}
 	var busy *BusyError
-	if _, err := p.Turn(time.Hour, constants.ListRefusals+1); !errors.As(err, &busy) {
+	if _, err := limiter.Reserve(time.Hour, constants.ListRefusals+1); !errors.As(err, &busy) {
 		t.Fatalf("no end: %v", err)
 	}
 }
@@ -83,11 +83,11 @@
 		{"a long list, few calls", 6, 12, 10 * time.Millisecond, 7, 3400 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p, now := NewPace(c.rate), time.Hour
+			limiter, now := NewListLimiter(c.rate), time.Hour
 			known := map[int]time.Duration{}
 			worst := time.Duration(0)
 			for range 3 {
-				p.Begin(now)
+				limiter.BeginRead(now)
 				parts, read := 0, map[int]time.Duration{}
 				take := func() {
 					for page, at := range read {
@@ -98,11 +98,11 @@
 					}
 				}
 				for page := range c.pages {
-					if _, isDue := p.Part(now, page); isDue {
+					if _, isDue := limiter.Partial(now, page); isDue {
 						parts++
 						take()
 					}
-					wait, err := p.Turn(now, 0)
+					wait, err := limiter.Reserve(now, 0)
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/internal/discovery/outlier_quorum.go
+++ b/internal/discovery/outlier_quorum.go
@@ -12,220 +12,194 @@
 	"topazshed/internal/store"
 )
 
-type stage int
-
-const (
-	stageClear stage = iota
-	stageOut
-	stageTrial
-)
-
-type trial struct {
-	stage   stage
-	since   time.Duration
-	until   time.Duration
-	strikes int
-	goods   int
-}
-
+// vote is a node's latest report that a back end failed its requests.
 type vote struct {
 	at   time.Duration
 	zone string
 }
 
-// OutlierQuorum decides for a routed fleet which back ends are failing, by what nodes tell of their own attempts. A node that meets one seldom so gains by the others' losses.
-// It is a pure state machine of the leader; a new leader's takes over the rows that it finds.
+// OutlierQuorum ejects back ends in a fleet of routes once several nodes report that these fail their requests. So a
+// node that seldom meets one need not find out by failures of its own. A new leader's quorum takes over the ejections
+// that it finds in the rows.
 type OutlierQuorum struct {
-	votes  map[string]map[string]vote
-	trials map[string]*trial
+	// votes holds the latest vote of each node, by instance and node.
+	votes     map[string]map[string]vote
+	ejections map[string]*ejection
 }
 
-// NewOutlierQuorum makes one without votes.
+// NewOutlierQuorum returns an OutlierQuorum without votes.
 func NewOutlierQuorum() *OutlierQuorum {
-	return &OutlierQuorum{votes: map[string]map[string]vote{}, trials: map[string]*trial{}}
+	return &OutlierQuorum{votes: map[string]map[string]vote{}, ejections: map[string]*ejection{}}
 }
 
-// Report takes what a node tells of the back ends that failed it, or that served it although they are failing, since it last told.
-func (j *OutlierQuorum) Report(now time.Duration, node, zone string, healthReports []*schema.HealthReport) {
-	for _, healthReport := range healthReports {
-		id := healthReport.Instance
-		if !healthReport.Failing {
-			if t := j.trials[id]; t != nil && t.stage == stageTrial {
-				t.goods++
+// Report takes a node's news since its last report: the back ends that failed its requests, and those marked as
+// failing that served it.
+func (q *OutlierQuorum) Report(now time.Duration, node, zone string, reports []*schema.HealthReport) {
+	for _, report := range reports {
+		id := report.Instance
+		if !report.Failing {
+			if e := q.ejections[id]; e != nil && e.state == onTrial {
+				e.successes++
 			}
 			continue
 		}
-		if j.votes[id] == nil {
-			j.votes[id] = map[string]vote{}
+		if q.votes[id] == nil {
+			q.votes[id] = map[string]vote{}
 		}
-		j.votes[id][node] = vote{now, zone}
+		q.votes[id][node] = vote{now, zone}
 	}
 }
 
-// Plan gives the record that brings the rows in line with the verdicts, or nil.
-func (j *OutlierQuorum) Plan(now time.Duration, view *store.View, table *store.Table) *schema.Record {
-	if len(j.votes) == 0 && len(j.trials) == 0 && !hasFailing(view) {
+// Plan returns the record that brings the rows in line with the ejections, or nil if nothing changes.
+func (q *OutlierQuorum) Plan(now time.Duration, view *store.View, table *store.Table) *schema.Record {
+	if len(q.votes) == 0 && len(q.ejections) == 0 && !hasFailing(view) {
 		return nil
 	}
-	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "failing back ends"}
-	ready := map[string][]string{}
-	for _, id := range slices.Sorted(maps.Keys(view.Nodes)) {
-		if node := view.Nodes[id]; node.State == schema.NodeState_NODE_READY {
-			ready[node.Zone] = append(ready[node.Zone], id)
-		}
-	}
-	known := map[string]bool{}
+	p := &outlierPlan{OutlierQuorum: q, now: now, view: view, ready: readyNodesOf(view), changes: newChanges(table, "failing back ends")}
 	for _, name := range slices.Sorted(maps.Keys(view.Services)) {
-		service := view.Services[name]
-		open, failing, doubted := 0, 0, 0
-		for _, backend := range service.Backends {
-			known[backend.Instance] = true
-			if backend.State == schema.BackendState_BACKEND_READY {
-				open++
-			}
-			if backend.Failing {
-				failing++
-			}
-			if len(j.recent(now, backend.Instance, 0)) > 0 {
-				doubted++
-			}
-		}
-		needed := min(constants.EjectionVotes, max(1, count(ready)/2))
-		if doubted*100 > open*constants.OutlierQuorumFloor {
-			needed *= 2
-		}
-		for _, backend := range service.Backends {
-			if backend.State != schema.BackendState_BACKEND_READY || backend.Cold {
-				continue
-			}
-			t := j.step(now, backend, service.Policy.GetKeyed(), ready, needed, failing*100 < open*constants.OutlierQuorumFloor)
-			if t == nil {
-				continue
-			}
-			isFailing := t.stage != stageClear
-			if isFailing && !backend.Failing {
-				failing++
-			}
-			fresh := proto.Clone(backend).(*schema.Backend)
-			fresh.Failing, fresh.SlowStartSenders = isFailing, nil
-			if isFailing && t.stage == stageTrial {
-				fresh.SlowStartSenders = backend.SlowStartSenders
-				if len(fresh.SlowStartSenders) == 0 {
-					fresh.SlowStartSenders = slowStartSenders(backend, view, ready, t.strikes)
-				}
-			}
-			if !proto.Equal(backend, fresh) {
-				key := store.BackendKey(name, backend.Instance)
-				record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: table.Get(key).GetIndex()})
-				record.Rows = append(record.Rows, store.EncodeRow(key, fresh))
-			}
-		}
+		p.planService(view.Services[name])
 	}
-	maps.DeleteFunc(j.votes, func(id string, votes map[string]vote) bool { return !known[id] || len(votes) == 0 })
-	maps.DeleteFunc(j.trials, func(id string, t *trial) bool {
-		return !known[id] || t.stage == stageClear && now-t.since > constants.OutlierQuorumForgiven
-	})
-	return whole(record)
+	q.forget(now, view)
+	return p.changes.recordOrNil()
 }
 
 func hasFailing(view *store.View) bool {
 	for _, service := range view.Services {
-		if slices.ContainsFunc(service.Backends, func(b *schema.Backend) bool { return b.Failing }) {
+		if slices.ContainsFunc(service.Backends, func(backend *schema.Backend) bool { return backend.Failing }) {
 			return true
 		}
 	}
 	return false
 }
 
-func (j *OutlierQuorum) recent(now time.Duration, id string, since time.Duration) map[string]vote {
-	votes := j.votes[id]
+// forget drops what is remembered of back ends that are no more, and ejections that ended long ago.
+func (q *OutlierQuorum) forget(now time.Duration, view *store.View) {
+	isKnown := map[string]bool{}
+	for _, service := range view.Services {
+		for _, backend := range service.Backends {
+			isKnown[backend.Instance] = true
+		}
+	}
+	maps.DeleteFunc(q.votes, func(id string, votes map[string]vote) bool { return !isKnown[id] || len(votes) == 0 })
+	maps.DeleteFunc(q.ejections, func(id string, e *ejection) bool { return !isKnown[id] || e.isForgiven(now) })
+}
+
+// recentVotes drops an instance's votes that are too old or from before an instant, and returns the others.
+func (q *OutlierQuorum) recentVotes(now time.Duration, instance string, since time.Duration) map[string]vote {
+	votes := q.votes[instance]
 	maps.DeleteFunc(votes, func(_ string, v vote) bool { return now-v.at > constants.EjectionVoteWindow || v.at < since })
 	return votes
 }
 
-// step moves one back end's case on; nil is none.
-func (j *OutlierQuorum) step(now time.Duration, backend *schema.Backend, isKeyed bool, ready map[string][]string, needed int, hasRoom bool) *trial {
-	id := backend.Instance
-	t := j.trials[id]
-	if t == nil && backend.Failing {
-		t = &trial{stage: stageOut, since: now, until: now + constants.EjectionTime, strikes: 1}
-		j.trials[id] = t
+// outlierPlan is one call of Plan.
+type outlierPlan struct {
+	*OutlierQuorum
+	now     time.Duration
+	view    *store.View
+	ready   readyNodes
+	changes *changes
+}
+
+// planService advances the ejections of a service's back ends and writes the rows that differ from them. No more than
+// a part of a service is ejected at once, and more votes are needed while many back ends are voted against, since the
+// fault is then hardly theirs.
+func (p *outlierPlan) planService(service *store.Service) {
+	ready, failing, votedAgainst := 0, 0, 0
+	for _, backend := range service.Backends {
+		if backend.State == schema.BackendState_BACKEND_READY {
+			ready++
+		}
+		if backend.Failing {
+			failing++
+		}
+		if len(p.recentVotes(p.now, backend.Instance, 0)) > 0 {
+			votedAgainst++
+		}
 	}
-	since := time.Duration(0)
-	if t != nil {
-		since = t.since
+	needed := min(constants.EjectionVotes, max(1, p.ready.count()/2))
+	if votedAgainst*100 > ready*constants.OutlierQuorumFloor {
+		needed *= 2
 	}
-	votes := j.recent(now, id, since)
-	out := func() {
-		if t == nil {
-			t = &trial{}
-			j.trials[id] = t
+	for _, backend := range service.Backends {
+		if backend.State != schema.BackendState_BACKEND_READY || backend.Cold {
+			continue
 		}
-		if t.stage == stageClear && now-t.since > constants.OutlierQuorumForgiven {
-			t.strikes = 0
+		e := p.advance(backend, service.Policy.GetKeyed(), needed, failing*100 < ready*constants.OutlierQuorumFloor)
+		if e == nil {
+			continue
 		}
-		t.stage, t.since, t.goods = stageOut, now, 0
-		first := constants.EjectionTime
-		if isKeyed {
-			first = constants.EjectionTimeOwner
+		fresh := p.rowOf(backend, e)
+		if fresh.Failing && !backend.Failing {
+			failing++
 		}
-		t.until = now + min(constants.MaxEjectionTime, first<<min(t.strikes, 8))
-		t.strikes++
-		delete(j.votes, id)
-	}
-	clear := func() { t.stage, t.since = stageClear, now }
-	switch {
-	case t == nil || t.stage == stageClear:
-		if len(votes) >= needed && hasRoom && isSeenWidely(backend, votes, ready) {
-			out()
+		if !proto.Equal(backend, fresh) {
+			p.changes.put(store.BackendKey(service.Name, backend.Instance), fresh)
 		}
-	case t.stage == stageOut:
-		// What fails while it is out was sent before or for want of any other; keys that it held are elsewhere and can't be tried.
-		delete(j.votes, id)
-		if now >= t.until && isKeyed {
-			clear()
-		} else if now >= t.until {
-			t.stage, t.since, t.goods = stageTrial, now, 0
+	}
+}
+
+// rowOf returns the row of a back end with its ejection; the senders of a trial stay the same until it ends.
+func (p *outlierPlan) rowOf(backend *schema.Backend, e *ejection) *schema.Backend {
+	fresh := proto.Clone(backend).(*schema.Backend)
+	fresh.Failing = e.state != healthy
+	fresh.SlowStartSenders = nil
+	if e.state == onTrial {
+		fresh.SlowStartSenders = backend.SlowStartSenders
+		if len(fresh.SlowStartSenders) == 0 {
+			fresh.SlowStartSenders = trialSenders(backend, p.view, p.ready, e.count)
 		}
-	case len(votes) > 0:
-		out()
-	case t.goods >= constants.OutlierQuorumGoods || now-t.since >= constants.EjectionTrial:
-		clear()
 	}
-	return t
+	return fresh
 }
 
-func count(ready map[string][]string) int {
-	sum := 0
-	for _, ids := range ready {
-		sum += len(ids)
+// advance moves a back end's ejection on and returns it; nil if there has been none. A shard owner is not tried: its
+// keys are elsewhere by then.
+func (p *outlierPlan) advance(backend *schema.Backend, isKeyed bool, needed int, mayEject bool) *ejection {
+	id := backend.Instance
+	e := p.ejections[id]
+	if e == nil && backend.Failing {
+		e = &ejection{state: ejected, since: p.now, until: p.now + constants.EjectionTime, count: 1}
+		p.ejections[id] = e
 	}
-	return sum
+	if e == nil {
+		e = &ejection{}
+	}
+	votes := p.recentVotes(p.now, id, e.since)
+	switch e.state {
+	case healthy:
+		if len(votes) >= needed && mayEject && isSeenWidely(backend, votes, p.ready) {
+			p.eject(id, e, isKeyed)
+		}
+	case ejected:
+		// Requests that fail while it is ejected were sent before, or for want of any other back end.
+		delete(p.votes, id)
+		if p.now >= e.until && isKeyed {
+			e.clear(p.now)
+		} else if p.now >= e.until {
+			e.startTrial(p.now)
+		}
+	case onTrial:
+		if len(votes) > 0 {
+			p.eject(id, e, isKeyed)
+		} else if e.successes >= constants.OutlierQuorumGoods || p.now-e.since >= constants.EjectionTrial {
+			e.clear(p.now)
+		}
+	}
+	return p.ejections[id]
+}
+
+func (p *outlierPlan) eject(instance string, e *ejection, isKeyed bool) {
+	e.eject(p.now, isKeyed)
+	p.ejections[instance] = e
+	delete(p.votes, instance)
 }
 
-// isSeenWidely tells that nodes of the back end's own zone see it fail too, or those of several; one that fails the callers of one other zone is avoided by those.
-func isSeenWidely(backend *schema.Backend, votes map[string]vote, ready map[string][]string) bool {
+// isSeenWidely reports whether nodes of the back end's own zone, or of several zones, see it fail. One that fails only
+// the callers of one other zone is left to those to avoid.
+func isSeenWidely(backend *schema.Backend, votes map[string]vote, ready readyNodes) bool {
 	zones := map[string]bool{}
 	for _, v := range votes {
 		zones[v.zone] = true
 	}
 	return len(zones) > 1 || zones[backend.Zone] || len(ready[backend.Zone]) == 0
 }
-
-// sponsors are the nodes that alone may try a failing back end: few of its zone, others at each trial.
-func slowStartSenders(backend *schema.Backend, view *store.View, ready map[string][]string, turn int) []string {
-	near := ready[backend.Zone]
-	if len(near) == 0 {
-		for _, zone := range slices.Sorted(maps.Keys(ready)) {
-			if view.Zones[zone].GetRegion() == view.Zones[backend.Zone].GetRegion() {
-				near = append(near, ready[zone]...)
-			}
-		}
-	}
-	var chosen []string
-	for i := range min(len(near), constants.TrialSenders) {
-		chosen = append(chosen, near[(turn*constants.TrialSenders+i)%len(near)])
-	}
-	slices.Sort(chosen)
-	return slices.Compact(chosen)
-}
--- a/internal/discovery/outlier_quorum_test.go
+++ b/internal/discovery/outlier_quorum_test.go
@@ -12,16 +12,16 @@
 	"topazshed/internal/store"
 )
 
-// juried is a fleet of six nodes in kol-a and kol-b with back ends i-0 to i-9 in kol-a; copper is free, zinc is divided by key.
-type judged struct {
+// ejectionTest has a fleet of six nodes in kol-a and kol-b with back ends i-0 to i-9 in kol-a; copper is free, zinc is divided by key.
+type ejectionTest struct {
 	t             *testing.T
 	table         *store.Table
 	outlierQuorum *OutlierQuorum
 	now           time.Duration
 }
 
-func newJuried(t *testing.T, service string) *judged {
-	j := &judged{t: t, table: store.NewTable(), outlierQuorum: NewOutlierQuorum(), now: time.Hour}
+func newEjectionTest(t *testing.T, service string) *ejectionTest {
+	j := &ejectionTest{t: t, table: store.NewTable(), outlierQuorum: NewOutlierQuorum(), now: time.Hour}
 	rows := []*schema.Row{store.EncodeRow(store.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: service == "zinc"})}
 	for i, name := range []string{"kol-a", "kol-b"} {
 		rows = append(rows, store.EncodeRow(store.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
@@ -38,14 +38,14 @@
 	return j
 }
 
-func (j *judged) apply(rows []*schema.Row) {
+func (j *ejectionTest) apply(rows []*schema.Row) {
 	j.t.Helper()
 	if _, err := j.table.Apply(j.table.Version()+1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows}, nil); err != nil {
 		j.t.Fatal(err)
 	}
 }
 
-func (j *judged) plan() {
+func (j *ejectionTest) plan() {
 	if record := j.outlierQuorum.Plan(j.now, store.Compile(j.table), j.table); record != nil {
 		if _, err := j.table.Apply(j.table.Version()+1, record, nil); err != nil {
 			j.t.Fatal(err)
@@ -53,8 +53,8 @@
 	}
 }
 
-// failing tells the failing back ends; those on trial with their sponsors.
-func (j *judged) failing() string {
+// failing lists the failing back ends; those on trial with their slow-start senders.
+func (j *ejectionTest) failing() string {
 	var seen []string
 	for _, service := range store.Compile(j.table).Services {
 		for _, b := range service.Backends {
@@ -75,31 +75,31 @@
 	for _, c := range []struct {
 		name, service, steps, want string
 	}{
-		{"nobody complains", "copper", "1s", ""},
-		{"one node's word is not enough", "copper", "0:1", ""},
-		{"one node's word again and again is not", "copper", "0:1 0:1 0:1 0:1", ""},
-		{"three nodes' words are", "copper", "0:1 1:1 3:1", "i-1"},
-		{"words that are old are not", "copper", "0:1 1:1 2100ms 3:1", ""},
-		{"one that fails only another district's callers stays", "copper", "345:1", ""},
-		{"one that fails several districts' callers is out", "zinc", "235:1", "i-1"},
-		{"no more than the rest can bear", "copper", "012:1 012:2 012:3 012:4 012:5", "i-1 i-2 i-3"},
-		{"a trouble of all ejects nobody so easily", "copper", "0:1234567 1:1234567 2:1234567", ""},
-		{"it stays out for a while", "copper", "012:1 2400ms", "i-1"},
-		{"then few may try it", "copper", "012:1 2500ms", "i-1(n0,n2)"},
-		{"words of before do not count on trial", "copper", "012:1 2400ms 012:1 100ms", "i-1(n0,n2)"},
+		{"nobody votes", "copper", "1s", ""},
+		{"one vote is not enough", "copper", "0:1", ""},
+		{"one node's vote again and again is not", "copper", "0:1 0:1 0:1 0:1", ""},
+		{"three nodes' votes are", "copper", "0:1 1:1 3:1", "i-1"},
+		{"old votes are not", "copper", "0:1 1:1 2100ms 3:1", ""},
+		{"one that fails only another zone's callers stays", "copper", "345:1", ""},
+		{"one that fails several zones' callers is ejected", "zinc", "235:1", "i-1"},
+		{"no more than the rest has capacity for", "copper", "012:1 012:2 012:3 012:4 012:5", "i-1 i-2 i-3"},
+		{"a fault of all ejects nobody so easily", "copper", "0:1234567 1:1234567 2:1234567", ""},
+		{"it stays ejected for a while", "copper", "012:1 2400ms", "i-1"},
+		{"then a few nodes may try it", "copper", "012:1 2500ms", "i-1(n0,n2)"},
+		{"votes of before do not count on trial", "copper", "012:1 2400ms 012:1 100ms", "i-1(n0,n2)"},
 		{"trials that go well clear it", "copper", "012:1 2500ms 0+1 2+1", ""},
 		{"a trial that fails does not", "copper", "012:1 2500ms 0+1 2:1", "i-1"},
-		{"and it is out for twice as long", "copper", "012:1 2500ms 2:1 4900ms", "i-1"},
+		{"and it is ejected for twice as long", "copper", "012:1 2500ms 2:1 4900ms", "i-1"},
 		{"and tried by others", "copper", "012:1 2500ms 2:1 5s", "i-1(n1,n2)"},
 		{"nobody tried it", "copper", "012:1 2500ms 3s", ""},
 		{"keys can't be tried", "zinc", "012:1 9900ms", "i-1"},
-		{"a holder of keys is cleared at once", "zinc", "012:1 10s", ""},
-		{"one that goes down and up is out longer each time", "zinc", "012:1 10s 012:1 19900ms", "i-1"},
+		{"an owner of keys is cleared at once", "zinc", "012:1 10s", ""},
+		{"one that goes down and up is ejected longer each time", "zinc", "012:1 10s 012:1 19900ms", "i-1"},
 		{"the longest time is bounded", "zinc", "012:1 20s 012:1 20s 012:1 20s 012:1 20s 012:1 20s 012:1 20s", ""},
-		{"long soundness is rewarded", "zinc", "012:1 10s 012:1 20s 31s 012:1 10s", ""},
+		{"a long healthy time is rewarded", "zinc", "012:1 10s 012:1 20s 31s 012:1 10s", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			j := newJuried(t, c.service)
+			j := newEjectionTest(t, c.service)
 			each := func(nodes, backends string, isFailing bool) {
 				for _, n := range nodes {
 					var healthReports []*schema.HealthReport
@@ -136,7 +136,7 @@
 }
 
 func TestANewLeadersOutlierQuorumTakesOver(t *testing.T) {
-	j := newJuried(t, "copper")
+	j := newEjectionTest(t, "copper")
 	for n := range 3 {
 		j.outlierQuorum.Report(j.now, fmt.Sprint("n", n), "kol-a", []*schema.HealthReport{{Instance: "i-1", Failing: true}})
 	}
@@ -151,22 +151,22 @@
 	}
 	j.now += 200 * time.Millisecond
 	if j.plan(); j.failing() == "i-1" {
-		t.Fatal("it is out for ever")
+		t.Fatal("it is ejected for ever")
 	}
 }
 
-func TestWatchKeepsVerdicts(t *testing.T) {
-	w := newWatched(t, 3)
-	w.plan(whole1(item("i-1")))
+func TestWatchKeepsEjections(t *testing.T) {
+	w := newWatchTest(t, 3)
+	w.plan(wholeListing(item("i-1")))
 	b := w.backend("i-1")
 	b.Failing, b.SlowStartSenders = true, []string{"node-00"}
 	w.put(store.EncodeRow(store.BackendKey("copper", "i-1"), b))
-	if record := w.plan(whole1(item("i-1"))); record != nil {
+	if record := w.plan(wholeListing(item("i-1"))); record != nil {
 		t.Fatalf("a read of the list changes %v", record)
 	}
 	moved := item("i-1")
 	moved.ColdLeft = 5 * time.Second
-	w.plan(whole1(moved))
+	w.plan(wholeListing(moved))
 	if b := w.backend("i-1"); b.Failing || !b.Cold || len(b.SlowStartSenders) == 0 {
 		t.Fatalf("one that turned cold is %v", b)
 	}
@@ -186,7 +186,7 @@
 	view, outlierQuorum := store.Compile(table), NewOutlierQuorum()
 	for b.Loop() {
 		if outlierQuorum.Plan(time.Hour, view, table) != nil {
-			b.Fatal("a verdict without a word")
+			b.Fatal("an ejection without a vote")
 		}
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -1,8 +1,8 @@
 package discovery
 
 import (
+	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -12,171 +12,195 @@
 	"topazshed/internal/store"
 )
 
-// Listed is one back end of a routed fleet as its list tells it.
-type Listed struct {
-	Service    string
-	Instance   string
-	Address    string
-	Zone       string
-	Slots      uint32
-	IsDraining bool
-	ColdLeft   time.Duration
-}
-
-// Listing is one read of the list; BegunAt is when its first page was asked for.
-type Listing struct {
-	Items   []Listed
-	BegunAt time.Duration
-	IsWhole bool
-	Reason  string
-}
-
-// WatchFacts is what a Watch plans on; Listing is nil if nothing new was read.
+// WatchFacts are what a Watch plans on.
 type WatchFacts struct {
-	Now      time.Duration
-	View     *store.View
-	Table    *store.Table
-	Listing  *Listing
+	Now   time.Duration
+	View  *store.View
+	Table *store.Table
+	// Listing is nil if nothing new was read.
+	Listing *Listing
+	// ColdRate returns how many requests a second a back end bears while it warms up.
 	ColdRate func(*schema.ServicePolicy) int
 }
 
-// Watch brings the rows of a routed fleet's back ends in line with the list.
+// Watch plans the rows of back ends in a fleet of routes, by the list.
 type Watch struct {
-	lag       time.Duration
-	missing   map[string]int
+	// lag is how far the list may be behind.
+	lag time.Duration
+	// missingReads counts the whole reads in a row that lacked a listed back end.
+	missingReads map[backendID]int
+	// countedAt is when the last listing began whose missing back ends were counted.
 	countedAt time.Duration
-	coldUntil map[string]time.Duration
-	settledAt map[string]time.Duration
+	// coldUntil holds when a back end has warmed up.
+	coldUntil map[backendID]time.Duration
+	// settlingSince holds when a zone was first seen settling, after it was given back to traffic.
+	settlingSince map[string]time.Duration
 }
 
-// NewWatch makes one for a list that is so far behind.
+// NewWatch returns a Watch for a list that may be behind by lag.
 func NewWatch(lag time.Duration) *Watch {
-	return &Watch{lag: lag, missing: map[string]int{}, coldUntil: map[string]time.Duration{}, settledAt: map[string]time.Duration{}}
+	return &Watch{
+		lag:           lag,
+		missingReads:  map[backendID]int{},
+		coldUntil:     map[backendID]time.Duration{},
+		settlingSince: map[string]time.Duration{},
+	}
 }
 
-// Plan gives the record that is due, or nil.
-func (w *Watch) Plan(f WatchFacts) *schema.Record {
-	for name, zone := range f.View.Zones {
-		if !zone.Settling {
-			delete(w.settledAt, name)
-		} else if _, isNoted := w.settledAt[name]; !isNoted {
-			w.settledAt[name] = f.Now
-		}
-	}
-	if f.Listing == nil {
+// Plan returns the record that brings the rows in line with the list, or nil if nothing changes.
+func (w *Watch) Plan(facts WatchFacts) *schema.Record {
+	w.noteSettling(facts)
+	if facts.Listing == nil {
 		return nil
 	}
-	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "back ends"}
-	put := func(key string, message proto.Message) {
-		record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: f.Table.Get(key).GetIndex()})
-		record.Rows = append(record.Rows, store.EncodeRow(key, message))
+	changes := newChanges(facts.Table, "back ends")
+	listed := w.takeListed(facts, changes)
+	if facts.Listing.IsWhole {
+		w.removeMissing(facts, changes, listed)
+		w.endSettling(facts, changes)
 	}
-	listed := map[string]bool{}
-	for _, item := range f.Listing.Items {
-		if item.Service == "" || item.Instance == "" || item.Address == "" || strings.Contains(item.Service+item.Instance, "/") {
-			continue
+	return changes.recordOrNil()
+}
+
+func (w *Watch) noteSettling(facts WatchFacts) {
+	for name, zone := range facts.View.Zones {
+		if !zone.Settling {
+			delete(w.settlingSince, name)
+		} else if _, isNoted := w.settlingSince[name]; !isNoted {
+			w.settlingSince[name] = facts.Now
 		}
-		name := item.Service + "/" + item.Instance
-		if listed[name] {
+	}
+}
+
+// takeListed writes the rows of back ends whose line in the list differs from them.
+func (w *Watch) takeListed(facts WatchFacts, changes *changes) (listed map[backendID]bool) {
+	listed = map[backendID]bool{}
+	for _, item := range facts.Listing.Items {
+		id := newBackendID(item.Service, item.Instance)
+		if !isNamed(item.Service, item.Instance, item.Address) || listed[id] {
 			continue
 		}
-		listed[name] = true
-		delete(w.missing, name)
-		service := f.View.Services[item.Service]
+		listed[id] = true
+		delete(w.missingReads, id)
+		service := facts.View.Services[item.Service]
 		var old *schema.Backend
 		if service != nil {
 			old = service.Backend(item.Instance)
 		}
-		fresh := &schema.Backend{Service: item.Service, Instance: item.Instance, Address: item.Address, Zone: item.Zone, Slots: item.Slots, State: schema.BackendState_BACKEND_READY}
-		if item.IsDraining || old.GetState() == schema.BackendState_BACKEND_DRAINING && old.GetAddress() == item.Address {
-			fresh.State = schema.BackendState_BACKEND_DRAINING
-		}
-		fresh.Failing = old.GetFailing() && old.GetAddress() == item.Address
-		if item.ColdLeft > 0 {
-			w.coldUntil[name] = max(w.coldUntil[name], f.Listing.BegunAt+item.ColdLeft+constants.ColdAfter)
-		}
-		if fresh.Cold = f.Now < w.coldUntil[name]; fresh.Cold {
-			fresh.SlowStartSenders = old.GetSlowStartSenders()
-			if fresh.Failing = false; !old.GetCold() {
-				fresh.SlowStartSenders = w.slowStartSenders(f, fresh, service)
-			}
-		} else {
-			delete(w.coldUntil, name)
-			if fresh.Failing {
-				fresh.SlowStartSenders = old.SlowStartSenders
-			}
-		}
-		if !proto.Equal(old, fresh) {
-			put(store.BackendKey(item.Service, item.Instance), fresh)
+		if fresh := w.rowOf(facts, id, item, service, old); !proto.Equal(old, fresh) {
+			changes.putBackend(fresh)
 		}
 	}
-	if !f.Listing.IsWhole {
-		return whole(record)
+	return listed
+}
+
+// rowOf returns the row of a listed back end. A draining one stays so at its address, since the list lags behind.
+func (w *Watch) rowOf(facts WatchFacts, id backendID, item Listed, service *store.Service, old *schema.Backend) *schema.Backend {
+	fresh := &schema.Backend{
+		Service:  item.Service,
+		Instance: item.Instance,
+		Address:  item.Address,
+		Zone:     item.Zone,
+		Slots:    item.Slots,
+		State:    schema.BackendState_BACKEND_READY,
 	}
-	isCounted := w.countedAt == f.Listing.BegunAt
-	w.countedAt = f.Listing.BegunAt
-	gone := map[string][]string{}
-	for _, service := range f.View.Services {
-		for _, backend := range service.Backends {
-			name := backend.Service + "/" + backend.Instance
-			if listed[name] {
-				continue
-			}
-			if !isCounted {
-				w.missing[name]++
-			}
-			if w.missing[name] >= constants.EndpointMissingReads {
-				gone[service.Name] = append(gone[service.Name], backend.Instance)
-			}
-		}
+	isSame := old.GetAddress() == item.Address
+	if item.IsDraining || isSame && old.GetState() == schema.BackendState_BACKEND_DRAINING {
+		fresh.State = schema.BackendState_BACKEND_DRAINING
 	}
-	for name, instances := range gone {
-		if service := f.View.Services[name]; len(instances)*100 > len(service.Backends)*constants.EndpointFloor && !slices.ContainsFunc(f.Listing.Items, func(i Listed) bool { return i.Service == name }) {
+	if item.ColdLeft > 0 {
+		w.coldUntil[id] = max(w.coldUntil[id], facts.Listing.BegunAt+item.ColdLeft+constants.ColdAfter)
+	}
+	fresh.Cold = facts.Now < w.coldUntil[id]
+	if !fresh.Cold {
+		delete(w.coldUntil, id)
+	}
+	fresh.Failing = !fresh.Cold && isSame && old.GetFailing()
+	switch {
+	case fresh.Cold && !old.GetCold():
+		fresh.SlowStartSenders = w.slowStartSenders(facts, fresh, service)
+	case fresh.Cold || fresh.Failing:
+		fresh.SlowStartSenders = old.GetSlowStartSenders()
+	}
+	return fresh
+}
+
+// removeMissing takes out the back ends that enough whole reads in a row lacked. It keeps them all if they are most of
+// their service and the list has none of that service.
+func (w *Watch) removeMissing(facts WatchFacts, changes *changes, listed map[backendID]bool) {
+	missing := w.countMissing(facts, listed)
+	for _, name := range slices.Sorted(maps.Keys(missing)) {
+		instances := missing[name]
+		isMost := len(instances)*100 > len(facts.View.Services[name].Backends)*constants.EndpointFloor
+		isListed := slices.ContainsFunc(facts.Listing.Items, func(item Listed) bool { return item.Service == name })
+		if isMost && !isListed {
 			continue
 		}
 		slices.Sort(instances)
 		for _, instance := range instances {
-			key := store.BackendKey(name, instance)
-			record.Guards = append(record.Guards, &schema.Guard{Key: key, Index: f.Table.Get(key).GetIndex()})
-			record.Rows = append(record.Rows, store.Tombstone(key))
+			changes.removeBackend(name, instance)
 		}
 	}
-	for name, at := range w.settledAt {
-		if f.Listing.BegunAt >= at+w.lag+constants.SettleMargin {
-			fresh := proto.Clone(f.View.Zones[name]).(*schema.Zone)
-			fresh.Settling = false
-			put(store.ZoneKey(name), fresh)
+}
+
+// countMissing counts a listing once, however often it is planned on, and returns by service the instances that enough
+// listings lacked.
+func (w *Watch) countMissing(facts WatchFacts, listed map[backendID]bool) map[string][]string {
+	isCounted := w.countedAt == facts.Listing.BegunAt
+	w.countedAt = facts.Listing.BegunAt
+	missing := map[string][]string{}
+	for _, service := range facts.View.Services {
+		for _, backend := range service.Backends {
+			id := idOf(backend)
+			if listed[id] {
+				continue
+			}
+			if !isCounted {
+				w.missingReads[id]++
+			}
+			if w.missingReads[id] >= constants.EndpointMissingReads {
+				missing[service.Name] = append(missing[service.Name], backend.Instance)
+			}
 		}
 	}
-	return whole(record)
+	return missing
 }
 
-func whole(record *schema.Record) *schema.Record {
-	if len(record.Rows) == 0 {
-		return nil
+// endSettling marks the zones as settled that were given back to traffic long enough before this read began for the
+// list to show it.
+func (w *Watch) endSettling(facts WatchFacts, changes *changes) {
+	for _, name := range slices.Sorted(maps.Keys(w.settlingSince)) {
+		if facts.Listing.BegunAt < w.settlingSince[name]+w.lag+constants.SettleMargin {
+			continue
+		}
+		fresh := proto.Clone(facts.View.Zones[name]).(*schema.Zone)
+		fresh.Settling = false
+		changes.put(store.ZoneKey(name), fresh)
 	}
-	return record
 }
 
-func (w *Watch) slowStartSenders(f WatchFacts, backend *schema.Backend, service *store.Service) []string {
+// slowStartSenders returns the nodes that alone may send to a back end that warms up: as many as can share its cold
+// rate, of its zone or else of its region.
+func (w *Watch) slowStartSenders(facts WatchFacts, backend *schema.Backend, service *store.Service) []string {
 	coldRate := 1
 	if service != nil && service.Policy != nil {
-		coldRate = f.ColdRate(service.Policy)
+		coldRate = facts.ColdRate(service.Policy)
 	}
-	var near, far []string
-	region := f.View.Zones[backend.Zone].GetRegion()
-	for id, node := range f.View.Nodes {
+	var inZone, inRegion []string
+	region := facts.View.Zones[backend.Zone].GetRegion()
+	for id, node := range facts.View.Nodes {
 		switch {
 		case node.State != schema.NodeState_NODE_READY:
 		case node.Zone == backend.Zone:
-			near = append(near, id)
+			inZone = append(inZone, id)
 		case node.Region == region:
-			far = append(far, id)
+			inRegion = append(inRegion, id)
 		}
 	}
-	if len(near) == 0 {
-		near = far
+	senders := inZone
+	if len(senders) == 0 {
+		senders = inRegion
 	}
-	slices.Sort(near)
-	return near[:min(len(near), max(1, min(coldRate, constants.SlowStartSendersMost)))]
+	slices.Sort(senders)
+	return senders[:min(len(senders), max(1, min(coldRate, constants.SlowStartSendersMost)))]
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -13,7 +13,7 @@
 
 const lag = 800 * time.Millisecond
 
-type watched struct {
+type watchTest struct {
 	t        *testing.T
 	table    *store.Table
 	watch    *Watch
@@ -21,8 +21,8 @@
 	now      time.Duration
 }
 
-func newWatched(t *testing.T, nodes int) *watched {
-	w := &watched{t: t, table: store.NewTable(), watch: NewWatch(lag), coldRate: 30, now: time.Hour}
+func newWatchTest(t *testing.T, nodes int) *watchTest {
+	w := &watchTest{t: t, table: store.NewTable(), watch: NewWatch(lag), coldRate: 30, now: time.Hour}
 	rows := []*schema.Row{store.EncodeRow(store.RegionKey("kol"), &schema.Region{Name: "kol", Residue: 1}), store.EncodeRow(store.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 17})}
 	for i, name := range []string{"kol-a", "kol-b"} {
 		rows = append(rows, store.EncodeRow(store.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
@@ -35,19 +35,19 @@
 	return w
 }
 
-func (w *watched) put(rows ...*schema.Row) {
+func (w *watchTest) put(rows ...*schema.Row) {
 	w.t.Helper()
 	w.apply(&schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows})
 }
 
-func (w *watched) apply(record *schema.Record) {
+func (w *watchTest) apply(record *schema.Record) {
 	w.t.Helper()
 	if _, err := w.table.Apply(w.table.Version()+1, record, nil); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-func (w *watched) plan(listing *Listing) *schema.Record {
+func (w *watchTest) plan(listing *Listing) *schema.Record {
 	w.now += 400 * time.Millisecond
 	if listing != nil && listing.BegunAt == 0 {
 		listing.BegunAt = w.now - 50*time.Millisecond
@@ -59,11 +59,11 @@
 	return record
 }
 
-func (w *watched) backend(instance string) *schema.Backend {
+func (w *watchTest) backend(instance string) *schema.Backend {
 	return store.DecodeRow[schema.Backend](w.table.Get(store.BackendKey("copper", instance)))
 }
 
-func (w *watched) state() string {
+func (w *watchTest) state() string {
 	text := ""
 	w.table.Each("s/copper/backend/", func(row *schema.Row) {
 		b := store.DecodeRow[schema.Backend](row)
@@ -79,7 +79,7 @@
 	return text
 }
 
-func whole1(items ...Listed) *Listing { return &Listing{Items: items, IsWhole: true} }
+func wholeListing(items ...Listed) *Listing { return &Listing{Items: items, IsWhole: true} }
 
 func item(instance string) Listed {
 	return Listed{Service: "copper", Instance: instance, Address: instance + ":1", Zone: "kol-a", Slots: 6}
@@ -105,26 +105,26 @@
 		want  string
 	}{
 		{"nothing read", []*Listing{nil, nil}, ""},
-		{"new ones", []*Listing{whole1(item("a"), item("b"))}, "a b "},
+		{"new ones", []*Listing{wholeListing(item("a"), item("b"))}, "a b "},
 		{"new ones of a partial read count too", []*Listing{partial(item("a"))}, "a "},
-		{"draining", []*Listing{whole1(item("a"), item("b")), whole1(item("a"), draining("b"))}, "a b! "},
-		{"draining by a partial read", []*Listing{whole1(item("a"), item("b")), partial(draining("b"))}, "a b! "},
-		{"draining is sticky, the list being behind", []*Listing{whole1(item("a"), draining("b")), whole1(item("a"), item("b"))}, "a b! "},
-		{"missing once", []*Listing{whole1(item("a"), item("b")), whole1(item("a"))}, "a b "},
-		{"missing twice", []*Listing{whole1(item("a"), item("b")), whole1(item("a")), whole1(item("a"))}, "a "},
-		{"missing, there, missing", []*Listing{whole1(item("a"), item("b")), whole1(item("a")), whole1(item("a"), item("b")), whole1(item("a"))}, "a b "},
-		{"partial reads take nothing out", []*Listing{whole1(item("a"), item("b")), partial(item("a")), partial(item("a")), partial()}, "a b "},
-		{"an empty list takes nothing out", []*Listing{whole1(item("a"), item("b")), whole1(), whole1(), whole1()}, "a b "},
-		{"all but one may go", []*Listing{whole1(item("a"), item("b"), item("c"), item("d")), whole1(item("d")), whole1(item("d"))}, "d "},
-		{"all replaced by one of the same service", []*Listing{whole1(item("a"), item("b")), whole1(item("c")), whole1(item("c"))}, "c "},
-		{"an item without instance or with a slash in it is passed over", []*Listing{whole1(item("a"), item(""), item("x/y"))}, "a "},
-		{"told twice counts once", []*Listing{whole1(item("a"), draining("a"))}, "a "},
-		{"cold", []*Listing{whole1(item("a"), cold("b", 3*time.Second))}, "a b* "},
-		{"cold ends", []*Listing{whole1(item("a"), cold("b", 300*time.Millisecond)), whole1(item("a"), item("b")), whole1(item("a"), item("b"))}, "a b "},
-		{"cold again", []*Listing{whole1(cold("b", 100*time.Millisecond)), whole1(item("b")), whole1(cold("b", time.Second))}, "b* "},
+		{"draining", []*Listing{wholeListing(item("a"), item("b")), wholeListing(item("a"), draining("b"))}, "a b! "},
+		{"draining by a partial read", []*Listing{wholeListing(item("a"), item("b")), partial(draining("b"))}, "a b! "},
+		{"draining is sticky, the list being behind", []*Listing{wholeListing(item("a"), draining("b")), wholeListing(item("a"), item("b"))}, "a b! "},
+		{"missing once", []*Listing{wholeListing(item("a"), item("b")), wholeListing(item("a"))}, "a b "},
+		{"missing twice", []*Listing{wholeListing(item("a"), item("b")), wholeListing(item("a")), wholeListing(item("a"))}, "a "},
+		{"missing, there, missing", []*Listing{wholeListing(item("a"), item("b")), wholeListing(item("a")), wholeListing(item("a"), item("b")), wholeListing(item("a"))}, "a b "},
+		{"partial reads take nothing out", []*Listing{wholeListing(item("a"), item("b")), partial(item("a")), partial(item("a")), partial()}, "a b "},
+		{"an empty list takes nothing out", []*Listing{wholeListing(item("a"), item("b")), wholeListing(), wholeListing(), wholeListing()}, "a b "},
+		{"all but one may go", []*Listing{wholeListing(item("a"), item("b"), item("c"), item("d")), wholeListing(item("d")), wholeListing(item("d"))}, "d "},
+		{"all replaced by one of the same service", []*Listing{wholeListing(item("a"), item("b")), wholeListing(item("c")), wholeListing(item("c"))}, "c "},
+		{"an item without instance or with a slash in it is passed over", []*Listing{wholeListing(item("a"), item(""), item("x/y"))}, "a "},
+		{"listed twice counts once", []*Listing{wholeListing(item("a"), draining("a"))}, "a "},
+		{"cold", []*Listing{wholeListing(item("a"), cold("b", 3*time.Second))}, "a b* "},
+		{"cold ends", []*Listing{wholeListing(item("a"), cold("b", 300*time.Millisecond)), wholeListing(item("a"), item("b")), wholeListing(item("a"), item("b"))}, "a b "},
+		{"cold again", []*Listing{wholeListing(cold("b", 100*time.Millisecond)), wholeListing(item("b")), wholeListing(cold("b", time.Second))}, "b* "},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWatched(t, 3)
+			w := newWatchTest(t, 3)
 			for _, read := range c.reads {
 				w.plan(read)
 			}
@@ -136,9 +136,9 @@
 }
 
 func TestWatchCountsAListingOnce(t *testing.T) {
-	w := newWatched(t, 1)
-	w.plan(whole1(item("a"), item("b")))
-	again := whole1(item("a"))
+	w := newWatchTest(t, 1)
+	w.plan(wholeListing(item("a"), item("b")))
+	again := wholeListing(item("a"))
 	for range 3 {
 		w.plan(again)
 	}
@@ -148,16 +148,16 @@
 }
 
 func TestWatchPlansNothingIfNothingChanged(t *testing.T) {
-	w := newWatched(t, 3)
-	w.plan(whole1(item("a"), cold("b", time.Minute)))
-	if record := w.plan(whole1(item("a"), cold("b", 59*time.Second))); record != nil {
+	w := newWatchTest(t, 3)
+	w.plan(wholeListing(item("a"), cold("b", time.Minute)))
+	if record := w.plan(wholeListing(item("a"), cold("b", 59*time.Second))); record != nil {
 		t.Fatalf("record %v", record)
 	}
 }
 
 func TestWatchGuardsAgainstAnother(t *testing.T) {
-	w := newWatched(t, 3)
-	listing := whole1(item("a"))
+	w := newWatchTest(t, 3)
+	listing := wholeListing(item("a"))
 	listing.BegunAt = w.now
 	facts := WatchFacts{Now: w.now, View: store.Compile(w.table), Table: w.table, Listing: listing, ColdRate: func(*schema.ServicePolicy) int { return 1 }}
 	record := w.watch.Plan(facts)
@@ -171,24 +171,24 @@
 	for _, c := range []struct {
 		name            string
 		nodes, coldRate int
-		turn            func(*watched)
+		turn            func(*watchTest)
 		want            []string
 	}{
 		{"as many as may share it", 9, 30, nil, []string{"node-00", "node-01", "node-02", "node-03"}},
 		{"no more than there are", 2, 30, nil, []string{"node-00", "node-01"}},
-		{"never more than what is bearable", 9, 3, nil, []string{"node-00", "node-01", "node-02"}},
-		{"one bears nothing to divide", 9, 1, nil, []string{"node-00"}},
-		{"ready ones alone", 3, 30, func(w *watched) {
+		{"never more than the cold rate", 9, 3, nil, []string{"node-00", "node-01", "node-02"}},
+		{"a cold rate of one has nothing to divide", 9, 1, nil, []string{"node-00"}},
+		{"ready ones alone", 3, 30, func(w *watchTest) {
 			w.put(store.EncodeRow(store.NodeKey("node-01"), &schema.Node{Id: "node-01", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_STOPPING}),
 				store.EncodeRow(store.NodeKey("node-02"), &schema.Node{Id: "node-02", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_LOST}))
 		}, []string{"node-00"}},
-		{"the region's, if the district has none", 2, 30, func(w *watched) {
+		{"the region's, if the zone has none", 2, 30, func(w *watchTest) {
 			for i := range 2 {
 				id := fmt.Sprintf("node-%02d", i)
 				w.put(store.EncodeRow(store.NodeKey(id), &schema.Node{Id: id, Zone: "kol-b", Region: "kol", State: schema.NodeState_NODE_READY}))
 			}
 		}, []string{"node-00", "node-01"}},
-		{"none of another region", 2, 30, func(w *watched) {
+		{"none of another region", 2, 30, func(w *watchTest) {
 			for i := range 2 {
 				id := fmt.Sprintf("node-%02d", i)
 				w.put(store.EncodeRow(store.NodeKey(id), &schema.Node{Id: id, Zone: "hal-a", Region: "hal", State: schema.NodeState_NODE_READY}))
@@ -196,39 +196,39 @@
 		}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWatched(t, c.nodes)
+			w := newWatchTest(t, c.nodes)
 			w.coldRate = c.coldRate
 			if c.turn != nil {
 				c.turn(w)
 			}
-			w.plan(whole1(cold("b", 3*time.Second)))
+			w.plan(wholeListing(cold("b", 3*time.Second)))
 			if got := w.backend("b").SlowStartSenders; !slices.Equal(got, c.want) {
-				t.Fatalf("sponsors %v, want %v", got, c.want)
+				t.Fatalf("slow-start senders %v, want %v", got, c.want)
 			}
 			if sum := len(w.backend("b").SlowStartSenders) * (c.coldRate / max(1, len(w.backend("b").SlowStartSenders))); sum > c.coldRate {
-				t.Fatalf("sponsors may send %d a second together, bearable are %d", sum, c.coldRate)
+				t.Fatalf("slow-start senders may send %d a second together, the cold rate is %d", sum, c.coldRate)
 			}
 		})
 	}
 }
 
 func TestWatchKeepsSlowStartSendersWhileCold(t *testing.T) {
-	w := newWatched(t, 2)
-	w.plan(whole1(cold("b", 3*time.Second)))
+	w := newWatchTest(t, 2)
+	w.plan(wholeListing(cold("b", 3*time.Second)))
 	was := w.backend("b").SlowStartSenders
 	w.put(store.EncodeRow(store.NodeKey("node-"), &schema.Node{Id: "node-", Zone: "kol-a", Region: "kol", State: schema.NodeState_NODE_READY}))
-	w.plan(whole1(cold("b", 2*time.Second)))
+	w.plan(wholeListing(cold("b", 2*time.Second)))
 	if got := w.backend("b").SlowStartSenders; !slices.Equal(got, was) {
-		t.Fatalf("sponsors %v became %v while it was cold: two sets could send its whole part in one second", was, got)
+		t.Fatalf("slow-start senders %v became %v while it was cold: two sets could send its whole part in one second", was, got)
 	}
 	w.now += 10 * time.Second
-	w.plan(whole1(item("b")))
+	w.plan(wholeListing(item("b")))
 	if b := w.backend("b"); b.Cold || len(b.SlowStartSenders) > 0 {
 		t.Fatalf("warm, yet %v", b)
 	}
-	w.plan(whole1(cold("b", 2*time.Second)))
+	w.plan(wholeListing(cold("b", 2*time.Second)))
 	if got := w.backend("b").SlowStartSenders; len(got) != 3 {
-		t.Fatalf("cold again: sponsors %v", got)
+		t.Fatalf("cold again: slow-start senders %v", got)
 	}
 }
 
@@ -246,8 +246,8 @@
 		{"a partial one begun late enough", lag + constants.SettleMargin, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWatched(t, 1)
-			w.plan(whole1(item("a")))
+			w := newWatchTest(t, 1)
+			w.plan(wholeListing(item("a")))
 			w.put(store.EncodeRow(store.ZoneKey("kol-a"), &schema.Zone{Name: "kol-a", Region: "kol", Settling: true}))
 			w.plan(nil)
 			at := w.now
--- a/internal/node/list_reader.go
+++ b/internal/node/list_reader.go
@@ -14,11 +14,11 @@
 	node   *Node
 	read   func(ctx context.Context, turn Turn) ([]discovery.Listed, int, error)
 	bounds Bounds
-	pace   *discovery.Pace
+	pace   *discovery.ListLimiter
 }
 
 func newListReader(n *Node, platform *Platform) *listReader {
-	return &listReader{node: n, read: platform.List, bounds: platform.Bounds, pace: discovery.NewPace(platform.Bounds.ListRate)}
+	return &listReader{node: n, read: platform.List, bounds: platform.Bounds, pace: discovery.NewListLimiter(platform.Bounds.ListRate)}
 }
 
 // run reads the list again and again until ctx ends.
@@ -33,7 +33,7 @@
 		if r.node.local.Load().Role != roleLeader {
 			continue
 		}
-		listing := discovery.Listing{BegunAt: r.pace.Begin(r.node.Now()), IsWhole: true}
+		listing := discovery.Listing{BegunAt: r.pace.BeginRead(r.node.Now()), IsWhole: true}
 		items, calls, err := r.read(ctx, r.turn)
 		took := r.node.Now() - listing.BegunAt
 		pause = max(r.shortestPause(), r.pauseAfter(calls)-took)
@@ -47,10 +47,10 @@
 
 // turn reports what was read so far where that is due, and waits until the list may be called again.
 func (r *listReader) turn(ctx context.Context, refusals int, items []discovery.Listed) error {
-	if begun, isDue := r.pace.Part(r.node.Now(), len(items)); isDue {
+	if begun, isDue := r.pace.Partial(r.node.Now(), len(items)); isDue {
 		r.report(discovery.Listing{BegunAt: begun, Items: slices.Clone(items)})
 	}
-	wait, err := r.pace.Turn(r.node.Now(), refusals)
+	wait, err := r.pace.Reserve(r.node.Now(), refusals)
 	if err != nil || wait <= 0 {
 		return err
 	}
