--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -13,9 +13,9 @@
 // execution performs the orders of one request's machine with real connections, on the goroutine of the request. A panic with
 // http.ErrAbortHandler ends the caller's connection without a response: the caller has gone, or has got a part of one.
 type execution struct {
-	gateway  *Gateway
-	writer   http.ResponseWriter
-	request  *http.Request
+	gateway *Gateway
+	writer  http.ResponseWriter
+	request *http.Request
 	// exchange and machine are held by value: behind a pointer they would be allocated for each request.
 	exchange exchange
 	machine  RequestMachine
--- a/internal/gateway/request_machine.go
+++ b/internal/gateway/request_machine.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"net/http"
 	"time"
 
 	"topazshed/internal/constants"
@@ -8,68 +9,7 @@
 	"topazshed/internal/store"
 )
 
-// OrderKind is what the executor must do for a request next.
-type OrderKind int
-
-// The orders of a course.
-const (
-	OrderConnect OrderKind = iota
-	OrderWait
-	OrderSend
-	OrderPass
-	OrderRefuse
-	OrderFail
-)
-
-// Order is one thing for the executor to do.
-type Order struct {
-	Kind    OrderKind
-	Backend *schema.Backend
-	// Wait bounds the connecting.
-	Wait time.Duration
-	// Refusal and RetryAfter say why and when to come back, for a request that has not run and never will.
-	Refusal    Refusal
-	RetryAfter time.Duration
-	// Status and Reason tell of a request that may have run.
-	Status int
-	Reason string
-}
-
-// EventKind is what has happened to an attempt.
-type EventKind int
-
-// The events that a course takes.
-const (
-	EventBegun EventKind = iota
-	// EventConnected: a connection stands; nothing was written.
-	EventConnected
-	// EventUnreached: no connection came up, or it ended before a byte was written.
-	EventUnreached
-	// EventNotRun: the back end says that it did not run the request.
-	EventNotRun
-	// EventAnswered: a whole answer of this request that may be passed on.
-	EventAnswered
-	// EventErrored: a whole answer that tells of a failure of the back end's own.
-	EventErrored
-	// EventBroken: bytes were written and no whole, trustworthy answer came.
-	EventBroken
-	// EventWoken: the wait that was ordered is over.
-	EventWoken
-	// EventOversize: the caller's body went over the limit while it was passed on.
-	EventOversize
-	// EventExpired: the deadline or the route's time-out is over.
-	EventExpired
-)
-
-// Event is what the executor saw.
-type Event struct {
-	Kind   EventKind
-	Reason string
-	// IsForgotten says that the connection broke only because its back end had forgotten it, so that the back end may be asked again.
-	IsForgotten bool
-}
-
-// RequestOptions make a Course.
+// RequestOptions make a RequestMachine.
 type RequestOptions struct {
 	Self  *schema.Node
 	Loads *Loads
@@ -80,147 +20,199 @@
 	Service  string
 	Key      uint32
 	HasKey   bool
-	Token    string
-	Begun    time.Duration
-	Until    time.Duration
+	// Token is the request's attempt id.
+	Token string
+	// Begun and Until are when the request came and when its caller or its route gives it up.
+	Begun time.Duration
+	Until time.Duration
 	// IsKeyed says that the service is divided by key and the request names one.
 	IsKeyed bool
 	// IsReplayable says that the body can be sent again.
 	IsReplayable bool
 }
 
-// RequestMachine is one request's way through a gateway: events in, orders out, without I/O.
+// RequestMachine decides what happens to one request: events in, orders out, without I/O. It is used by one goroutine.
+//
+// Its promises, for any events: an OrderRefuse only if no back end can have run the request; a second OrderSend only if the attempts before
+// it have not run, or the route is repeatable and the retry budget allows it; never more than the route's attempts.
 type RequestMachine struct {
 	RequestOptions
+	// Repeats counts the attempts after the first that were paid for from the retry budget.
+	Repeats int
+
 	sent     int
 	searches int
 	tried    []string
 	choice   Choice
 	chosenAt time.Duration
-	mayRun   bool
-	parkedAt time.Duration
-	reason   string
-	Repeats  int
+	// mayRun says that a back end may have run the request.
+	mayRun bool
+	// reason is what went wrong last.
+	reason string
 }
 
-// NewRequestMachine begins a request's course.
+// NewRequestMachine makes the machine of a request that has just come.
 func NewRequestMachine(options RequestOptions) *RequestMachine {
 	return &RequestMachine{RequestOptions: options}
 }
 
 // Next takes an event and gives the next order.
-func (c *RequestMachine) Next(now time.Duration, view *store.View, e Event) Order {
+func (m *RequestMachine) Next(now time.Duration, view *store.View, e Event) Order {
 	switch e.Kind {
 	case EventConnected:
-		c.sent++
-		if c.choice.IsCold {
-			c.Loads.ColdSent(c.chosenAt, now, c.choice.Backend.Instance)
-		}
-		return Order{Kind: OrderSend, Backend: c.choice.Backend}
+		return m.send(now)
 	case EventOversize:
-		return Order{Kind: OrderFail, Status: 413, Reason: e.Reason}
+		return Order{Kind: OrderFail, Status: http.StatusRequestEntityTooLarge, Reason: e.Reason}
 	case EventAnswered:
 		return Order{Kind: OrderPass}
 	case EventExpired:
-		if !c.mayRun && c.sent == 0 {
-			return c.refuse(now, RefusalBusy)
-		}
-		return Order{Kind: OrderFail, Status: 504, Reason: "the deadline is over: " + c.reason}
+		return m.expire(now)
 	case EventUnreached:
-		c.reason = e.Reason
-		c.tried = append(c.tried, c.choice.Backend.Instance)
+		m.exclude(e.Reason)
 	case EventNotRun:
-		c.reason = e.Reason
-		c.tried = append(c.tried, c.choice.Backend.Instance)
-		if c.sent >= c.most() {
-			return c.end(now, RefusalBusy)
+		m.exclude(e.Reason)
+		if m.isSpent() {
+			return m.end(now, RefusalBusy)
 		}
 	case EventErrored:
-		c.mayRun = true
-		c.tried = append(c.tried, c.choice.Backend.Instance)
-		if !c.Route.Repeatable || !c.IsReplayable || c.sent >= c.most() {
-			return Order{Kind: OrderPass}
-		}
-		if order := c.seek(now, view); order.Kind == OrderConnect {
-			return order
-		}
-		return Order{Kind: OrderPass}
+		return m.retryOrPass(now, view)
 	case EventBroken:
-		c.mayRun = true
-		c.reason = e.Reason
+		m.mayRun = true
+		m.reason = e.Reason
 		if !e.IsForgotten {
-			c.tried = append(c.tried, c.choice.Backend.Instance)
+			m.exclude(e.Reason)
+		}
+		if !m.mayRetry() {
+			return m.end(now, RefusalBusy)
 		}
-		if !c.Route.Repeatable || !c.IsReplayable || c.sent >= c.most() {
-			return c.end(now, RefusalBusy)
+	}
+	return m.seek(now, view)
+}
+
+func (m *RequestMachine) send(now time.Duration) Order {
+	m.sent++
+	if m.choice.IsCold {
+		m.Loads.ColdSent(m.chosenAt, now, m.choice.Backend.Instance)
+	}
+	return Order{Kind: OrderSend, Backend: m.choice.Backend}
+}
+
+// exclude gives the present back end no further attempt.
+func (m *RequestMachine) exclude(reason string) {
+	m.reason = reason
+	m.tried = append(m.tried, m.choice.Backend.Instance)
+}
+
+// retryOrPass seeks another back end after a response that tells of a failure, which goes to the caller if there is none.
+func (m *RequestMachine) retryOrPass(now time.Duration, view *store.View) Order {
+	m.mayRun = true
+	m.tried = append(m.tried, m.choice.Backend.Instance)
+	if m.mayRetry() {
+		if order := m.seek(now, view); order.Kind == OrderConnect {
+			return order
 		}
 	}
-	return c.seek(now, view)
+	return Order{Kind: OrderPass}
 }
 
-func (c *RequestMachine) most() int { return int(max(1, c.Route.MaxAttempts)) }
+// isSpent tells whether the request has had all its attempts.
+func (m *RequestMachine) isSpent() bool { return m.sent >= int(max(1, m.Route.MaxAttempts)) }
+
+// mayRetry tells whether a request that may have run may be sent once more.
+func (m *RequestMachine) mayRetry() bool {
+	return m.Route.Repeatable && m.IsReplayable && !m.isSpent()
+}
 
-func (c *RequestMachine) seek(now time.Duration, view *store.View) Order {
-	if now >= c.Until {
-		return c.Next(now, view, Event{Kind: EventExpired})
+// seek chooses a back end for the next attempt, and ends the request if there is none.
+func (m *RequestMachine) seek(now time.Duration, view *store.View) Order {
+	if now >= m.Until {
+		return m.expire(now)
 	}
-	c.searches++
-	if c.searches > constants.SearchesMost || !c.IsReplayable && c.sent > 0 {
-		return c.end(now, RefusalBusy)
+	m.searches++
+	if m.searches > constants.SearchesMost || !m.IsReplayable && m.sent > 0 {
+		return m.end(now, RefusalBusy)
 	}
-	choice := Choose(Situation{Now: now, View: view, Self: c.Self, Loads: c.Loads, Draw: c.Draw, Route: c.Route, Service: c.Service,
-		Key: c.Key, HasKey: c.HasKey, Token: c.Token, Tried: c.tried})
+	choice := m.choose(now, view)
 	if choice.Backend == nil {
-		if choice.Refusal == RefusalMoving && c.park(now) {
-			c.searches--
-			return Order{Kind: OrderWait, Wait: min(constants.ParkPoll, c.Until-now)}
+		if choice.Refusal == RefusalMoving && m.mayWaitForOwner(now) {
+			// Waiting for an owner is no search.
+			m.searches--
+			return Order{Kind: OrderWait, Wait: min(constants.ParkPoll, m.Until-now)}
 		}
-		return c.end(now, choice.Refusal)
+		return m.end(now, choice.Refusal)
 	}
-	if c.sent == 0 && len(c.tried) == 0 && c.isShed(now, choice.Backend.Instance) {
-		return c.refuse(now, RefusalBusy)
+	if m.sent == 0 && len(m.tried) == 0 && m.isShed(now, choice.Backend.Instance) {
+		return m.refuse(now, RefusalBusy)
 	}
-	if c.sent > 0 {
-		if !c.Loads.MayRepeat(now, c.Service, len(view.Nodes)) {
-			return c.end(now, RefusalBudget)
+	if m.sent > 0 {
+		if !m.Loads.MayRepeat(now, m.Service, len(view.Nodes)) {
+			return m.end(now, RefusalBudget)
 		}
-		c.Repeats++
+		m.Repeats++
 	}
-	c.choice, c.chosenAt = choice, now
-	return Order{Kind: OrderConnect, Backend: choice.Backend, Wait: min(constants.BackendConnect, c.Until-now)}
+	m.choice = choice
+	m.chosenAt = now
+	return Order{Kind: OrderConnect, Backend: choice.Backend, Wait: min(constants.BackendConnect, m.Until-now)}
+}
+
+func (m *RequestMachine) choose(now time.Duration, view *store.View) Choice {
+	return Choose(Situation{
+		Now:     now,
+		View:    view,
+		Self:    m.Self,
+		Loads:   m.Loads,
+		Draw:    m.Draw,
+		Route:   m.Route,
+		Service: m.Service,
+		Key:     m.Key,
+		HasKey:  m.HasKey,
+		Token:   m.Token,
+		Tried:   m.tried,
+	})
 }
 
-func (c *RequestMachine) isShed(now time.Duration, instance string) bool {
-	if c.Pressure == nil {
+// shedDraws is how many different random shares decide whether a request is shed.
+const shedDraws = 1000
+
+// isShed tells whether the request is refused before its first attempt, because the back end would take too long.
+func (m *RequestMachine) isShed(now time.Duration, instance string) bool {
+	if m.Pressure == nil {
 		return false
 	}
-	aim := time.Duration(max(c.Route.TargetMs, 100)) * time.Millisecond
-	isBack := c.Until-c.Begun < time.Duration(float64(c.Route.TimeoutMs)*constants.BackPart)*time.Millisecond
-	share := Shed(c.Pressure.Expect(now, c.Service, instance), aim, c.Route.Priority, isBack)
-	return share > 0 && float64(c.Draw(1000)) < share*1000
+	// A caller that came back after a refusal has spent a part of its time.
+	isBack := m.Until-m.Begun < time.Duration(float64(m.Route.TimeoutMs)*constants.BackPart)*time.Millisecond
+	share := Shed(m.Pressure.Expect(now, m.Service, instance), targetOf(m.Route), m.Route.Priority, isBack)
+	return share > 0 && float64(m.Draw(shedDraws)) < share*shedDraws
+}
+
+// mayWaitForOwner tells whether a request may wait until its key has an owner again: for a part of its latency target, so that a refusal
+// never comes late.
+func (m *RequestMachine) mayWaitForOwner(now time.Duration) bool {
+	return now-m.Begun < targetOf(m.Route)/constants.ParkParts && len(m.tried) == 0
 }
 
-// park tells whether a request may wait on for its key to be held again: a quarter of its aim, so that a refusal is never late.
-func (c *RequestMachine) park(now time.Duration) bool {
-	if c.parkedAt == 0 {
-		c.parkedAt = now
+// expire ends a request whose time is over.
+func (m *RequestMachine) expire(now time.Duration) Order {
+	if !m.mayRun && m.sent == 0 {
+		return m.refuse(now, RefusalBusy)
 	}
-	most := time.Duration(max(c.Route.TargetMs, 100)) * time.Millisecond / constants.ParkParts
-	return now-c.Begun < most && len(c.tried) == 0
+	return Order{Kind: OrderFail, Status: http.StatusGatewayTimeout, Reason: "the deadline is over: " + m.reason}
 }
 
-func (c *RequestMachine) end(now time.Duration, refusal Refusal) Order {
-	if c.mayRun {
-		return Order{Kind: OrderFail, Status: 502, Reason: c.reason}
+// end ends a request that gets no further attempt.
+func (m *RequestMachine) end(now time.Duration, refusal Refusal) Order {
+	if m.mayRun {
+		return Order{Kind: OrderFail, Status: http.StatusBadGateway, Reason: m.reason}
 	}
-	return c.refuse(now, refusal)
+	return m.refuse(now, refusal)
 }
 
-func (c *RequestMachine) refuse(now time.Duration, refusal Refusal) Order {
-	after := constants.RefuseAfter
+// refuse ends a request that no back end can have run.
+func (m *RequestMachine) refuse(now time.Duration, refusal Refusal) Order {
+	mean := constants.RefuseAfter
 	if refusal == RefusalMoving || refusal == RefusalCold || refusal == RefusalNotReady {
-		after = constants.RefuseAfterMove
+		mean = constants.RefuseAfterMove
 	}
-	after = ComeBack(after, c.Until-now, c.Draw)
-	return Order{Kind: OrderRefuse, Refusal: refusal, RetryAfter: after, Reason: c.reason}
+	retryAfter := ComeBack(mean, m.Until-now, m.Draw)
+	return Order{Kind: OrderRefuse, Refusal: refusal, RetryAfter: retryAfter, Reason: m.reason}
 }
