--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -22,7 +22,14 @@
 }
 
 func (e *execution) beginAttempt(instance string) attempt {
-	a := attempt{gateway: e.gateway, service: e.machine.Service, instance: instance, key: e.machine.Key, isKeyed: e.machine.IsKeyed, begun: e.now()}
+	a := attempt{
+		gateway:  e.gateway,
+		service:  e.machine.Service,
+		instance: instance,
+		key:      e.machine.Key,
+		isKeyed:  e.machine.IsKeyed,
+		begun:    e.now(),
+	}
 	a.gateway.loads.Start(a.begun, instance)
 	return a
 }
@@ -40,7 +47,7 @@
 	now := a.gateway.options.Now()
 	took := now - a.begun
 	a.gateway.loads.Stop(a.instance, a.begun)
-	a.gateway.loads.End(now, a.instance, took, isServed)
+	a.gateway.loads.End(a.instance, took, isServed)
 	if isServed || ctx.Err() != nil {
 		a.gateway.pressure.Note(now, a.service, a.instance, took)
 	}
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -9,17 +9,20 @@
 	"topazshed/internal/schema"
 )
 
-// AwaitKind is what is awaited from a caller on its connection.
+// AwaitKind is what the server waits for on a caller's connection.
 type AwaitKind int
 
-// The kinds of what is awaited.
+// The kinds of waits.
 const (
+	// AwaitNothing: no time-out applies.
 	AwaitNothing AwaitKind = iota
+	// AwaitHead: the rest of a request's head.
 	AwaitHead
+	// AwaitRequest: the next request, on an idle connection.
 	AwaitRequest
 )
 
-// Await is how long a caller's connection may stay without what is awaited from it.
+// Await is until when a caller's connection may stay without what is awaited from it. It is pure and holds no lock.
 type Await struct {
 	kind  AwaitKind
 	since time.Duration
@@ -27,30 +30,33 @@
 	until time.Duration
 }
 
-// Begin tells until when something is awaited under a limit in force.
+// Begin starts a wait under the limit in force, and tells when it ends.
 func (a *Await) Begin(now time.Duration, kind AwaitKind, limit time.Duration) time.Duration {
 	*a = Await{kind: kind, since: now, limit: limit, until: now + limit}
 	return a.until
 }
 
-// Follow tells whether an idle connection ends at another time under the limit that is in force now. A longer limit counts from when it became
-// idle; a shorter one from now, since the caller was promised the longer one before. A head that was begun keeps its limit.
-func (a *Await) Follow(now, limit time.Duration) (time.Duration, bool) {
+// Follow tells when the wait ends under the limit that is in force now, and whether that has changed. A longer limit counts from when the
+// connection became idle; a shorter one from now, since the caller was promised the longer one before. A head that was begun keeps its
+// limit.
+func (a *Await) Follow(now, limit time.Duration) (until time.Duration, isChanged bool) {
 	if a.kind != AwaitRequest || limit == a.limit || now >= a.until {
 		return a.until, false
 	}
-	until := a.since + limit
+	until = a.since + limit
 	if limit < a.limit {
 		until = min(a.until, now+limit)
 	}
-	isChanged := until != a.until
-	a.limit, a.until = limit, until
+	isChanged = until != a.until
+	a.limit = limit
+	a.until = until
 	return until, isChanged
 }
 
 // Patience is how long callers' connections may stay idle, and how long a request's head may take, by the limits in force.
 func Patience(limits *schema.Limits) (head, idle time.Duration) {
-	head, idle = constants.CallerHead, constants.CallerIdle
+	head = constants.CallerHead
+	idle = constants.CallerIdle
 	if ms := limits.GetHeaderTimeoutMs(); ms > 0 {
 		head = time.Duration(ms)*time.Millisecond + constants.CallerGrace
 	}
@@ -60,8 +66,8 @@
 	return head, idle
 }
 
-// Callers takes callers' connections for a server whose time-outs are constants.CallerHeadMark and constants.CallerIdleMark:
-// they stand for the limits in force when something begins to be awaited.
+// Callers is a listener for an HTTP server whose time-outs are constants.CallerHeadMark and constants.CallerIdleMark. These are marks: each
+// connection replaces them by the limits in force when the wait begins. Its methods may be called from any goroutine.
 type Callers struct {
 	net.Listener
 	limits func() *schema.Limits
@@ -70,12 +76,12 @@
 	conns  map[*callerConn]bool
 }
 
-// NewCallers takes connections from a listener.
+// NewCallers takes connections from a listener, under the limits that the function gives.
 func NewCallers(listener net.Listener, limits func() *schema.Limits) *Callers {
 	return &Callers{Listener: listener, limits: limits, begun: time.Now(), conns: map[*callerConn]bool{}}
 }
 
-// Accept takes one.
+// Accept gives the next caller's connection.
 func (c *Callers) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	tcp, isTCP := conn.(*net.TCPConn)
@@ -89,7 +95,8 @@
 	return caller, nil
 }
 
-// Follow lets idle connections follow the limits in force; the node calls it now and then. The error is the last of connections that have just ended.
+// Follow lets idle connections follow the limits in force; the node calls it regularly. Its error is the last one of connections that have
+// just ended.
 func (c *Callers) Follow() (err error) {
 	_, idle := Patience(c.limits())
 	c.lock.Lock()
@@ -102,6 +109,7 @@
 	return err
 }
 
+// callerConn is one caller's connection.
 type callerConn struct {
 	*net.TCPConn
 	callers *Callers
@@ -109,6 +117,7 @@
 	await   Await
 }
 
+// SetReadDeadline replaces the marks of the server's time-outs by the limits in force.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -134,6 +143,7 @@
 	return nil
 }
 
+// Close closes the connection; the listener forgets it.
 func (c *callerConn) Close() error {
 	c.callers.lock.Lock()
 	delete(c.callers.conns, c)
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -7,8 +7,8 @@
 	return int(max(constants.CapacityLeast, min(memory/constants.CapacityParts/constants.RequestBytes, constants.CapacityMost)))
 }
 
-// IsFull tells whether a request must be refused at once, as so many are in flight with it: the lowest rank finds the room full first,
-// so that the rest of it is kept for the higher ones.
+// IsFull tells whether a request must be refused at once, because so many are in flight with it: the lowest priority (a high number) finds
+// the node full first, so that the rest of its capacity is kept for the higher ones.
 func IsFull(inFlight, capacity int, priority uint32) bool {
 	rank := min(int(priority), constants.ShedRanks)
 	return inFlight > capacity-capacity*rank/constants.CapacityPriorityParts
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -84,13 +84,27 @@
 	if strings.HasPrefix(r.RequestURI, "/") && !strings.HasPrefix(r.RequestURI, "//") {
 		return &url.URL{Scheme: "http", Host: r.Host, Opaque: r.RequestURI}
 	}
-	return &url.URL{Scheme: "http", Host: r.Host, Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery, ForceQuery: r.URL.ForceQuery}
+	return &url.URL{
+		Scheme:     "http",
+		Host:       r.Host,
+		Path:       r.URL.Path,
+		RawPath:    r.URL.RawPath,
+		RawQuery:   r.URL.RawQuery,
+		ForceQuery: r.URL.ForceQuery,
+	}
 }
 
 // write sends the request, with the time that the caller still waits.
 func (x *exchange) write(conn *Conn, left time.Duration) error {
-	out := &http.Request{Method: x.request.Method, URL: targetURL(x.request), Host: x.request.Host,
-		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: x.header(left)}
+	out := &http.Request{
+		Method:     x.request.Method,
+		URL:        targetURL(x.request),
+		Host:       x.request.Host,
+		Proto:      "HTTP/1.1",
+		ProtoMajor: 1,
+		ProtoMinor: 1,
+		Header:     x.header(left),
+	}
 	x.setBody(out)
 	if err := out.Write(conn.writer); err != nil {
 		return err
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -84,7 +84,7 @@
 		e.conn = conn
 		return Event{Kind: EventConnected}
 	}
-	g.loads.End(e.now(), instance, 0, false)
+	g.loads.End(instance, 0, false)
 	if ctx.Err() == nil || errors.Is(err, syscall.ECONNREFUSED) {
 		g.loads.Fail(e.now(), instance)
 		g.loads.Judge(e.now(), e.machine.Service, instance, VerdictFailed, 0)
@@ -126,14 +126,15 @@
 }
 
 func (e *execution) refuse(order Order) {
-	e.gateway.options.Log.Debug("refused", "id", e.exchange.id, "service", e.machine.Service, "why", string(order.Refusal), "reason", order.Reason,
-		"ms", e.elapsed().Milliseconds())
+	e.gateway.options.Log.Debug("refused", "id", e.exchange.id, "service", e.machine.Service, "why", string(order.Refusal),
+		"reason", order.Reason, "ms", e.elapsed().Milliseconds())
 	e.gateway.refuse(e.writer, e.exchange.id, order.Refusal, "the request has not run; come back after Retry-After", order.RetryAfter)
 }
 
 func (e *execution) fail(order Order) {
 	e.gateway.stats.Failed.Add(1)
-	e.gateway.options.Log.Debug("failed", "id", e.exchange.id, "service", e.machine.Service, "reason", order.Reason, "ms", e.elapsed().Milliseconds())
+	e.gateway.options.Log.Debug("failed", "id", e.exchange.id, "service", e.machine.Service,
+		"reason", order.Reason, "ms", e.elapsed().Milliseconds())
 	e.gateway.respond(e.writer, e.exchange.id, ownResponse{Status: order.Status, Kind: kindFailed, Message: order.Reason})
 }
 
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -90,7 +90,7 @@
 }
 
 // End takes an attempt off; the time that a served one took counts for the back end's delay.
-func (l *Loads) End(now time.Duration, id string, took time.Duration, isServed bool) {
+func (l *Loads) End(id string, took time.Duration, isServed bool) {
 	s := l.lockStripe(id)
 	defer s.lock.Unlock()
 	i := s.instance(id)
--- a/internal/gateway/outliers.go
+++ b/internal/gateway/outliers.go
@@ -10,209 +10,254 @@
 	"topazshed/internal/schema"
 )
 
-// Verdict is what an attempt tells of its back end.
+// Verdict is what an attempt says about its back end.
 type Verdict int
 
 // The verdicts on attempts.
 const (
-	// VerdictHealthy: a whole answer that may be passed on.
+	// VerdictHealthy: a whole response that may be passed on.
 	VerdictHealthy Verdict = iota
-	// VerdictFailed: an error of the back end's own, a broken or untrustworthy answer, silence, or no connection.
+	// VerdictFailed: an error of the back end's own, a broken or untrustworthy response, a time-out, or no connection.
 	VerdictFailed
-	// VerdictRefused: the back end says that it did not run the request. Full ones say so too, so that it counts only beside the others of the service.
+	// VerdictRefused: the back end says that it did not run the request. Full ones say so too, so that it counts only in comparison with the
+	// others of the service.
 	VerdictRefused
 )
 
-// OutlierStatus assignment is how a node takes a back end.
+// OutlierStatus is how a node treats a back end.
 type OutlierStatus int
 
-// The failover assignments of a back end at a node.
+// The ways to treat a back end.
 const (
 	// OutlierHealthy: it gets its share.
 	OutlierHealthy OutlierStatus = iota
-	// OutlierEjected: it is ejected, and gets a request only if nothing else is left.
+	// OutlierEjected: it gets a request only if nothing else is left.
 	OutlierEjected
-	// OutlierOnTrial: its time out is over, and one request at a time shows whether it is well.
+	// OutlierOnTrial: its ejection is over, and one request at a time shows whether it is well.
 	OutlierOnTrial
 )
 
-type suspect struct {
+// ejectionDoublings bounds how often the time of ejection doubles.
+const ejectionDoublings = 8
+
+// backendRecord is what is known of one back end.
+type backendRecord struct {
+	// good and bad count verdicts; older ones count less.
 	good, bad float64
 	at        time.Duration
-	standing  OutlierStatus
-	strikes   int
-	until     time.Duration
+	status    OutlierStatus
+	// ejections counts those that were not forgiven; each is longer than the one before.
+	ejections    int
+	ejectedUntil time.Duration
+	// trials counts the good verdicts since the ejection was over.
 	trials    int
 	healthyAt time.Duration
-	started   []time.Duration
-	service   string
-	// hasFailed and hasServed are what was not told yet.
+	// started are when the attempts in flight were sent, the oldest first.
+	started []time.Duration
+	service string
+	// hasFailed and hasServed are what was not reported yet.
 	hasFailed, hasServed bool
 }
 
-type tally struct {
+// serviceRecord is what is known of all back ends of a service together.
+type serviceRecord struct {
 	good, bad float64
 	at        time.Duration
-	usual     time.Duration
+	// usual is the moving average of the times that good attempts took.
+	usual time.Duration
 }
 
-// Outliers judges the back ends of services by what becomes of attempts, each beside the others of its service; it is a pure state machine.
-// Health answers play no part, so that a lying one neither ejects a back end nor keeps it in.
+// Outliers ejects the back ends of services that fail more attempts than the others of their service. Health checks play no part, so that
+// a wrong one neither ejects a back end nor keeps it in. It is pure and holds no lock.
 type Outliers struct {
-	suspects map[string]*suspect
-	tallies  map[string]*tally
+	backends map[string]*backendRecord
+	services map[string]*serviceRecord
 }
 
-// NewOutliers makes one that has seen nothing.
+// NewOutliers makes one without records.
 func NewOutliers() *Outliers {
-	return &Outliers{suspects: map[string]*suspect{}, tallies: map[string]*tally{}}
+	return &Outliers{backends: map[string]*backendRecord{}, services: map[string]*serviceRecord{}}
 }
 
-func faded(span time.Duration) float64 {
+// decay is the factor by which verdicts count less after a span of time.
+func decay(span time.Duration) float64 {
 	return math.Exp2(-float64(span) / float64(constants.OutlierHalfLife))
 }
 
-func (o *Outliers) suspect(now time.Duration, id string) *suspect {
-	s := o.suspects[id]
-	if s == nil {
-		s = &suspect{at: now}
-		o.suspects[id] = s
+func (b *backendRecord) decayTo(now time.Duration) {
+	factor := decay(now - b.at)
+	b.good *= factor
+	b.bad *= factor
+	b.at = now
+}
+
+func (s *serviceRecord) decayTo(now time.Duration) {
+	factor := decay(now - s.at)
+	s.good *= factor
+	s.bad *= factor
+	s.at = now
+}
+
+func (o *Outliers) backend(now time.Duration, id string) *backendRecord {
+	b := o.backends[id]
+	if b == nil {
+		b = &backendRecord{at: now}
+		o.backends[id] = b
 	}
-	return s
+	return b
 }
 
-func (o *Outliers) tally(now time.Duration, service string) *tally {
-	t := o.tallies[service]
-	if t == nil {
-		t = &tally{at: now}
-		o.tallies[service] = t
+func (o *Outliers) service(now time.Duration, name string) *serviceRecord {
+	s := o.services[name]
+	if s == nil {
+		s = &serviceRecord{at: now}
+		o.services[name] = s
 	}
-	return t
+	return s
 }
 
 // Start notes that an attempt was sent.
 func (o *Outliers) Start(now time.Duration, id string) {
-	s := o.suspect(now, id)
-	s.started = append(s.started, now)
+	b := o.backend(now, id)
+	b.started = append(b.started, now)
 }
 
-// Stop notes that the attempt that was sent then has ended, whatever came of it.
+// Stop notes that the attempt which was sent at started has ended, whatever came of it.
 func (o *Outliers) Stop(id string, started time.Duration) {
-	if s := o.suspects[id]; s != nil {
-		if at := slices.Index(s.started, started); at >= 0 {
-			s.started = slices.Delete(s.started, at, at+1)
-		}
+	b := o.backends[id]
+	if b == nil {
+		return
+	}
+	if at := slices.Index(b.started, started); at >= 0 {
+		b.started = slices.Delete(b.started, at, at+1)
 	}
 }
 
 // Judge takes the verdict on an attempt that took so long.
 func (o *Outliers) Judge(now time.Duration, service, id string, verdict Verdict, took time.Duration) {
-	s, t := o.suspect(now, id), o.tally(now, service)
-	s.service = service
-	own, all := faded(now-s.at), faded(now-t.at)
-	s.good, s.bad, s.at = s.good*own, s.bad*own, now
-	t.good, t.bad, t.at = t.good*all, t.bad*all, now
-	if verdict == VerdictHealthy {
-		s.good++
-		t.good++
-		s.hasServed = true
-		if t.usual == 0 {
-			t.usual = took
-		}
-		t.usual += time.Duration(constants.OutlierUsualWeight * float64(took-t.usual))
-		o.pass(now, s)
+	b, s := o.backend(now, id), o.service(now, service)
+	b.service = service
+	b.decayTo(now)
+	s.decayTo(now)
+	if verdict != VerdictHealthy {
+		b.bad++
+		s.bad++
+		b.fail(now, s, verdict)
 		return
 	}
-	s.bad++
-	t.bad++
-	o.fail(now, s, t, verdict)
+	b.good++
+	s.good++
+	b.hasServed = true
+	if s.usual == 0 {
+		s.usual = took
+	}
+	s.usual += time.Duration(constants.OutlierUsualWeight * float64(took-s.usual))
+	b.succeed(now)
 }
 
-func (o *Outliers) pass(now time.Duration, s *suspect) {
-	switch s.standing {
-	case OutlierEjected, OutlierOnTrial:
-		if now < s.until {
-			return
-		}
-		if s.trials++; s.trials < constants.OutlierTrials {
-			return
-		}
-		s.standing, s.healthyAt, s.good, s.bad = OutlierHealthy, now, 0, 0
-	case OutlierHealthy:
-		if s.strikes > 0 && now-s.healthyAt >= constants.OutlierForgiven {
-			s.strikes = 0
-		}
+// succeed counts a good verdict: enough of them after an ejection make a back end healthy again.
+func (b *backendRecord) succeed(now time.Duration) {
+	if b.status == OutlierHealthy {
+		b.forgive(now)
+		return
+	}
+	if now < b.ejectedUntil {
+		return
+	}
+	b.trials++
+	if b.trials < constants.OutlierTrials {
+		return
 	}
+	b.status = OutlierHealthy
+	b.healthyAt = now
+	b.good = 0
+	b.bad = 0
 }
 
-func (o *Outliers) fail(now time.Duration, s *suspect, t *tally, verdict Verdict) {
-	switch {
-	case s.standing == OutlierEjected && now < s.until:
+// forgive forgets the ejections of a back end that has been healthy for long enough.
+func (b *backendRecord) forgive(now time.Duration) {
+	if b.ejections > 0 && now-b.healthyAt >= constants.OutlierForgiven {
+		b.ejections = 0
+	}
+}
+
+// fail counts a bad verdict: it ejects a back end on trial at once, and a healthy one once it stands out.
+func (b *backendRecord) fail(now time.Duration, service *serviceRecord, verdict Verdict) {
+	if b.status == OutlierEjected && now < b.ejectedUntil {
 		return
-	case s.standing != OutlierHealthy:
-	default:
-		// The others' share is that of the service without this back end.
-		others := (t.bad - s.bad) / max(1, t.bad+t.good-s.bad-s.good)
-		least := constants.OutlierShare + constants.OutlierOver*max(0, others)
-		if verdict == VerdictRefused && s.bad < constants.OutlierRefusals || s.bad < least*(s.bad+s.good) {
+	}
+	if b.status == OutlierHealthy {
+		if !b.standsOut(service, verdict) {
 			return
 		}
+		b.forgive(now)
 	}
-	if s.strikes > 0 && s.standing == OutlierHealthy && now-s.healthyAt >= constants.OutlierForgiven {
-		s.strikes = 0
+	b.hasFailed = true
+	b.status = OutlierEjected
+	b.trials = 0
+	b.ejectedUntil = now + min(constants.OutlierOutMost, constants.OutlierOut<<min(b.ejections, ejectionDoublings))
+	b.ejections++
+}
+
+// standsOut tells whether a back end's share of bad verdicts is well above that of the others of its service.
+func (b *backendRecord) standsOut(service *serviceRecord, verdict Verdict) bool {
+	if verdict == VerdictRefused && b.bad < constants.OutlierRefusals {
+		return false
 	}
-	s.hasFailed = true
-	s.standing, s.trials = OutlierEjected, 0
-	s.until = now + min(constants.OutlierOutMost, constants.OutlierOut<<min(s.strikes, 8))
-	s.strikes++
+	others := (service.bad - b.bad) / max(1, service.bad+service.good-b.bad-b.good)
+	least := constants.OutlierShare + constants.OutlierOver*max(0, others)
+	return b.bad >= least*(b.bad+b.good)
 }
 
-// Status assignment is how a back end stands now, and until when it is out. One that has not answered for much longer than is usual counts as out until it does.
+// Status is how a back end is treated now, and until when it is ejected. One that has not answered for much longer than is usual counts as
+// ejected until it does.
 func (o *Outliers) Status(now time.Duration, service, id string) (OutlierStatus, time.Duration) {
-	s := o.suspects[id]
+	b := o.backends[id]
 	switch {
-	case s == nil:
+	case b == nil:
 		return OutlierHealthy, 0
-	case o.isOverdue(now, service, s):
-		return OutlierEjected, max(s.until, now+constants.OutlierOut)
-	case s.standing == OutlierHealthy:
+	case o.isOverdue(now, service, b):
+		return OutlierEjected, max(b.ejectedUntil, now+constants.OutlierOut)
+	case b.status == OutlierHealthy:
 		return OutlierHealthy, 0
-	case now < s.until, len(s.started) > 0:
-		return OutlierEjected, s.until
+	case now < b.ejectedUntil, len(b.started) > 0:
+		return OutlierEjected, b.ejectedUntil
 	}
 	return OutlierOnTrial, 0
 }
 
 // IsOverdue tells that an attempt at a service which has taken so long takes much longer than is usual there.
 func (o *Outliers) IsOverdue(service string, took time.Duration) bool {
-	t := o.tallies[service]
-	return t != nil && t.usual > 0 && took > max(constants.OutlierOverdueLeast, constants.OutlierOverdue*t.usual)
+	s := o.services[service]
+	return s != nil && s.usual > 0 && took > max(constants.OutlierOverdueLeast, constants.OutlierOverdue*s.usual)
 }
 
-func (o *Outliers) isOverdue(now time.Duration, service string, s *suspect) bool {
-	return len(s.started) > 0 && o.IsOverdue(service, now-s.started[0])
+func (o *Outliers) isOverdue(now time.Duration, service string, b *backendRecord) bool {
+	return len(b.started) > 0 && o.IsOverdue(service, now-b.started[0])
 }
 
-// TakeHealthReports gives the back ends that were ejected or did not answer since it was last asked, and those that served although they are failing for the whole fleet.
+// TakeHealthReports gives the back ends that were ejected or overdue since the last call, and those that served although they are failing
+// for the whole fleet, in the order of their ids.
 func (o *Outliers) TakeHealthReports(now time.Duration, isFailing func(id string) bool) []*schema.HealthReport {
-	var healthReports []*schema.HealthReport
-	for _, id := range slices.Sorted(maps.Keys(o.suspects)) {
-		s := o.suspects[id]
-		if s.hasFailed || o.isOverdue(now, s.service, s) {
-			healthReports = append(healthReports, &schema.HealthReport{Instance: id, Failing: true})
-		} else if s.hasServed && isFailing(id) {
-			healthReports = append(healthReports, &schema.HealthReport{Instance: id})
+	var reports []*schema.HealthReport
+	for _, id := range slices.Sorted(maps.Keys(o.backends)) {
+		b := o.backends[id]
+		if b.hasFailed || o.isOverdue(now, b.service, b) {
+			reports = append(reports, &schema.HealthReport{Instance: id, Failing: true})
+		} else if b.hasServed && isFailing(id) {
+			reports = append(reports, &schema.HealthReport{Instance: id})
 		}
-		s.hasFailed, s.hasServed = false, false
+		b.hasFailed = false
+		b.hasServed = false
 	}
-	return healthReports
+	return reports
 }
 
 // Keep forgets the back ends that are no longer known and have no attempt in flight.
 func (o *Outliers) Keep(isKnown func(id string) bool) {
-	for id, s := range o.suspects {
-		if len(s.started) == 0 && !isKnown(id) {
-			delete(o.suspects, id)
+	for id, b := range o.backends {
+		if len(b.started) == 0 && !isKnown(id) {
+			delete(o.backends, id)
 		}
 	}
 }
--- a/internal/gateway/outliers_test.go
+++ b/internal/gateway/outliers_test.go
@@ -13,7 +13,7 @@
 
 func TestOutliers(t *testing.T) {
 	const out = constants.OutlierOut
-	standings := map[OutlierStatus]string{OutlierHealthy: "sound", OutlierEjected: "out", OutlierOnTrial: "trial"}
+	statuses := map[OutlierStatus]string{OutlierHealthy: "sound", OutlierEjected: "out", OutlierOnTrial: "trial"}
 	// A step is "good", "bad" or "full" (an attempt at i-1 judged so), "others-good" or "others-bad" or "others-full" (ten at the others), "start" and "stop", a time to wait, or a failover assignment to be seen.
 	for _, c := range []struct{ name, steps string }{
 		{"nothing is known", "sound"},
@@ -61,8 +61,8 @@
 				case err == nil:
 					now += wait
 				default:
-					if standing, _ := o.Status(now, "copper", "i-1"); standings[standing] != step {
-						t.Fatalf("step %d: %s, want %s", at, standings[standing], step)
+					if status, _ := o.Status(now, "copper", "i-1"); statuses[status] != step {
+						t.Fatalf("step %d: %s, want %s", at, statuses[status], step)
 					}
 				}
 			}
@@ -79,8 +79,8 @@
 	o.Judge(0, "copper", "gone", VerdictFailed, 0)
 	o.Judge(0, "copper", "kept", VerdictFailed, 0)
 	o.Keep(func(id string) bool { return id == "kept" })
-	if len(o.suspects) != 2 || o.suspects["gone"] != nil {
-		t.Fatalf("%d are remembered", len(o.suspects))
+	if len(o.backends) != 2 || o.backends["gone"] != nil {
+		t.Fatalf("%d are remembered", len(o.backends))
 	}
 }
 
@@ -105,7 +105,7 @@
 				Route: &schema.Route{Host: "one.example", Prefix: "/", TargetMs: 300, Targets: []*schema.Target{{Service: "copper", Weight: 1}}}}
 			for i := range 10 {
 				s.Loads.Begin(fmt.Sprint("i-", i))
-				s.Loads.End(s.Now, fmt.Sprint("i-", i), 50*time.Millisecond, true)
+				s.Loads.End(fmt.Sprint("i-", i), 50*time.Millisecond, true)
 			}
 			for range 50 {
 				s.Loads.Judge(s.Now, "copper", "i-9", VerdictHealthy, 50*time.Millisecond)
@@ -208,7 +208,7 @@
 				continue
 			}
 			l := loads[a.node]
-			l.End(now, a.id, now-a.begun, a.verdict == VerdictHealthy)
+			l.End(a.id, now-a.begun, a.verdict == VerdictHealthy)
 			l.Stop(a.id, a.begun)
 			if isJudged {
 				l.Judge(now, "copper", a.id, a.verdict, now-a.begun)
--- a/internal/gateway/pressure.go
+++ b/internal/gateway/pressure.go
@@ -7,63 +7,66 @@
 	"topazshed/internal/constants"
 )
 
-type gauge struct {
+// movingDelay is a moving average of the times that attempts took, in nanoseconds.
+type movingDelay struct {
 	delay float64
 	count int
 	at    time.Duration
 }
 
-func (g *gauge) note(now time.Duration, took, weight float64) {
-	if g.count == 0 || now-g.at > constants.PressureFresh {
-		g.delay, g.count = took, 0
+func (d *movingDelay) note(now time.Duration, took, weight float64) {
+	if d.count == 0 || now-d.at > constants.PressureFresh {
+		d.delay = took
+		d.count = 0
 	}
-	g.delay += weight * (took - g.delay)
-	g.count++
-	g.at = now
+	d.delay += weight * (took - d.delay)
+	d.count++
+	d.at = now
 }
 
-func (g *gauge) isFresh(now time.Duration) bool {
-	return g != nil && g.count >= constants.PressureLeast && now-g.at <= constants.PressureFresh
+func (d *movingDelay) isFresh(now time.Duration) bool {
+	return d != nil && d.count >= constants.PressureLeast && now-d.at <= constants.PressureFresh
 }
 
-// Pressure tells how long back ends take now, waits in their queues included: what a new request must expect.
+// Pressure tells how long back ends take now, waits in their queues included: what a new request must expect. Its methods may be called
+// from any goroutine.
 type Pressure struct {
 	lock      sync.Mutex
-	instances map[string]*gauge
-	services  map[string]*gauge
+	instances map[string]*movingDelay
+	services  map[string]*movingDelay
 }
 
-// NewPressure knows nothing yet.
+// NewPressure makes one that knows nothing yet.
 func NewPressure() *Pressure {
-	return &Pressure{instances: map[string]*gauge{}, services: map[string]*gauge{}}
+	return &Pressure{instances: map[string]*movingDelay{}, services: map[string]*movingDelay{}}
 }
 
-// Note counts an attempt that ended after a while, with an answer or without.
+// Note counts an attempt that ended after a while, with a response or without.
 func (p *Pressure) Note(now time.Duration, service, instance string, took time.Duration) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	for _, of := range []struct {
-		gauges map[string]*gauge
-		name   string
-		weight float64
-	}{{p.instances, instance, constants.PressureWeight}, {p.services, service, constants.PressureServiceWeight}} {
-		g := of.gauges[of.name]
-		if g == nil {
-			g = &gauge{}
-			of.gauges[of.name] = g
-		}
-		g.note(now, float64(took), of.weight)
+	delayOf(p.instances, instance).note(now, float64(took), constants.PressureWeight)
+	delayOf(p.services, service).note(now, float64(took), constants.PressureServiceWeight)
+}
+
+func delayOf(delays map[string]*movingDelay, name string) *movingDelay {
+	d := delays[name]
+	if d == nil {
+		d = &movingDelay{}
+		delays[name] = d
 	}
+	return d
 }
 
-// Expect is how long a back end takes now; that of its whole service if it was seldom asked of late, and 0 if nothing is known.
+// Expect is how long a back end takes now; that of its whole service if few of its attempts ended lately, and 0 if nothing is known.
 func (p *Pressure) Expect(now time.Duration, service, instance string) time.Duration {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	for _, g := range []*gauge{p.instances[instance], p.services[service]} {
-		if g.isFresh(now) {
-			return time.Duration(g.delay)
-		}
+	if d := p.instances[instance]; d.isFresh(now) {
+		return time.Duration(d.delay)
+	}
+	if d := p.services[service]; d.isFresh(now) {
+		return time.Duration(d.delay)
 	}
 	return 0
 }
@@ -79,11 +82,11 @@
 	}
 }
 
-// Shed is the share of new requests, in parts of one, to be refused at once, because what they must expect is too long for their aim.
-// The lowest rank (a high number) is shed first; who comes back after a refusal is shed last of its rank.
-func Shed(expect, aim time.Duration, priority uint32, isBack bool) float64 {
+// Shed is the share of new requests, in parts of one, to be refused at once, because what they must expect is too long for their latency
+// target. The lowest priority (a high number) is shed first; a caller that came back after a refusal is shed last of its priority.
+func Shed(expect, target time.Duration, priority uint32, isBack bool) float64 {
 	above := constants.ShedRanks - min(int(priority), constants.ShedRanks)
-	share := constants.ShedSlope * (float64(expect)/float64(aim) - constants.ShedFrom - constants.ShedRank*float64(above))
+	share := constants.ShedSlope * (float64(expect)/float64(target) - constants.ShedFrom - constants.ShedRank*float64(above))
 	share = max(0, min(share, constants.ShedMost))
 	if isBack {
 		return share * share
@@ -91,9 +94,10 @@
 	return share
 }
 
-// ComeBack spreads the return of refused callers evenly from a half of a mean time to one and a half of it,
-// within what they heed: a part of the time that they have left.
+// ComeBack is when a refused caller may come back: drawn evenly from a half of a mean time to one and a half of it, so that callers don't
+// return together, and within the part of the time that the caller has left which callers heed.
 func ComeBack(mean, left time.Duration, draw func(int64) int64) time.Duration {
-	mean = max(constants.RefuseLeast, min(mean, time.Duration(float64(left)*constants.RefuseHeeded/1.5)))
+	heeded := time.Duration(float64(left) * constants.RefuseHeeded / 1.5)
+	mean = max(constants.RefuseLeast, min(mean, heeded))
 	return mean/2 + time.Duration(draw(int64(mean)))
 }
--- a/internal/gateway/request_machine_test.go
+++ b/internal/gateway/request_machine_test.go
@@ -329,8 +329,8 @@
 			}
 		}, []string{"calm"}},
 		{"a slower one less often", func(w *world) { w.backend("slow", "kol-a", "x"); w.backend("quick", "kol-a", "x") }, func(s *Situation) {
-			s.Loads.End(s.Now, "slow", 200*time.Millisecond, true)
-			s.Loads.End(s.Now, "quick", 20*time.Millisecond, true)
+			s.Loads.End("slow", 200*time.Millisecond, true)
+			s.Loads.End("quick", 20*time.Millisecond, true)
 		}, []string{"quick"}},
 		{"an unknown service", func(*world) {}, func(s *Situation) { s.Service = "zinc" }, []string{"no-service"}},
 	} {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -52,7 +52,8 @@
 	id := r.Header.Get(g.options.Names.Attempt)
 	route := local.View.Route(hostOf(r), pathOf(r))
 	if route == nil {
-		g.respond(w, id, ownResponse{Status: http.StatusNotFound, Kind: kindNoRoute, Message: "no route of this host begins the path; see the configuration"})
+		message := "no route of this host begins the path; see the configuration"
+		g.respond(w, id, ownResponse{Status: http.StatusNotFound, Kind: kindNoRoute, Message: message})
 		return
 	}
 	wait := g.waitOf(r, time.Duration(route.TimeoutMs)*time.Millisecond)
@@ -60,7 +61,7 @@
 	defer g.inFlight.Add(-1)
 	if g.options.Capacity > 0 && IsFull(inFlight, g.options.Capacity, route.Priority) {
 		retryAfter := ComeBack(constants.RefuseAfter, wait, g.options.Draw)
-		g.refuse(w, id, RefusalBusy, "this node has too many requests in flight; another may have room", retryAfter)
+		g.refuse(w, id, RefusalBusy, "this node has too many requests in flight; another may have capacity", retryAfter)
 		return
 	}
 	options := g.requestOptions(r, route, begun, wait)
@@ -128,7 +129,8 @@
 		if !isTooLarge(err) {
 			panic(http.ErrAbortHandler)
 		}
-		g.respond(w, options.Token, ownResponse{Status: http.StatusRequestEntityTooLarge, Kind: kindOversize, Message: "the body is above the limit; send less"})
+		message := "the body is above the limit; send less"
+		g.respond(w, options.Token, ownResponse{Status: http.StatusRequestEntityTooLarge, Kind: kindOversize, Message: message})
 		return
 	}
 	options.IsReplayable = e.exchange.stream == nil
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -247,7 +247,7 @@
 	if ids := loads.Failing(now); fmt.Sprint(ids) != "[i-1]" {
 		t.Fatal(ids)
 	}
-	loads.End(now, "i-1", time.Millisecond, true)
+	loads.End("i-1", time.Millisecond, true)
 	if loads.Read(now, "i-1").IsResting || len(loads.Failing(now)) > 0 {
 		t.Fatal("rests although it served")
 	}
@@ -258,13 +258,13 @@
 	for range 3 {
 		loads.Begin("i-1")
 	}
-	loads.End(time.Minute, "i-1", 100*time.Millisecond, true)
+	loads.End("i-1", 100*time.Millisecond, true)
 	loads.Keep(func(string) bool { return false })
 	if r := loads.Read(time.Minute, "i-1"); r.InFlight != 2 || r.Delay != 100*time.Millisecond {
 		t.Fatalf("%+v: forgotten with requests in flight", r)
 	}
-	loads.End(time.Minute, "i-1", 0, false)
-	loads.End(time.Minute, "i-1", 0, false)
+	loads.End("i-1", 0, false)
+	loads.End("i-1", 0, false)
 	loads.Keep(func(string) bool { return false })
 	if r := loads.Read(time.Minute, "i-1"); r != (Reading{}) {
 		t.Fatalf("%+v", r)
