--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -45,7 +45,7 @@
 // Choice is the back end to try, or why there is none.
 type Choice struct {
 	Backend *schema.Backend
-	Place   failover.Place
+	Place   failover.ActiveGroup
 	Refusal Refusal
 	// IsCold says that the attempt was counted for a cold back end.
 	IsCold bool
@@ -77,18 +77,18 @@
 	if service == nil || len(service.Backends) == 0 {
 		return Choice{Refusal: RefusalNoService}
 	}
-	places := failover.Places(s.View, s.Service, s.Route.HomeRegions, s.Self.Region, s.Token)
-	if len(places) == 0 {
+	groups := failover.ActiveGroups(s.View, s.Service, s.Route.HomeRegions, s.Self.Region, s.Token)
+	if len(groups) == 0 {
 		return Choice{Refusal: RefusalNoPlace}
 	}
 	if service.Policy.GetKeyed() {
-		return s.chooseOwner(service, places)
+		return s.chooseOwner(service, groups)
 	}
-	return s.chooseFree(service, places)
+	return s.chooseFree(service, groups)
 }
 
 // chooseOwner gives the one back end that owns the request's key.
-func (s *Situation) chooseOwner(service *store.Service, places []failover.Place) Choice {
+func (s *Situation) chooseOwner(service *store.Service, groups []failover.ActiveGroup) Choice {
 	if !s.HasKey {
 		return Choice{Refusal: RefusalNoKey}
 	}
@@ -96,7 +96,7 @@
 	if backend == nil {
 		return Choice{Refusal: RefusalMoving}
 	}
-	place, isAllowed := s.placeOf(places, s.View.Zones[backend.Zone].Region)
+	group, isAllowed := s.groupOf(groups, s.View.Zones[backend.Zone].Region)
 	if !isAllowed {
 		return Choice{Refusal: RefusalMoving}
 	}
@@ -107,7 +107,7 @@
 	if isColdOwner && !s.Loads.MayCold(s.Now, backend.Instance, service.Policy, len(s.View.Nodes)) {
 		return Choice{Refusal: RefusalCold}
 	}
-	return Choice{Backend: backend, Place: place, IsCold: isColdOwner}
+	return Choice{Backend: backend, Place: group, IsCold: isColdOwner}
 }
 
 // ownerOf is the untried, open back end that owns the request's key, or nil.
@@ -123,14 +123,14 @@
 	return backend
 }
 
-// placeOf is the place of a region; a region without one is taken for the first place unless the route's home regions exclude it.
-func (s *Situation) placeOf(places []failover.Place, region string) (place failover.Place, isAllowed bool) {
-	at := slices.IndexFunc(places, func(p failover.Place) bool { return p.Region == region })
+// groupOf is the active group of a region; a region without one gets the first group unless the route's home regions exclude it.
+func (s *Situation) groupOf(groups []failover.ActiveGroup, region string) (group failover.ActiveGroup, isAllowed bool) {
+	at := slices.IndexFunc(groups, func(g failover.ActiveGroup) bool { return g.Region == region })
 	if at >= 0 {
-		return places[at], true
+		return groups[at], true
 	}
 	if len(s.Route.HomeRegions) > 0 && !slices.Contains(s.Route.HomeRegions, region) {
-		return failover.Place{}, false
+		return failover.ActiveGroup{}, false
 	}
-	return places[0], true
+	return groups[0], true
 }
--- a/internal/gateway/choose_free.go
+++ b/internal/gateway/choose_free.go
@@ -14,7 +14,7 @@
 // candidate is a back end that may be chosen, and what it would cost: about the time that the request would take there, in nanoseconds.
 type candidate struct {
 	backend *schema.Backend
-	place   failover.Place
+	group   failover.ActiveGroup
 	cost    float64
 	isCold  bool
 	// ejectedUntil is when an ejected one may be used again.
@@ -41,7 +41,7 @@
 	ejected []candidate
 }
 
-func (s *Situation) chooseFree(service *store.Service, places []failover.Place) Choice {
+func (s *Situation) chooseFree(service *store.Service, groups []failover.ActiveGroup) Choice {
 	search := freeSearch{
 		Situation: *s,
 		service:   service,
@@ -49,10 +49,10 @@
 		sharers:   s.countSharers(),
 		refusal:   RefusalBusy,
 	}
-	for rank, place := range places {
+	for rank, group := range groups {
 		for _, backend := range service.Backends {
-			if isOpen(s.View, backend) && place.Holds(backend.Zone) && !slices.Contains(s.Tried, backend.Instance) {
-				search.consider(rank, place, backend)
+			if isOpen(s.View, backend) && group.HasZone(backend.Zone) && !slices.Contains(s.Tried, backend.Instance) {
+				search.consider(rank, group, backend)
 			}
 		}
 	}
@@ -63,7 +63,7 @@
 	if search.best.backend == nil {
 		return Choice{Refusal: search.refusal}
 	}
-	return Choice{Backend: search.best.backend, Place: search.best.place, IsCold: search.best.isCold}
+	return Choice{Backend: search.best.backend, Place: search.best.group, IsCold: search.best.isCold}
 }
 
 // countSharers counts the ready nodes of this node's zone; they are taken to send as much as this one to the back ends near them.
@@ -78,9 +78,9 @@
 }
 
 // consider weighs one open, untried back end. Its order of draws and of counts for cold back ends is part of a seed's history.
-func (f *freeSearch) consider(rank int, place failover.Place, backend *schema.Backend) {
+func (f *freeSearch) consider(rank int, group failover.ActiveGroup, backend *schema.Backend) {
 	reading := f.Loads.Read(f.Now, backend.Instance)
-	c := candidate{backend: backend, place: place, isCold: isCold(f.View, backend)}
+	c := candidate{backend: backend, group: group, isCold: isCold(f.View, backend)}
 	c.cost = f.cost(rank, backend, reading)
 	f.open++
 	if reading.IsResting {
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -6,8 +6,8 @@
 	"sync"
 	"sync/atomic"
 
-	"topazshed/internal/controlplane"
 	"topazshed/internal/frame"
+	"topazshed/internal/inflight"
 	"topazshed/internal/schema"
 )
 
@@ -45,7 +45,7 @@
 
 func newTransport(n *Node) *transport {
 	t := &transport{node: n}
-	t.number.Store(uint64(draw(controlplane.FirstNumberMost)))
+	t.number.Store(uint64(draw(inflight.FirstSerialLimit)))
 	return t
 }
 
