--- a/cmd/topazshed/doctor_machine.go
+++ b/cmd/topazshed/doctor_machine.go
@@ -116,7 +116,7 @@
 		found.add("unreadable-journal", "check the disk and the folder's rights", "%v", err)
 	default:
 		fmt.Printf("journal: node %s, system %s, term %d, snapshot at %d, %d log entries after it, torn tail %v\n",
-			state.Hard.Id, state.Hard.System, state.Hard.Term, state.Snapshot.GetIndex(), len(state.Items), state.Torn)
+			state.HardState.Id, state.HardState.System, state.HardState.Term, state.Snapshot.GetIndex(), len(state.Entries), state.Torn)
 	}
 	return found
 }
--- a/internal/controlplane/driver.go
+++ b/internal/controlplane/driver.go
@@ -73,7 +73,7 @@
 		}
 		return d.Journal.Append(effects.Hard, effects.Quorum.Entries)
 	}, func(err error) {
-		var full *journal.FullError
+		var full *journal.RingFullError
 		switch {
 		case errors.As(err, &full) && !isAgain:
 			d.compact(func() { d.store(effects, true) })
--- a/internal/controlplane/driver_test.go
+++ b/internal/controlplane/driver_test.go
@@ -31,7 +31,7 @@
 			}
 			now := time.Hour
 			self := &schema.Node{Id: "a", Address: "a", Zone: "d", Region: "r", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
-			machine := controlplane.New(now, controlplane.Options{Self: self, Seeds: []string{"a", "b", "c"}, System: "s", Hard: state.Hard, Snapshot: state.Snapshot, Items: state.Items,
+			machine := controlplane.New(now, controlplane.Options{Self: self, Seeds: []string{"a", "b", "c"}, System: "s", Hard: state.HardState, Snapshot: state.Snapshot, Items: state.Entries,
 				Draw: func(n int64) int64 { return n - 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 			var finish func(error)
 			votes, others := 0, 0
--- a/internal/controlplane/startup_world_test.go
+++ b/internal/controlplane/startup_world_test.go
@@ -152,7 +152,7 @@
 			f.t.Fatal(err)
 		}
 		opened = ring
-		options.Hard, options.Snapshot, options.Items = state.Hard, state.Snapshot, state.Items
+		options.Hard, options.Snapshot, options.Items = state.HardState, state.Snapshot, state.Entries
 	}
 	n.core = controlplane.New(f.clock(n), options)
 	n.driver = &controlplane.Driver{Core: n.core, Journal: opened, Now: func() time.Duration { return f.clock(n) },
--- a/internal/controlplane/world_test.go
+++ b/internal/controlplane/world_test.go
@@ -205,10 +205,10 @@
 			w.t.Fatal(err)
 		}
 		opened = j
-		options.Hard, options.Snapshot, options.Items = state.Hard, state.Snapshot, state.Items
-		options.System, options.Restart = state.Hard.System, state.Hard.Id != ""
+		options.Hard, options.Snapshot, options.Items = state.HardState, state.Snapshot, state.Entries
+		options.System, options.Restart = state.HardState.System, state.HardState.Id != ""
 		if options.Restart {
-			self.Id = state.Hard.Id
+			self.Id = state.HardState.Id
 		}
 	}
 	m.core = controlplane.New(w.now, options)
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -6,19 +6,21 @@
 	"fmt"
 	"math/rand"
 	"testing"
-	"topazshed/internal/store"
 
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/journal"
 	"topazshed/internal/schema"
 	"topazshed/internal/sim"
+	"topazshed/internal/store"
 )
 
 var sizes = journal.Options{Files: 4, FileBytes: 16 << 10, SnapshotBytes: 32 << 10}
 
-func item(index, term uint64, size int) *schema.LogItem {
-	return &schema.LogItem{Index: index, Term: term, Record: &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{{Key: "k", Value: make([]byte, size)}}}}
+func entry(index, term uint64, size int) *schema.LogItem {
+	row := &schema.Row{Key: "k", Value: make([]byte, size)}
+	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{row}}
+	return &schema.LogItem{Index: index, Term: term, Record: record}
 }
 
 func open(t *testing.T, disk journal.Disk) (*journal.Journal, *journal.State) {
@@ -30,7 +32,7 @@
 	return j, state
 }
 
-func TestJournalKeepsWhatItSaid(t *testing.T) {
+func TestSyncedEntriesSurviveACrash(t *testing.T) {
 	for seed := range int64(300) {
 		random := rand.New(rand.NewSource(seed))
 		disk := sim.NewDisk()
@@ -50,16 +52,16 @@
 				disk.Crash(random)
 				var state *schema.HardState
 				opened, read := open(t, disk)
-				j, state = opened, read.Hard
+				j, state = opened, read.HardState
 				compare(t, seed, state, hard, read, kept, snapshotIndex)
 			}
 			next := snapshotIndex + 1
 			if len(kept) > 0 {
 				next = kept[len(kept)-1].Index + 1
 			}
-			it := item(next, hard.Term, random.Intn(900))
+			it := entry(next, hard.Term, random.Intn(900))
 			err := j.Append(hard, []*schema.LogItem{it})
-			var full *journal.FullError
+			var full *journal.RingFullError
 			if errors.As(err, &full) || err == nil && j.NeedsSnapshot() {
 				if err != nil && len(kept) == 0 {
 					t.Fatalf("seed %d: the ring is full with nothing in it", seed)
@@ -89,16 +91,16 @@
 		t.Fatalf("seed %d: hard state %v, want %v", seed, state, hard)
 	}
 	if read.Snapshot.GetIndex() != snapshotIndex {
-		t.Fatalf("seed %d: image %d, want %d", seed, read.Snapshot.GetIndex(), snapshotIndex)
+		t.Fatalf("seed %d: snapshot %d, want %d", seed, read.Snapshot.GetIndex(), snapshotIndex)
 	}
 	for i, it := range kept {
-		if i >= len(read.Items) || !proto.Equal(read.Items[i], it) {
-			t.Fatalf("seed %d: item %d of %d is not what was synced", seed, i, len(kept))
+		if i >= len(read.Entries) || !proto.Equal(read.Entries[i], it) {
+			t.Fatalf("seed %d: entry %d of %d is not what was synced", seed, i, len(kept))
 		}
 	}
 }
 
-func TestJournalDamage(t *testing.T) {
+func TestOpenTellsDamageFromATornTail(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		damage    func(*sim.Disk)
@@ -108,13 +110,13 @@
 		{"nothing", func(*sim.Disk) {}, false, 10},
 		{"a byte in the middle", func(d *sim.Disk) { d.Flip("ring-0", 300) }, true, 0},
 		{"the last record, as a torn tail", func(d *sim.Disk) { d.FlipLast("ring-0") }, false, 9},
-		{"the file's head", func(d *sim.Disk) { d.Flip("ring-0", 9) }, true, 0},
+		{"the segment header", func(d *sim.Disk) { d.Flip("ring-0", 9) }, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			disk := sim.NewDisk()
 			j, _ := open(t, disk)
 			for i := range uint64(10) {
-				if err := j.Append(&schema.HardState{Term: 1, Id: "n"}, []*schema.LogItem{item(i+1, 1, 110)}); err != nil {
+				if err := j.Append(&schema.HardState{Term: 1, Id: "n"}, []*schema.LogItem{entry(i+1, 1, 110)}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -124,26 +126,26 @@
 			if errors.As(err, &corrupt) != c.isCorrupt {
 				t.Fatalf("got %v, corrupt wanted %v", err, c.isCorrupt)
 			}
-			if err == nil && len(state.Items) != c.items {
-				t.Fatalf("%d items, want %d", len(state.Items), c.items)
+			if err == nil && len(state.Entries) != c.items {
+				t.Fatalf("%d entries, want %d", len(state.Entries), c.items)
 			}
 		})
 	}
 }
 
-func TestJournalRefusesLargeSnapshot(t *testing.T) {
+func TestWriteSnapshotRefusesOneThatIsTooLarge(t *testing.T) {
 	j, _ := open(t, sim.NewDisk())
 	value := make([]byte, 64<<10)
 	rand.New(rand.NewSource(1)).Read(value)
 	err := j.WriteSnapshot(&schema.Snapshot{Index: 1, Rows: []*schema.Row{{Key: "k", Value: value}}})
-	var large *journal.LargeError
+	var large *journal.TooLargeError
 	if !errors.As(err, &large) {
 		t.Fatalf("got %v", err)
 	}
 }
 
-func TestAWholeConfigurationFitsASmallRing(t *testing.T) {
-	sizes := journal.Sized(64 << 20)
+func TestALargeConfigurationFitsASmallRing(t *testing.T) {
+	sizes := journal.OptionsForDisk(64 << 20)
 	disk := sim.NewDisk()
 	j, _, err := journal.Open(disk, sizes)
 	if err != nil {
@@ -151,15 +153,26 @@
 	}
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS}
 	for i := range 5000 {
-		record.Rows = append(record.Rows, store.EncodeRow(fmt.Sprintf("route/host%05d.example/path%d/", i/8, i%8), &schema.Route{Name: fmt.Sprintf("route%05d", i), Host: fmt.Sprintf("host%05d.example", i/8),
-			Prefix: fmt.Sprintf("/path%d/", i%8), Repeatable: true, TimeoutMs: 2000, TargetMs: 800, MaxAttempts: 2, HomeRegions: []string{"north", "south"}, Targets: []*schema.Target{{Service: "ledger", Weight: 1}}}))
-	}
-	record.Rows = append(record.Rows, &schema.Row{Key: "catalog/document", Value: bytes.Repeat([]byte(`{"name":"route","host":"host.example","prefix":"/path/"}`), 30000)})
+		host, prefix := fmt.Sprintf("host%05d.example", i/8), fmt.Sprintf("/path%d/", i%8)
+		record.Rows = append(record.Rows, store.EncodeRow(store.RouteKey(host, prefix), &schema.Route{
+			Name:        fmt.Sprintf("route%05d", i),
+			Host:        host,
+			Prefix:      prefix,
+			Repeatable:  true,
+			TimeoutMs:   2000,
+			TargetMs:    800,
+			MaxAttempts: 2,
+			HomeRegions: []string{"north", "south"},
+			Targets:     []*schema.Target{{Service: "ledger", Weight: 1}},
+		}))
+	}
+	document := bytes.Repeat([]byte(`{"name":"route","host":"host.example","prefix":"/path/"}`), 30000)
+	record.Rows = append(record.Rows, &schema.Row{Key: store.DocumentKey, Value: document})
 	if size := proto.Size(record); int64(size) < sizes.FileBytes {
-		t.Fatalf("the record of %d bytes shows nothing; a ring file has %d", size, sizes.FileBytes)
+		t.Fatalf("the record of %d bytes must not fit uncompressed; a segment has %d", size, sizes.FileBytes)
 	}
 	if !sizes.Fits(record) {
-		t.Fatal("the record is told not to fit")
+		t.Fatal("the record is said not to fit")
 	}
 	if err := j.Append(&schema.HardState{Term: 1, Id: "a", System: "s"}, []*schema.LogItem{{Index: 1, Term: 1, Record: record}}); err != nil {
 		t.Fatal(err)
@@ -177,6 +190,6 @@
 	noise := make([]byte, 2*sizes.FileBytes)
 	rand.New(rand.NewSource(1)).Read(noise)
 	if sizes.Fits(&schema.Record{Rows: []*schema.Row{{Key: "noise", Value: noise}}}) {
-		t.Fatal("a record that can't be packed into a ring file is told to fit")
+		t.Fatal("a record that can't be compressed into a segment is said to fit")
 	}
 }
--- a/internal/journal/version_test.go
+++ b/internal/journal/version_test.go
@@ -11,7 +11,7 @@
 	"topazshed/internal/sim"
 )
 
-func TestADiskOfANewerVersionIsRefusedUntouched(t *testing.T) {
+func TestOpenRefusesADiskOfANewerVersion(t *testing.T) {
 	snapshot := func(version uint32) *schema.Snapshot {
 		return &schema.Snapshot{Index: 1, Term: 1, Members: &schema.Members{}, Version: version}
 	}
@@ -22,11 +22,11 @@
 		spoil    func(*sim.Disk)
 		isNew    bool
 	}{
-		{"of version 1, which tells none", 0, snapshot(0), nil, false},
-		{"of the newest that is read", 2, snapshot(2), nil, false},
+		{"of version 1, which has no number", 0, snapshot(0), nil, false},
+		{"of the newest version that is read", 2, snapshot(2), nil, false},
 		{"the hard state is newer", 3, nil, nil, true},
-		{"the image is newer", 0, snapshot(3), nil, true},
-		{"an image of an unknown format", 0, snapshot(0), func(disk *sim.Disk) {
+		{"the snapshot is newer", 0, snapshot(3), nil, true},
+		{"a snapshot of an unknown format", 0, snapshot(0), func(disk *sim.Disk) {
 			area, _ := disk.Area("image-0", sizes.SnapshotBytes)
 			area.WriteAt(binary.BigEndian.AppendUint32(nil, 0x7a5d0009), 0)
 			area.Sync()
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	n.cleanup.push("data folder", folder.Close)
-	sizes := journal.Sized(n.settings.DiskBytes)
+	sizes := journal.OptionsForDisk(n.settings.DiskBytes)
 	opened, state, err := journal.Open(folder, sizes)
 	var corrupt *journal.CorruptError
 	if errors.As(err, &corrupt) {
--- a/internal/node/earlier_version_test.go
+++ b/internal/node/earlier_version_test.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	opened, state, err := journal.Open(folder, journal.Sized(earlierDiskBytes))
+	opened, state, err := journal.Open(folder, journal.OptionsForDisk(earlierDiskBytes))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,8 +138,8 @@
 // restart gives the whole state of a machine that has just started from what its journal held.
 func restart(t *testing.T, state *journal.State, routed *controlplane.Routed) *schema.Snapshot {
 	t.Helper()
-	restarted := controlplane.New(time.Hour, controlplane.Options{Self: &schema.Node{Id: state.Hard.Id, Address: "here", Disk: true}, System: state.Hard.System, Restart: true,
-		Hard: state.Hard, Snapshot: state.Snapshot, Items: state.Items, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.DiscardHandler), Routed: routed})
+	restarted := controlplane.New(time.Hour, controlplane.Options{Self: &schema.Node{Id: state.HardState.Id, Address: "here", Disk: true}, System: state.HardState.System, Restart: true,
+		Hard: state.HardState, Snapshot: state.Snapshot, Items: state.Entries, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.DiscardHandler), Routed: routed})
 	if err := restarted.Refused(); err != nil {
 		t.Fatal(err)
 	}
@@ -156,21 +156,21 @@
 
 func describe(t *testing.T, state *journal.State, routed *controlplane.Routed) readBack {
 	t.Helper()
-	if state.Snapshot == nil || len(state.Items) == 0 {
+	if state.Snapshot == nil || len(state.Entries) == 0 {
 		t.Fatal("the data folder has no snapshot or no log after it")
 	}
-	last := state.Items[len(state.Items)-1]
+	last := state.Entries[len(state.Entries)-1]
 	whole := restart(t, state, routed)
 	found := readBack{
-		Term: state.Hard.Term, Vote: state.Hard.Vote, ID: state.Hard.Id, System: state.Hard.System, Commit: state.Hard.Commit, DiskVersion: state.Hard.Version, Torn: state.Torn,
+		Term: state.HardState.Term, Vote: state.HardState.Vote, ID: state.HardState.Id, System: state.HardState.System, Commit: state.HardState.Commit, DiskVersion: state.HardState.Version, Torn: state.Torn,
 		SnapshotIndex: state.Snapshot.Index, SnapshotTerm: state.Snapshot.Term, SnapshotDiskVersion: state.Snapshot.Version, SnapshotRows: digestRows(state.Snapshot.Rows),
-		LogFirstIndex: state.Items[0].Index, LogLastIndex: last.Index, LogLastTerm: last.Term, LogEntries: len(state.Items), LogRefused: []uint64{},
+		LogFirstIndex: state.Entries[0].Index, LogLastIndex: last.Index, LogLastTerm: last.Term, LogEntries: len(state.Entries), LogRefused: []uint64{},
 		RestartIndex: whole.Index, RestartRows: digestRows(whole.Rows), RestartVoters: ids(whole.Members.Voters), RestartLearners: ids(whole.Members.Learners),
 		Zones: map[string]zoneFacts{}, Machines: map[string]bool{}, Services: []string{}, Routes: []string{},
 	}
 	table := store.NewTable()
 	table.Restore(state.Snapshot)
-	for _, item := range state.Items {
+	for _, item := range state.Entries {
 		if _, err := table.Apply(raft.Index(item.Index), item.Record, failover.Check); err != nil {
 			found.LogRefused = append(found.LogRefused, item.Index)
 		}
@@ -239,7 +239,7 @@
 	t.Helper()
 	added := &schema.LogItem{Index: before.LogLastIndex + 1, Term: before.Term + 1, Record: &schema.Record{Kind: schema.RecordKind_RECORD_NOTHING}}
 	withJournal(t, path, func(opened *journal.Journal, state *journal.State) {
-		hard := proto.Clone(state.Hard).(*schema.HardState)
+		hard := proto.Clone(state.HardState).(*schema.HardState)
 		hard.Term, hard.Vote, hard.Commit = added.Term, "another", added.Index
 		if err := opened.Append(hard, []*schema.LogItem{added}); err != nil {
 			t.Fatal(err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -137,10 +137,10 @@
 		if err != nil {
 			return err
 		}
-		options.Hard, options.Snapshot, options.Items = state.Hard, state.Snapshot, state.Items
-		options.System, options.Restart = state.Hard.System, state.Hard.Id != ""
+		options.Hard, options.Snapshot, options.Items = state.HardState, state.Snapshot, state.Entries
+		options.System, options.Restart = state.HardState.System, state.HardState.Id != ""
 		if options.Restart {
-			n.self.Id = state.Hard.Id
+			n.self.Id = state.HardState.Id
 		}
 	}
 	n.log = n.log.With("node", n.self.Id)
--- a/internal/node/route_service.go
+++ b/internal/node/route_service.go
@@ -37,7 +37,7 @@
 
 func (s *routeService) routed() *controlplane.Routed {
 	bounds := s.platform.Bounds
-	sizes := journal.Sized(s.node.settings.DiskBytes)
+	sizes := journal.OptionsForDisk(s.node.settings.DiskBytes)
 	return &controlplane.Routed{
 		Fits:      sizes.Fits,
 		FitsWhole: sizes.FitsSnapshot,
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -251,10 +251,10 @@
 			}
 		}
 		j = opened
-		options.Hard, options.Snapshot, options.Items = state.Hard, state.Snapshot, state.Items
-		options.System, options.Restart = state.Hard.System, state.Hard.Id != ""
+		options.Hard, options.Snapshot, options.Items = state.HardState, state.Snapshot, state.Entries
+		options.System, options.Restart = state.HardState.System, state.HardState.Id != ""
 		if options.Restart {
-			n.ident = state.Hard.Id
+			n.ident = state.HardState.Id
 			self.Id = n.ident
 		}
 	}
