--- /dev/null
+++ b/internal/sim/scenarios_machines.go
@@ -0,0 +1,121 @@
+package sim
+
+import (
+	"fmt"
+	"time"
+)
+
+func playLeaderKilled(f *Fleet) error {
+	for range 3 {
+		if leader := f.Leader(); leader != nil {
+			f.Kill(leader)
+			f.RunFor(4 * time.Second)
+			f.Start(leader)
+		}
+		f.RunFor(4 * time.Second)
+	}
+	return f.settled()
+}
+
+func playLeaderFrozen(f *Fleet) error {
+	for _, span := range []time.Duration{1500 * time.Millisecond, 5 * time.Second, 12 * time.Second} {
+		if leader := f.Leader(); leader != nil {
+			f.Freeze(leader, span)
+		}
+		f.RunFor(span + 5*time.Second)
+	}
+	return f.settled()
+}
+
+func playProxyFrozen(f *Fleet) error {
+	for range 4 {
+		f.Freeze(f.pick(func(n *Node) bool { return n.IsUp }), time.Duration(500+f.random.Intn(9000))*time.Millisecond)
+		f.RunFor(5 * time.Second)
+	}
+	f.RunFor(10 * time.Second)
+	return f.settled()
+}
+
+func playHerd(f *Fleet) error {
+	for range 2 {
+		for range 5 {
+			if n := f.pick(func(n *Node) bool { return n.IsUp }); n.IsUp {
+				f.Kill(n)
+			}
+		}
+		f.RunFor(time.Duration(2+f.random.Intn(6)) * time.Second)
+		f.startAll()
+		f.RunFor(15 * time.Second)
+	}
+	return f.settled()
+}
+
+func playDistrictLost(f *Fleet) error {
+	f.RunFor(3 * time.Second)
+	lost := f.owner("service1", "/pay").Zone
+	f.killAll(isIn(lost))
+	if err := f.serves("the loss of "+lost, finalLoss); err != nil {
+		return err
+	}
+	f.RunFor(10 * time.Second)
+	return f.settled()
+}
+
+func playRegionLost(f *Fleet) error {
+	f.RunFor(3 * time.Second)
+	lost := f.owner("service1", "/pay").Region
+	f.killAll(isInRegion(lost))
+	for _, b := range f.Backends {
+		if regionOf(b.Zone) == lost {
+			f.Crash(b)
+		}
+	}
+	if err := f.serves("the loss of "+lost, finalLoss); err != nil {
+		return err
+	}
+	f.RunFor(5 * time.Second)
+	return f.settled()
+}
+
+func playAllKilled(f *Fleet) error {
+	before := f.accepted
+	f.killAll(func(*Node) bool { return true })
+	f.RunFor(2 * time.Second)
+	f.startAll()
+	if err := f.serves("the restart", finalLoss); err != nil {
+		return err
+	}
+	f.RunFor(8 * time.Second)
+	if err := f.settled(); err != nil {
+		return err
+	}
+	if o := f.Show(f.Leader()); o.GetVersion() < before {
+		return fmt.Errorf("after the restart the configuration is %d, not %d", o.GetVersion(), before)
+	}
+	return nil
+}
+
+func playRolling(f *Fleet) error {
+	for i := range 6 {
+		n := f.Nodes[(i*5+f.random.Intn(5))%len(f.Nodes)]
+		f.Stop(n)
+		for i := 0; n.IsUp && i < 200; i++ {
+			f.RunFor(100 * time.Millisecond)
+		}
+		if n.IsUp {
+			return fmt.Errorf("%s did not end its planned stop", n.Name)
+		}
+		f.Start(n)
+		f.RunFor(1500 * time.Millisecond)
+	}
+	return f.settled()
+}
+
+func playFrozenLeg(f *Fleet) error {
+	for range 3 {
+		f.freezeAttempt = time.Duration(3+f.random.Intn(18)) * time.Second
+		f.RunFor(9 * time.Second)
+	}
+	f.RunFor(14 * time.Second)
+	return f.settled()
+}
