--- a/cmd/testfleet/caller.go
+++ b/cmd/testfleet/caller.go
@@ -19,7 +19,7 @@
 )
 
 // Kind is one kind of call of a deployment.
-type Kind struct {
+type CallKind struct {
 	Service string
 	Path    string
 	Method  string
@@ -32,7 +32,7 @@
 type Deployment struct {
 	Name     string
 	Rate     int
-	Kinds    []Kind
+	Kinds    []CallKind
 	Services map[string]int
 	Keyed    map[string]bool
 	Document string
@@ -41,7 +41,7 @@
 
 var deployments = map[string]Deployment{
 	"office": {Name: "office", Rate: 300,
-		Kinds:    []Kind{{"ledger", "/balances", "GET", 45, 0, true}, {"declarations", "/filed", "GET", 35, 0, true}, {"payments", "/advance", "POST", 20, 0, false}},
+		Kinds:    []CallKind{{"ledger", "/balances", "GET", 45, 0, true}, {"declarations", "/filed", "GET", 35, 0, true}, {"payments", "/advance", "POST", 20, 0, false}},
 		Services: map[string]int{"ledger": 14, "declarations": 12, "payments": 16},
 		Home:     map[string][]string{"payments": {"north", "south"}, "ledger": nil, "declarations": {"north", "east"}},
 		Document: `{"entries":[
@@ -49,7 +49,7 @@
  {"service":"declarations","path":"/filed","methods":["GET"],"repeat_safe":["GET"],"home_regions":["north","east"]},
  {"service":"payments","path":"/advance","methods":["POST"],"repeat_safe":[],"home_regions":["north","south"]}]}`},
 	"port": {Name: "port", Rate: 900,
-		Kinds:    []Kind{{"gates", "/windows", "GET", 40, 0, true}, {"berths", "/schedules", "GET", 38, 0, true}, {"slots", "/bookings", "POST", 22, 400, false}},
+		Kinds:    []CallKind{{"gates", "/windows", "GET", 40, 0, true}, {"berths", "/schedules", "GET", 38, 0, true}, {"slots", "/bookings", "POST", 22, 400, false}},
 		Services: map[string]int{"gates": 14, "berths": 12, "slots": 16}, Keyed: map[string]bool{"slots": true},
 		Home: map[string][]string{"slots": {"south", "east"}},
 		Document: `{"entries":[
@@ -58,7 +58,7 @@
  {"service":"slots","path":"/bookings","methods":["POST"],"repeat_safe":[],"keyed":true,"home_regions":["south","east"]}]}`},
 }
 
-type matched struct {
+type match struct {
 	Proxies []struct {
 		Address string
 		Zone    string `json:"district"`
@@ -77,7 +77,7 @@
 	deployment Deployment
 	clients    []*http.Client
 	lock       sync.Mutex
-	matches    map[string]*matched
+	matches    map[string]*match
 	random     *rand.Rand
 	serial     int
 	hotKey     bool
@@ -85,8 +85,8 @@
 }
 
 func newCallers(h *checker.History, f *Fleet, d Deployment, seed int64) *Callers {
-	c := &Callers{history: h, fleet: f, deployment: d, matches: map[string]*matched{}, random: rand.New(rand.NewSource(seed))}
-	for zone := range places {
+	c := &Callers{history: h, fleet: f, deployment: d, matches: map[string]*match{}, random: rand.New(rand.NewSource(seed))}
+	for zone := range zonePlaces {
 		dialer := &net.Dialer{Timeout: 700 * time.Millisecond, LocalAddr: &net.TCPAddr{IP: net.ParseIP(fmt.Sprintf("127.30.%d.1", zone))}}
 		c.clients = append(c.clients, &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64, IdleConnTimeout: 3 * time.Second}})
 	}
@@ -114,7 +114,7 @@
 
 func (c *Callers) call() {
 	pick := c.draw(100)
-	var kind Kind
+	var kind CallKind
 	for _, kind = range c.deployment.Kinds {
 		if pick -= kind.Share; pick < 0 {
 			break
@@ -139,7 +139,7 @@
 }
 
 // Do carries one attempt to its end as an honest caller would.
-func (c *Callers) Do(kind Kind, path, key, attempt string, zone int, wait time.Duration) *checker.Call {
+func (c *Callers) Do(kind CallKind, path, key, attempt string, zone int, wait time.Duration) *checker.Call {
 	h := c.history
 	call := &checker.Call{At: h.Now(), Service: kind.Service, Path: path, Attempt: attempt, IsUnsafe: kind.Method != "GET"}
 	until := time.Now().Add(wait)
@@ -167,7 +167,7 @@
 		}
 		reply := c.send(kind, path, key, attempt, zone, m, left, age, call.Sends)
 		checker.Record(h, &h.Replies, reply)
-		call.Last = reply.Kind + " " + reply.Broken
+		call.LastReason = reply.Kind + " " + reply.Broken
 		switch {
 		case reply.Result == "sealed":
 			call.Result = "sealed"
@@ -177,8 +177,8 @@
 				break
 			}
 			c.forget(kind, zone)
-			if time.Until(until) > reply.Later+50*time.Millisecond {
-				time.Sleep(reply.Later + time.Duration(c.draw(200))*time.Millisecond)
+			if time.Until(until) > reply.RetryAfter+50*time.Millisecond {
+				time.Sleep(reply.RetryAfter + time.Duration(c.draw(200))*time.Millisecond)
 				continue
 			}
 			call.Result = "declined"
@@ -205,13 +205,13 @@
 	return call
 }
 
-func (c *Callers) forget(kind Kind, zone int) {
+func (c *Callers) forget(kind CallKind, zone int) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	delete(c.matches, fmt.Sprintf("%d/%s%s", zone, kind.Service, kind.Path))
 }
 
-func (c *Callers) match(kind Kind, zone int, left time.Duration) (*matched, time.Duration) {
+func (c *Callers) match(kind CallKind, zone int, left time.Duration) (*match, time.Duration) {
 	name := fmt.Sprintf("%d/%s%s", zone, kind.Service, kind.Path)
 	c.lock.Lock()
 	if m := c.matches[name]; m != nil && time.Since(m.at) < time.Duration(m.LiveMs)*time.Millisecond {
@@ -223,7 +223,7 @@
 		at := c.history.Now()
 		var options []*Machine
 		for _, m := range c.fleet.machines {
-			if m.place.region == places[zone].region {
+			if m.place.region == zonePlaces[zone].region {
 				options = append(options, m)
 			}
 		}
@@ -232,7 +232,7 @@
 			machine = c.fleet.machines[c.draw(len(c.fleet.machines))]
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), min(left, time.Second))
-		address := "http://" + machine.shown(7003) + "/v1/match?" + url.Values{"service": {kind.Service}, "path": {kind.Path}, "region": {places[zone].region}}.Encode()
+		address := "http://" + machine.publicAddress(7003) + "/v1/match?" + url.Values{"service": {kind.Service}, "path": {kind.Path}, "region": {zonePlaces[zone].region}}.Encode()
 		request, _ := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 		response, err := c.clients[zone].Do(request)
 		if err != nil {
@@ -245,7 +245,7 @@
 		if err != nil {
 			continue
 		}
-		m := &matched{at: time.Now()}
+		m := &match{at: time.Now()}
 		seen := checker.MatchSeen{At: at, Admin: machine.name, Service: kind.Service, Path: kind.Path, Status: response.StatusCode, Boot: machine.boot}
 		if response.StatusCode == http.StatusOK && json.Unmarshal(text, m) == nil && len(m.Proxies) > 0 {
 			seen.Version, seen.Zone = m.Version, m.Proxies[0].Zone
@@ -263,7 +263,7 @@
 	return nil, 300 * time.Millisecond
 }
 
-func (c *Callers) send(kind Kind, path, key, attempt string, zone int, m *matched, left, age time.Duration, serial int) *checker.Reply {
+func (c *Callers) send(kind CallKind, path, key, attempt string, zone int, m *match, left, age time.Duration, serial int) *checker.Reply {
 	proxy := m.Proxies[c.draw(len(m.Proxies))]
 	r := &checker.Reply{At: c.history.Now(), Service: kind.Service, Path: path, Method: kind.Method, Attempt: attempt, Send: fmt.Sprintf("%s/%d", attempt, serial), Zone: proxy.Zone, Proxy: proxy.Address, IsUnsafe: kind.Method != "GET", IsProper: true}
 	limit := left
@@ -325,7 +325,7 @@
 		r.Kind = told.Kind
 	}
 	if later, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
-		r.Later = time.Duration(later) * time.Second
+		r.RetryAfter = time.Duration(later) * time.Second
 	}
 	return r
 }
--- a/cmd/testfleet/failover.go
+++ b/cmd/testfleet/failover.go
@@ -38,7 +38,7 @@
 			fmt.Fprintf(os.Stderr, "seed %d: %v\n", seed, err)
 			return subcommands.ExitFailure
 		}
-		number, read, unsafe = append(number, f.Number), append(read, f.Read), append(unsafe, f.Unsafe)
+		number, read, unsafe = append(number, f.NewNumber), append(read, f.Read), append(unsafe, f.Unsafe)
 	}
 	for _, row := range []struct {
 		name  string
--- a/cmd/testfleet/fleet.go
+++ b/cmd/testfleet/fleet.go
@@ -21,9 +21,9 @@
 	"topazshed/internal/checker"
 )
 
-type place struct{ zone, region string }
+type zonePlace struct{ zone, region string }
 
-var places = []place{{"north-a", "north"}, {"north-b", "north"}, {"south-a", "south"}, {"south-b", "south"}, {"east-a", "east"}, {"east-b", "east"}}
+var zonePlaces = []zonePlace{{"north-a", "north"}, {"north-b", "north"}, {"south-a", "south"}, {"south-b", "south"}, {"east-a", "east"}, {"east-b", "east"}}
 
 func regionOf(zone string) string {
 	region, _, _ := strings.Cut(zone, "-")
@@ -49,7 +49,7 @@
 // Machine is one machine of the fleet and its process.
 type Machine struct {
 	name    string
-	place   place
+	place   zonePlace
 	zone    int
 	number  int
 	hasDisk bool
@@ -59,29 +59,29 @@
 	boot    int
 	relays  []*Relay
 	lock    sync.Mutex
-	version int
+	moves   int
 }
 
-func (m *Machine) real(port int) string {
-	return fmt.Sprintf("127.10.%d.%d:%d", m.zone, m.number+m.version*50, port)
+func (m *Machine) listenAddress(port int) string {
+	return fmt.Sprintf("127.10.%d.%d:%d", m.zone, m.number+m.moves*50, port)
 }
-func (m *Machine) shown(port int) string {
-	return fmt.Sprintf("127.20.%d.%d:%d", m.zone, m.number+m.version*50, port)
+func (m *Machine) publicAddress(port int) string {
+	return fmt.Sprintf("127.20.%d.%d:%d", m.zone, m.number+m.moves*50, port)
 }
 
 // Fleet runs the processes.
 type Fleet struct {
-	program  string
-	folder   string
-	links    *Links
-	history  *checker.History
-	machines []*Machine
-	platform string
-	faulty   string
-	level    string
-	routes   map[string]any
-	spawner  sync.Once
-	spawns   chan func()
+	program           string
+	folder            string
+	links             *Links
+	history           *checker.History
+	machines          []*Machine
+	platformURL       string
+	faultyDiskProgram string
+	level             string
+	routes            map[string]any
+	spawner           sync.Once
+	spawns            chan func()
 }
 
 // link names are machine names; callers and the rest use their zone.
@@ -96,7 +96,7 @@
 			}
 		}
 	}
-	return "callers-" + places[zone%len(places)].zone
+	return "callers-" + zonePlaces[zone%len(zonePlaces)].zone
 }
 
 func zoneOfPlace(name string) string {
@@ -107,9 +107,9 @@
 }
 
 func newFleet(program, folder, platform, level string, h *checker.History) (*Fleet, error) {
-	f := &Fleet{program: program, folder: folder, platform: platform, level: level, history: h}
+	f := &Fleet{program: program, folder: folder, platformURL: platform, level: level, history: h}
 	f.links = newLinks(func(from, to string) time.Duration { return delayBetween(zoneOfPlace(from), zoneOfPlace(to)) })
-	for zone, p := range places {
+	for zone, p := range zonePlaces {
 		count := 3 - zone%2
 		for number := 1; number <= count; number++ {
 			m := &Machine{name: fmt.Sprintf("%s-%d", p.zone, number), place: p, zone: zone, number: number, hasDisk: number == 1}
@@ -129,7 +129,7 @@
 
 func (f *Fleet) relay(m *Machine) error {
 	for _, port := range []int{7001, 7002, 7003} {
-		r, err := newRelay(f.links, m.shown(port), m.real(port), m.name, f.placeOf)
+		r, err := newRelay(f.links, m.publicAddress(port), m.listenAddress(port), m.name, f.placeOf)
 		if err != nil {
 			return fmt.Errorf("relay for %s: %w", m.name, err)
 		}
@@ -138,13 +138,13 @@
 	return nil
 }
 
-func (f *Fleet) faults(m *Machine) string { return filepath.Join(f.folder, m.name+".disk") }
+func (f *Fleet) diskFaultFile(m *Machine) string { return filepath.Join(f.folder, m.name+".disk") }
 
 func (f *Fleet) seeds() []string {
 	var seeds []string
 	for _, m := range f.machines {
 		if m.hasDisk && strings.HasSuffix(m.place.zone, "-a") {
-			seeds = append(seeds, m.shown(7001))
+			seeds = append(seeds, m.publicAddress(7001))
 		}
 	}
 	return seeds
@@ -160,11 +160,11 @@
 }
 
 func (f *Fleet) start(m *Machine) error {
-	settings := map[string]any{"peer": m.real(7001), "peer_shown": m.shown(7001), "proxy": m.real(7002), "proxy_shown": m.shown(7002), "door": m.real(7003), "door_shown": m.shown(7003),
+	settings := map[string]any{"peer": m.listenAddress(7001), "peer_shown": m.publicAddress(7001), "proxy": m.listenAddress(7002), "proxy_shown": m.publicAddress(7002), "door": m.listenAddress(7003), "door_shown": m.publicAddress(7003),
 		"district": m.place.zone, "region": m.place.region, "seeds": f.seeds(), "log_level": f.level}
 	if m.hasDisk {
 		settings["data"] = m.data
-		settings["platform"] = f.platform
+		settings["platform"] = f.platformURL
 	}
 	if f.routes != nil {
 		settings["routes"] = f.routes
@@ -182,8 +182,8 @@
 		return err
 	}
 	command := exec.Command(f.program, "serve", "-settings", file)
-	if m.hasDisk && f.faulty != "" {
-		command = exec.Command(f.faulty, "machine", "-settings", file, "-faults", f.faults(m))
+	if m.hasDisk && f.faultyDiskProgram != "" {
+		command = exec.Command(f.faultyDiskProgram, "machine", "-settings", file, "-faults", f.diskFaultFile(m))
 	}
 	command.Stderr, command.Stdout = log, log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -230,7 +230,7 @@
 func (f *Fleet) kill(m *Machine) {
 	f.signal(m, syscall.SIGKILL)
 	f.await(m, 5*time.Second)
-	checker.Record(f.history, &f.history.Fleet, checker.FleetEvent{At: f.history.Now(), What: "kill", Node: m.name, Proxy: m.shown(7002)})
+	checker.Record(f.history, &f.history.Fleet, checker.FleetEvent{At: f.history.Now(), What: "kill", Node: m.name, Proxy: m.publicAddress(7002)})
 }
 
 func (f *Fleet) await(m *Machine, limit time.Duration) error {
@@ -255,7 +255,7 @@
 		return err
 	}
 	err := f.await(m, 30*time.Second)
-	checker.Record(f.history, &f.history.Fleet, checker.FleetEvent{At: at, End: f.history.Now(), What: "stop", Node: m.name, Proxy: m.shown(7002)})
+	checker.Record(f.history, &f.history.Fleet, checker.FleetEvent{At: at, End: f.history.Now(), What: "stop", Node: m.name, Proxy: m.publicAddress(7002)})
 	return err
 }
 
@@ -273,7 +273,7 @@
 }
 
 func (f *Fleet) adminCall(m *Machine, method, path string, query url.Values, body []byte) (int, http.Header, []byte, error) {
-	address := url.URL{Scheme: "http", Host: m.shown(7003), Path: path, RawQuery: query.Encode()}
+	address := url.URL{Scheme: "http", Host: m.publicAddress(7003), Path: path, RawQuery: query.Encode()}
 	request, err := http.NewRequest(method, address.String(), bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, nil, err
--- a/cmd/testfleet/main.go
+++ b/cmd/testfleet/main.go
@@ -55,20 +55,20 @@
 
 // Report is the response of a run.
 type Report struct {
-	Deployment string             `json:"deployment"`
-	Seed       int64              `json:"seed"`
-	Calls      int                `json:"calls"`
-	Results    map[string]int     `json:"outcomes"`
-	Reasons    map[string]int     `json:"reasons"`
-	Spans      map[string][2]int  `json:"spans_ms"`
-	Latency    map[string][]int   `json:"latency_ms_p50_p90_p99_max"`
-	Gap        int                `json:"longest_gap_ms"`
-	UnsafeGap  int                `json:"longest_unsafe_gap_ms"`
-	Verdicts   []*checker.Verdict `json:"verdicts"`
-	Faults     []string           `json:"faults"`
-	ReadyMs    int64              `json:"ready_ms"`
-	Timeline   []string           `json:"timeline"`
-	UnsafeMs   int64              `json:"unsafe_ready_ms"`
+	Deployment       string             `json:"deployment"`
+	Seed             int64              `json:"seed"`
+	Calls            int                `json:"calls"`
+	Results          map[string]int     `json:"outcomes"`
+	Reasons          map[string]int     `json:"reasons"`
+	Spans            map[string][2]int  `json:"spans_ms"`
+	Latency          map[string][]int   `json:"latency_ms_p50_p90_p99_max"`
+	LongestGap       int                `json:"longest_gap_ms"`
+	LongestUnsafeGap int                `json:"longest_unsafe_gap_ms"`
+	Verdicts         []*checker.Verdict `json:"verdicts"`
+	FailedSteps      []string           `json:"faults"`
+	ReadyMs          int64              `json:"ready_ms"`
+	Timeline         []string           `json:"timeline"`
+	UnsafeMs         int64              `json:"unsafe_ready_ms"`
 }
 
 func (c *runCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -93,14 +93,14 @@
 			fmt.Fprintln(os.Stderr, err)
 		}
 	}
-	return print(report)
+	return printReport(report)
 }
 
 type usageError struct{ error }
 
-func print(r *Report) subcommands.ExitStatus {
+func printReport(r *Report) subcommands.ExitStatus {
 	code := subcommands.ExitSuccess
-	fmt.Printf("%s seed %d: %d calls, outcomes %v, longest gap %d ms (unsafe %d ms), served after %d ms (unsafe %d ms)\n", r.Deployment, r.Seed, r.Calls, r.Results, r.Gap, r.UnsafeGap, r.ReadyMs, r.UnsafeMs)
+	fmt.Printf("%s seed %d: %d calls, outcomes %v, longest gap %d ms (unsafe %d ms), served after %d ms (unsafe %d ms)\n", r.Deployment, r.Seed, r.Calls, r.Results, r.LongestGap, r.LongestUnsafeGap, r.ReadyMs, r.UnsafeMs)
 	names := make([]string, 0, len(r.Latency))
 	for name := range r.Latency {
 		names = append(names, name)
@@ -120,18 +120,18 @@
 	}
 	for _, v := range r.Verdicts {
 		state := "ok"
-		if len(v.Broken) > 0 {
-			state = fmt.Sprintf("BROKEN %d times", len(v.Broken))
+		if len(v.Violations) > 0 {
+			state = fmt.Sprintf("BROKEN %d times", len(v.Violations))
 			code = subcommands.ExitFailure
 		}
 		fmt.Printf("rule %-10s %-18s judged %d worst %v bound %v\n", v.Rule, state, v.Count, v.Worst.Round(time.Millisecond), v.Bound)
-		for i, text := range v.Broken {
+		for i, text := range v.Violations {
 			if i < 5 {
 				fmt.Println("   ", text)
 			}
 		}
 	}
-	for _, fault := range r.Faults {
+	for _, fault := range r.FailedSteps {
 		fmt.Println("step failed:", fault)
 		code = subcommands.ExitFailure
 	}
@@ -152,7 +152,7 @@
 		return nil, err
 	}
 	history := newHistory()
-	world, err := newWorld(history, c.seed, "127.60.0.1:9000")
+	world, err := newPlatform(history, c.seed, "127.60.0.1:9000")
 	if err != nil {
 		return nil, err
 	}
@@ -164,7 +164,7 @@
 	slices.Sort(names)
 	for _, name := range names {
 		for i := range dep.Services[name] {
-			if _, err := world.add(name, places[i%len(places)].zone, "", dep.Keyed[name], false); err != nil {
+			if _, err := world.add(name, zonePlaces[i%len(zonePlaces)].zone, "", dep.Keyed[name], false); err != nil {
 				return nil, err
 			}
 		}
@@ -185,7 +185,7 @@
 		}
 	}
 	if slices.ContainsFunc(steps, func(s Step) bool { return s.Verb == "disk" }) {
-		if fleet.faulty, err = os.Executable(); err != nil {
+		if fleet.faultyDiskProgram, err = os.Executable(); err != nil {
 			return nil, err
 		}
 	}
@@ -196,7 +196,7 @@
 		}
 	}
 	callers := newCallers(history, fleet, dep, c.seed)
-	runner := &Runner{fleet: fleet, world: world, callers: callers, history: history, dep: dep}
+	runner := &Runner{fleet: fleet, platform: world, callers: callers, history: history, deployment: dep}
 	report := &Report{Deployment: dep.Name, Seed: c.seed, Results: map[string]int{}, Reasons: map[string]int{}, Spans: map[string][2]int{}, Latency: map[string][]int{}}
 	isPut := false
 	for !isPut && ctx.Err() == nil && history.Now()-begun < 30*time.Second {
@@ -215,7 +215,7 @@
 				break
 			}
 			if history.Now()-begun > 60*time.Second {
-				return nil, fmt.Errorf("%s was not served within 60 s (%s); see the logs in %s", kind.Service, call.Last, c.folder)
+				return nil, fmt.Errorf("%s was not served within 60 s (%s); see the logs in %s", kind.Service, call.LastReason, c.folder)
 			}
 		}
 		took := (history.Now() - begun).Milliseconds()
@@ -228,7 +228,7 @@
 	if c.isDemo {
 		fmt.Println("the fleet serves; doors:")
 		for _, m := range fleet.machines {
-			fmt.Printf("  %s door %s proxy %s\n", m.name, m.shown(7003), m.shown(7002))
+			fmt.Printf("  %s door %s proxy %s\n", m.name, m.publicAddress(7003), m.publicAddress(7002))
 		}
 		go callers.run(ctx, 20)
 		<-ctx.Done()
@@ -256,12 +256,12 @@
 		}
 		fmt.Fprintf(os.Stderr, "%8v %s %v\n", (history.Now() - loadStart).Round(time.Millisecond), step.Verb, step.Args)
 		if err := runner.Do(step); err != nil {
-			report.Faults = append(report.Faults, fmt.Sprintf("line %d %s %v: %v", step.Line, step.Verb, step.Args, err))
+			report.FailedSteps = append(report.FailedSteps, fmt.Sprintf("line %d %s %v: %v", step.Line, step.Verb, step.Args, err))
 		}
 	}
 	<-loaded
 	if status, version := runner.operator("show", "GET", "/v1/configuration", nil, nil, nil, ""); status != 200 || version < runner.base {
-		report.Faults = append(report.Faults, fmt.Sprintf("read-back at the end gave status %d version %d, not %d", status, version, runner.base))
+		report.FailedSteps = append(report.FailedSteps, fmt.Sprintf("read-back at the end gave status %d version %d, not %d", status, version, runner.base))
 	}
 	c.summarise(report, history, loadStart)
 	report.Verdicts = checker.Check(history)
@@ -289,7 +289,7 @@
 				good = append(good, call.End)
 			}
 		} else {
-			reason := call.Service + ": " + call.Result + " " + call.Last
+			reason := call.Service + ": " + call.Result + " " + call.LastReason
 			report.Reasons[reason]++
 			span, at := report.Spans[reason], int((call.At - since).Milliseconds())
 			if report.Reasons[reason] == 1 {
@@ -346,7 +346,7 @@
 		}
 		return int(worst.Milliseconds())
 	}
-	report.Gap, report.UnsafeGap = gap(good), gap(goodUnsafe)
+	report.LongestGap, report.LongestUnsafeGap = gap(good), gap(goodUnsafe)
 }
 
 func main() {
--- a/cmd/testfleet/relay.go
+++ b/cmd/testfleet/relay.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func (r *Relay) hold(conn net.Conn) bool {
+func (r *Relay) track(conn net.Conn) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if r.isClosed {
@@ -87,7 +87,7 @@
 		conn.Close()
 		return
 	}
-	if !r.hold(conn) || !r.hold(target) {
+	if !r.track(conn) || !r.track(target) {
 		target.Close()
 		return
 	}
@@ -103,20 +103,20 @@
 	r.lock.Unlock()
 }
 
-type parcel struct {
+type chunk struct {
 	due   time.Time
 	bytes []byte
 	err   error
 }
 
 func (r *Relay) pump(to, from net.Conn, fromPlace, toPlace string) {
-	parcels := make(chan parcel, 256)
+	parcels := make(chan chunk, 256)
 	go func() {
 		defer close(parcels)
 		for {
 			buffer := make([]byte, 32<<10)
 			n, err := from.Read(buffer)
-			parcels <- parcel{time.Now().Add(r.links.delay(fromPlace, toPlace)), buffer[:n], err}
+			parcels <- chunk{time.Now().Add(r.links.delay(fromPlace, toPlace)), buffer[:n], err}
 			if err != nil {
 				return
 			}
--- a/cmd/testfleet/routed.go
+++ b/cmd/testfleet/routed.go
@@ -25,7 +25,7 @@
 
 // routedBackend is a stand-in back end of a fleet that carries routes, speaking the product's own interface.
 type routedBackend struct {
-	world    *routedWorld
+	platform *routedPlatform
 	service  string
 	instance string
 	zone     string
@@ -35,33 +35,33 @@
 	server   *http.Server
 }
 
-type routedHold struct {
+type keyLease struct {
 	instance    string
 	first, last uint32
-	number      uint64
+	fence       uint64
 	until       time.Time
 }
 
 // routedWorld is the list, its back ends and what was seen of them.
-type routedWorld struct {
-	lock     sync.Mutex
-	backends []*routedBackend
-	server   *http.Server
-	holds    []routedHold
-	ran      map[string]int
-	once     map[string]bool
-	seen     map[string]time.Time
-	handover int
-	random   *rand.Rand
-	broken   []string
+type routedPlatform struct {
+	lock          sync.Mutex
+	backends      []*routedBackend
+	server        *http.Server
+	leases        []keyLease
+	runs          map[string]int
+	notRepeatable map[string]bool
+	lastRequest   map[string]time.Time
+	handover      int
+	random        *rand.Rand
+	violations    []string
 }
 
-func newRoutedWorld(seed int64) *routedWorld {
-	return &routedWorld{ran: map[string]int{}, once: map[string]bool{}, seen: map[string]time.Time{}, random: rand.New(rand.NewSource(seed))}
+func newRoutedPlatform(seed int64) *routedPlatform {
+	return &routedPlatform{runs: map[string]int{}, notRepeatable: map[string]bool{}, lastRequest: map[string]time.Time{}, random: rand.New(rand.NewSource(seed))}
 }
 
-func (w *routedWorld) violation(form string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf(form, args...))
+func (w *routedPlatform) addViolation(form string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(form, args...))
 }
 
 func listenAndServe(address string, handler http.Handler) (*http.Server, error) {
@@ -74,9 +74,9 @@
 	return server, nil
 }
 
-func (w *routedWorld) add(service, zone string, isKeyed bool) error {
+func (w *routedPlatform) add(service, zone string, isKeyed bool) error {
 	number := len(w.backends) + 1
-	b := &routedBackend{world: w, service: service, instance: fmt.Sprintf("%s-%d", service, number), zone: zone, address: fmt.Sprintf("127.41.0.%d:8000", number), isKeyed: isKeyed, work: make(chan bool, 6)}
+	b := &routedBackend{platform: w, service: service, instance: fmt.Sprintf("%s-%d", service, number), zone: zone, address: fmt.Sprintf("127.41.0.%d:8000", number), isKeyed: isKeyed, work: make(chan bool, 6)}
 	server, err := listenAndServe(b.address, b)
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func (w *routedWorld) close() error {
+func (w *routedPlatform) close() error {
 	var faults []error
 	if w.server != nil {
 		faults = append(faults, w.server.Close())
@@ -97,7 +97,7 @@
 	return errors.Join(faults...)
 }
 
-func (w *routedWorld) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (w *routedPlatform) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	page, err := strconv.Atoi(r.URL.Query().Get("page"))
 	if err != nil || page < 0 {
 		http.Error(rw, "page", http.StatusBadRequest)
@@ -112,7 +112,7 @@
 	json.NewEncoder(rw).Encode(map[string]any{"page": page, "pages": (len(w.backends) + size - 1) / size, "total": len(w.backends), "revision": 1, "backends": items})
 }
 
-type routedKeyCall struct {
+type leaseCall struct {
 	Service     string
 	First, Last uint32
 	Number      uint64
@@ -120,48 +120,48 @@
 	Handover    string
 }
 
-func (b *routedBackend) keys(rw http.ResponseWriter, r *http.Request) {
-	var call routedKeyCall
+func (b *routedBackend) serveLease(rw http.ResponseWriter, r *http.Request) {
+	var call leaseCall
 	if err := json.NewDecoder(r.Body).Decode(&call); err != nil || call.First > call.Last {
 		http.Error(rw, "span", http.StatusBadRequest)
 		return
 	}
-	w, now := b.world, time.Now()
+	w, now := b.platform, time.Now()
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	kept := w.holds[:0]
-	for _, hold := range w.holds {
+	kept := w.leases[:0]
+	for _, hold := range w.leases {
 		isOverlap := hold.first <= call.Last && call.First <= hold.last
 		switch {
 		case hold.until.Before(now):
 		case !isOverlap || hold.instance != b.instance:
 			if isOverlap && r.URL.Path == "/keys/grant" {
-				w.violation("keys %d to %d of %s were granted to %s while %s held %d to %d", call.First, call.Last, call.Service, b.instance, hold.instance, hold.first, hold.last)
+				w.addViolation("keys %d to %d of %s were granted to %s while %s held %d to %d", call.First, call.Last, call.Service, b.instance, hold.instance, hold.first, hold.last)
 			}
 			kept = append(kept, hold)
-		case hold.number > call.Number && r.URL.Path == "/keys/grant":
+		case hold.fence > call.Number && r.URL.Path == "/keys/grant":
 			http.Error(rw, "a higher number was seen", http.StatusConflict)
 			return
 		default:
 			if hold.first < call.First {
-				kept = append(kept, routedHold{hold.instance, hold.first, call.First - 1, hold.number, hold.until})
+				kept = append(kept, keyLease{hold.instance, hold.first, call.First - 1, hold.fence, hold.until})
 			}
 			if hold.last > call.Last {
-				kept = append(kept, routedHold{hold.instance, call.Last + 1, hold.last, hold.number, hold.until})
+				kept = append(kept, keyLease{hold.instance, call.Last + 1, hold.last, hold.fence, hold.until})
 			}
 		}
 	}
-	w.holds = kept
+	w.leases = kept
 	if r.URL.Path == "/keys/grant" {
-		w.holds = append(w.holds, routedHold{b.instance, call.First, call.Last, call.Number, now.Add(time.Duration(call.HoldMS) * time.Millisecond)})
+		w.leases = append(w.leases, keyLease{b.instance, call.First, call.Last, call.Number, now.Add(time.Duration(call.HoldMS) * time.Millisecond)})
 		return
 	}
 	w.handover++
 	rw.Header().Set("Topazshed-Handover", fmt.Sprintf("handover-%d", w.handover))
 }
 
-func (w *routedWorld) isHeld(instance string, key uint32) bool {
-	for _, hold := range w.holds {
+func (w *routedPlatform) isLeased(instance string, key uint32) bool {
+	for _, hold := range w.leases {
 		if hold.instance == instance && hold.first <= key && key <= hold.last && time.Now().Before(hold.until) {
 			return true
 		}
@@ -176,7 +176,7 @@
 		return
 	}
 	if strings.HasPrefix(r.URL.Path, "/keys/") {
-		b.keys(rw, r)
+		b.serveLease(rw, r)
 		return
 	}
 	id := r.Header.Get("Topazshed-Attempt")
@@ -186,12 +186,12 @@
 		rw.WriteHeader(status)
 	}
 	key, err := strconv.ParseUint(r.Header.Get("Topazshed-Key"), 10, 16)
-	w := b.world
+	w := b.platform
 	w.lock.Lock()
-	isMine := !b.isKeyed || err == nil && w.isHeld(b.instance, uint32(key))
+	isMine := !b.isKeyed || err == nil && w.isLeased(b.instance, uint32(key))
 	pause := time.Duration(5+w.random.Intn(20)) * time.Millisecond
 	if isMine {
-		w.seen[b.zone] = time.Now()
+		w.lastRequest[b.zone] = time.Now()
 	}
 	w.lock.Unlock()
 	if !isMine {
@@ -206,9 +206,9 @@
 		return
 	}
 	w.lock.Lock()
-	w.ran[id]++
-	if w.once[id] && w.ran[id] > 1 {
-		w.violation("%s, which must not be repeated, ran %d times", id, w.ran[id])
+	w.runs[id]++
+	if w.notRepeatable[id] && w.runs[id] > 1 {
+		w.addViolation("%s, which must not be repeated, ran %d times", id, w.runs[id])
 	}
 	w.lock.Unlock()
 	time.Sleep(pause)
@@ -283,13 +283,13 @@
 }
 
 type routedRun struct {
-	fleet   *Fleet
-	world   *routedWorld
-	client  *http.Client
-	lock    sync.Mutex
-	serial  int
-	ends    map[string]int
-	slowest time.Duration
+	fleet    *Fleet
+	platform *routedPlatform
+	client   *http.Client
+	lock     sync.Mutex
+	serial   int
+	ends     map[string]int
+	slowest  time.Duration
 }
 
 func (r *routedRun) status() (map[string]any, error) {
@@ -314,9 +314,9 @@
 		path = "/accounts/7"
 	case 2:
 		method, path = http.MethodPost, "/pay/7"
-		r.world.lock.Lock()
-		r.world.once[id] = true
-		r.world.lock.Unlock()
+		r.platform.lock.Lock()
+		r.platform.notRepeatable[id] = true
+		r.platform.lock.Unlock()
 	}
 	request, err := http.NewRequest(method, "http://"+proxy+path, nil)
 	if err != nil {
@@ -335,14 +335,14 @@
 		end = strconv.Itoa(response.StatusCode)
 		isWhole := err == nil && strings.HasSuffix(string(text), " "+path+" "+id) && response.Header.Get("Content-Digest") == seal(text)
 		if response.StatusCode == http.StatusOK && !isWhole {
-			r.world.lock.Lock()
-			r.world.violation("%s got an answer that is not its own or not whole: %q, %v", id, text, err)
-			r.world.lock.Unlock()
+			r.platform.lock.Lock()
+			r.platform.addViolation("%s got an answer that is not its own or not whole: %q, %v", id, text, err)
+			r.platform.lock.Unlock()
 		}
 		if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Retry-After") == "" {
-			r.world.lock.Lock()
-			r.world.violation("%s was refused without Retry-After", id)
-			r.world.lock.Unlock()
+			r.platform.lock.Lock()
+			r.platform.addViolation("%s was refused without Retry-After", id)
+			r.platform.lock.Unlock()
 		}
 	}
 	r.lock.Lock()
@@ -365,13 +365,13 @@
 		case <-ticker.C:
 			m := r.fleet.machines[random.Intn(len(r.fleet.machines))]
 			kind, key := random.Intn(3), random.Intn(1<<16)
-			group.Go(func() { r.request(kind, m.shown(7002), key) })
+			group.Go(func() { r.request(kind, m.publicAddress(7002), key) })
 		}
 	}
 }
 
 // order puts an operator's call to the doors in turn until one takes it.
-func (r *routedRun) order(method, path string, query url.Values, body string) error {
+func (r *routedRun) operate(method, path string, query url.Values, body string) error {
 	last := ""
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
 		for _, m := range r.fleet.machines {
@@ -398,10 +398,10 @@
 		}
 		defer os.RemoveAll(c.folder)
 	}
-	world := newRoutedWorld(c.seed)
+	world := newRoutedPlatform(c.seed)
 	defer world.close()
 	for _, service := range []string{"ledger", "accounts", "payments"} {
-		for _, p := range places {
+		for _, p := range zonePlaces {
 			for range 2 {
 				if err := world.add(service, p.zone, service == "accounts"); err != nil {
 					return nil, err
@@ -423,15 +423,15 @@
 			return nil, err
 		}
 	}
-	r := &routedRun{fleet: fleet, world: world, ends: map[string]int{}, client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true}}}
-	if err := r.order(http.MethodPut, "/v1/configuration", url.Values{"base": {"0"}}, routedDocument); err != nil {
+	r := &routedRun{fleet: fleet, platform: world, ends: map[string]int{}, client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true}}}
+	if err := r.operate(http.MethodPut, "/v1/configuration", url.Values{"base": {"0"}}, routedDocument); err != nil {
 		return nil, err
 	}
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 		s, err := r.status()
 		world.lock.Lock()
 		held := uint64(0)
-		for _, hold := range world.holds {
+		for _, hold := range world.leases {
 			held += uint64(hold.last-hold.first) + 1
 		}
 		world.lock.Unlock()
@@ -447,15 +447,15 @@
 	if c.isDemo {
 		fmt.Println("the fleet carries routes of ledger.example; doors:")
 		for _, m := range fleet.machines {
-			fmt.Printf("  %s door %s proxy %s\n", m.name, m.shown(7003), m.shown(7002))
+			fmt.Printf("  %s door %s proxy %s\n", m.name, m.publicAddress(7003), m.publicAddress(7002))
 		}
 		r.load(ctx, 20, random)
-		return world.broken, nil
+		return world.violations, nil
 	}
-	return c.trouble(ctx, r, random)
+	return c.injectFaults(ctx, r, random)
 }
 
-func (c *routedCommand) trouble(ctx context.Context, r *routedRun, random *rand.Rand) ([]string, error) {
+func (c *routedCommand) injectFaults(ctx context.Context, r *routedRun, random *rand.Rand) ([]string, error) {
 	loadCtx, cancel := context.WithTimeout(ctx, time.Duration(c.seconds)*time.Second)
 	defer cancel()
 	loaded := make(chan bool)
@@ -472,22 +472,22 @@
 		}
 	}
 	injectedFault := func(form string, args ...any) {
-		r.world.lock.Lock()
-		defer r.world.lock.Unlock()
-		r.world.violation(form, args...)
+		r.platform.lock.Lock()
+		defer r.platform.lock.Unlock()
+		r.platform.addViolation(form, args...)
 	}
 	steps := []func() error{
 		func() error {
-			return r.order(http.MethodPost, "/v1/districts/north-a/empty", url.Values{"reason": {"new racks"}}, "")
+			return r.operate(http.MethodPost, "/v1/districts/north-a/empty", url.Values{"reason": {"new racks"}}, "")
 		},
 		func() error {
-			r.world.lock.Lock()
-			last := time.Since(r.world.seen["north-a"])
-			r.world.lock.Unlock()
+			r.platform.lock.Lock()
+			last := time.Since(r.platform.lastRequest["north-a"])
+			r.platform.lock.Unlock()
 			if most := time.Duration(c.seconds) * time.Second * 2 / 12; last < most-2500*time.Millisecond {
 				injectedFault("north-a was emptied %v ago and got a request %v ago", most, last)
 			}
-			return r.order(http.MethodPost, "/v1/districts/north-a/restore", nil, "")
+			return r.operate(http.MethodPost, "/v1/districts/north-a/restore", nil, "")
 		},
 		func() error {
 			s, err := r.status()
@@ -495,7 +495,7 @@
 				return err
 			}
 			for _, m := range r.fleet.machines {
-				if m.shown(7001) == s["leader"] {
+				if m.publicAddress(7001) == s["leader"] {
 					r.fleet.kill(m)
 					fmt.Printf("%s led and was killed\n", m.name)
 				}
@@ -545,5 +545,5 @@
 	if 10*r.ends["200"] < 9*total {
 		injectedFault("only %d of %d requests were answered", r.ends["200"], total)
 	}
-	return r.world.broken, nil
+	return r.platform.violations, nil
 }
--- a/cmd/testfleet/routed_test.go
+++ b/cmd/testfleet/routed_test.go
@@ -54,9 +54,9 @@
 		{"a span that ends before it begins", []step{{0, "/keys/grant", 9, 0, 1, 4000, 400}}, nil, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newRoutedWorld(1)
+			w := newRoutedPlatform(1)
 			for i := range 2 {
-				w.backends = append(w.backends, &routedBackend{world: w, instance: fmt.Sprintf("i-%d", i), isKeyed: true, work: make(chan bool, 1)})
+				w.backends = append(w.backends, &routedBackend{platform: w, instance: fmt.Sprintf("i-%d", i), isKeyed: true, work: make(chan bool, 1)})
 			}
 			for i, s := range c.steps {
 				body := fmt.Sprintf(`{"service":"s","first":%d,"last":%d,"number":%d,"hold_ms":%d}`, s.first, s.last, s.number, s.hold)
@@ -71,14 +71,14 @@
 			for instance, keys := range c.held {
 				for _, key := range keys {
 					for other := range 2 {
-						if got := w.isHeld(fmt.Sprintf("i-%d", other), key); got != (other == instance) {
+						if got := w.isLeased(fmt.Sprintf("i-%d", other), key); got != (other == instance) {
 							t.Errorf("key %d held by i-%d: %v", key, other, got)
 						}
 					}
 				}
 			}
-			if len(w.broken) != c.broken {
-				t.Errorf("%q, want %d", w.broken, c.broken)
+			if len(w.violations) != c.broken {
+				t.Errorf("%q, want %d", w.violations, c.broken)
 			}
 		})
 	}
@@ -99,12 +99,12 @@
 		{"a repeat that is a breach", "i-0", "7", true, 2, 200, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newRoutedWorld(1)
-			b := &routedBackend{world: w, instance: "i-0", isKeyed: true, work: make(chan bool, 1)}
+			w := newRoutedPlatform(1)
+			b := &routedBackend{platform: w, instance: "i-0", isKeyed: true, work: make(chan bool, 1)}
 			lease := httptest.NewRequest("POST", "/keys/grant", strings.NewReader(`{"first":0,"last":9,"number":1,"hold_ms":60000}`))
 			lease.Header.Set("Topazshed-Instance", "i-0")
 			b.ServeHTTP(httptest.NewRecorder(), lease)
-			w.once["a-1"] = c.once
+			w.notRepeatable["a-1"] = c.once
 			for range c.times {
 				request := httptest.NewRequest("GET", "/x", nil)
 				request.Header.Set("Topazshed-Instance", c.instance)
@@ -116,8 +116,8 @@
 					t.Errorf("%d %v, want %d", answer.Code, answer.Header(), c.status)
 				}
 			}
-			if len(w.broken) != c.broken {
-				t.Errorf("%q, want %d", w.broken, c.broken)
+			if len(w.violations) != c.broken {
+				t.Errorf("%q, want %d", w.violations, c.broken)
 			}
 		})
 	}
--- a/cmd/testfleet/scenario.go
+++ b/cmd/testfleet/scenario.go
@@ -88,7 +88,7 @@
 		if words[1] == "list" && !slices.Contains(listFaults, words[2]) {
 			add("list fault %q is unknown; use one of %v", words[2], listFaults)
 		}
-		if slices.Contains([]string{"killzone", "startzone", "empty", "restore"}, words[1]) && !slices.ContainsFunc(places, func(p place) bool { return p.zone == words[2] }) {
+		if slices.Contains([]string{"killzone", "startzone", "empty", "restore"}, words[1]) && !slices.ContainsFunc(zonePlaces, func(p zonePlace) bool { return p.zone == words[2] }) {
 			add("district %q is unknown; names are like north-a", words[2])
 		}
 		if n := len(steps); n > 0 && steps[n-1].At > at {
@@ -101,14 +101,14 @@
 
 // Runner carries out steps against the fleet and the world.
 type Runner struct {
-	fleet   *Fleet
-	world   *World
-	callers *Callers
-	history *checker.History
-	dep     Deployment
-	base    uint64
-	extra   int
-	leader  *Machine
+	fleet        *Fleet
+	platform     *Platform
+	callers      *Callers
+	history      *checker.History
+	deployment   Deployment
+	base         uint64
+	extraEntries int
+	leader       *Machine
 }
 
 func (r *Runner) operator(what, method, path string, query url.Values, body []byte, entries []checker.EntrySeen, zone string) (int, uint64) {
@@ -135,10 +135,10 @@
 	var document struct {
 		Entries []map[string]any `json:"entries"`
 	}
-	json.Unmarshal([]byte(r.dep.Document), &document)
-	if r.extra > 0 {
-		kind := r.dep.Kinds[0]
-		document.Entries = append(document.Entries, map[string]any{"service": kind.Service, "path": fmt.Sprintf("/extra-%d", r.extra), "methods": []string{"GET"}, "repeat_safe": []string{"GET"}})
+	json.Unmarshal([]byte(r.deployment.Document), &document)
+	if r.extraEntries > 0 {
+		kind := r.deployment.Kinds[0]
+		document.Entries = append(document.Entries, map[string]any{"service": kind.Service, "path": fmt.Sprintf("/extra-%d", r.extraEntries), "methods": []string{"GET"}, "repeat_safe": []string{"GET"}})
 	}
 	text, _ := json.MarshalIndent(document, "", " ")
 	var seen struct {
@@ -162,7 +162,7 @@
 	status, version := r.operator("put", http.MethodPut, "/v1/configuration", url.Values{"base": {strconv.FormatUint(r.base, 10)}}, text, entries, "")
 	if status == http.StatusOK {
 		r.base = version
-		r.extra++
+		r.extraEntries++
 		return true
 	}
 	if status == http.StatusConflict {
@@ -171,7 +171,7 @@
 	return false
 }
 
-func (r *Runner) each(zone string, do func(*Machine)) {
+func (r *Runner) eachMachine(zone string, do func(*Machine)) {
 	for _, m := range r.fleet.machines {
 		if zone == "" || m.place.zone == zone {
 			do(m)
@@ -199,7 +199,7 @@
 }
 
 func (r *Runner) busiest(service string) []*Backend {
-	list := r.world.of(service)
+	list := r.platform.readyBackends(service)
 	counts := map[string]int{}
 	since := r.history.Now() - 3*time.Second
 	r.history.Lock()
@@ -230,14 +230,14 @@
 }
 
 func (r *Runner) replace(b *Backend) error {
-	if _, err := r.world.add(b.service, b.zone, "", b.keyed, true); err != nil {
+	if _, err := r.platform.add(b.service, b.zone, "", b.keyed, true); err != nil {
 		return err
 	}
 	time.Sleep(1500 * time.Millisecond)
-	r.world.drain(b)
+	r.platform.drain(b)
 	time.Sleep(4 * time.Second)
 	b.crash()
-	r.world.remove(b)
+	r.platform.remove(b)
 	return nil
 }
 
@@ -270,19 +270,19 @@
 		if err := os.RemoveAll(m.data); err != nil {
 			return err
 		}
-		m.version++
+		m.moves++
 		return errors.Join(r.fleet.relay(m), r.fleet.start(m))
 	case "killzone":
-		r.each(arg(0), r.fleet.kill)
+		r.eachMachine(arg(0), r.fleet.kill)
 	case "startzone":
 		var faults []error
-		r.each(arg(0), func(m *Machine) { faults = append(faults, r.fleet.start(m)) })
+		r.eachMachine(arg(0), func(m *Machine) { faults = append(faults, r.fleet.start(m)) })
 		return errors.Join(faults...)
 	case "killall":
-		r.each("", r.fleet.kill)
+		r.eachMachine("", r.fleet.kill)
 	case "startall":
 		var faults []error
-		r.each("", func(m *Machine) { faults = append(faults, r.fleet.start(m)) })
+		r.eachMachine("", func(m *Machine) { faults = append(faults, r.fleet.start(m)) })
 		return errors.Join(faults...)
 	case "startdead":
 		dead := 0
@@ -327,7 +327,7 @@
 		done := make(chan bool)
 		base := r.base
 		for i := range 2 {
-			other := &Runner{fleet: r.fleet, world: r.world, callers: r.callers, history: r.history, dep: r.dep, base: base, extra: r.extra + 100*(i+1)}
+			other := &Runner{fleet: r.fleet, platform: r.platform, callers: r.callers, history: r.history, deployment: r.deployment, base: base, extraEntries: r.extraEntries + 100*(i+1)}
 			go func() { done <- other.put() }()
 		}
 		wins := 0
@@ -349,7 +349,7 @@
 			return fmt.Errorf("show gave version %d after %d", version, r.base)
 		}
 	case "release":
-		for _, b := range r.world.of(arg(0)) {
+		for _, b := range r.platform.readyBackends(arg(0)) {
 			if err := r.replace(b); err != nil {
 				return err
 			}
@@ -361,25 +361,25 @@
 	case "crash":
 		if list := r.busiest(arg(0)); len(list) > 0 {
 			list[0].crash()
-			r.world.remove(list[0])
+			r.platform.remove(list[0])
 		}
 	case "reuse":
 		if list := r.busiest(arg(0)); len(list) > 0 {
 			b := list[0]
 			b.crash()
-			r.world.remove(b)
-			for name := range r.dep.Services {
+			r.platform.remove(b)
+			for name := range r.deployment.Services {
 				if name != b.service {
-					_, err := r.world.add(name, b.zone, b.address, r.dep.Keyed[name], false)
+					_, err := r.platform.add(name, b.zone, b.address, r.deployment.Keyed[name], false)
 					return err
 				}
 			}
 		}
 	case "disk":
 		if arg(0) == "leader" && arg(1) == "good" {
-			return os.WriteFile(r.fleet.faults(r.leader), []byte(arg(1)), 0o600)
+			return os.WriteFile(r.fleet.diskFaultFile(r.leader), []byte(arg(1)), 0o600)
 		}
-		return os.WriteFile(r.fleet.faults(r.machine(s.Verb, arg(0))), []byte(arg(1)), 0o600)
+		return os.WriteFile(r.fleet.diskFaultFile(r.machine(s.Verb, arg(0))), []byte(arg(1)), 0o600)
 	case "mode":
 		mode := modes[arg(1)]
 		for i, b := range r.busiest(arg(0)) {
@@ -388,14 +388,14 @@
 			}
 		}
 	case "list":
-		r.world.lock.Lock()
-		r.world.fault = arg(0)
+		r.platform.lock.Lock()
+		r.platform.fault = arg(0)
 		if arg(0) == "good" {
-			r.world.fault = ""
+			r.platform.fault = ""
 		}
-		r.world.lock.Unlock()
+		r.platform.lock.Unlock()
 	case "doctor":
-		command := exec.Command(r.fleet.program, "doctor", "-clock-span", "0", "-door", r.fleet.machines[0].shown(7003))
+		command := exec.Command(r.fleet.program, "doctor", "-clock-span", "0", "-door", r.fleet.machines[0].publicAddress(7003))
 		text, err := command.CombinedOutput()
 		if code := command.ProcessState.ExitCode(); strconv.Itoa(code) != arg(0) {
 			return fmt.Errorf("doctor ended with %d (%v): %s", code, err, text)
--- a/cmd/testfleet/simulate.go
+++ b/cmd/testfleet/simulate.go
@@ -61,14 +61,14 @@
 	if c.injectedFault != "" && !slices.ContainsFunc(sim.Faults, func(b sim.Fault) bool { return b.Name == c.injectedFault }) {
 		fmt.Fprintf(os.Stderr, "breach %q is unknown; use one of:\n", c.injectedFault)
 		for _, b := range sim.Faults {
-			fmt.Fprintf(os.Stderr, "  %-10s %s; shown by -scenario %s\n", b.Name, b.About, b.Scenario)
+			fmt.Fprintf(os.Stderr, "  %-10s %s; shown by -scenario %s\n", b.Name, b.Description, b.Scenario)
 		}
 		return subcommands.ExitUsageError
 	}
 	var chosen []sim.Scenario
 	for _, s := range sim.Scenarios {
 		if c.scenario == "list" {
-			fmt.Printf("%-15s %s\n", s.Name, s.About)
+			fmt.Printf("%-15s %s\n", s.Name, s.Description)
 		}
 		if c.scenario == "all" || c.scenario == s.Name {
 			chosen = append(chosen, s)
@@ -80,7 +80,7 @@
 	if len(chosen) == 0 {
 		fmt.Fprintf(os.Stderr, "scenario %q is unknown; use all or one of:\n", c.scenario)
 		for _, s := range sim.Scenarios {
-			fmt.Fprintf(os.Stderr, "  %-15s %s\n", s.Name, s.About)
+			fmt.Fprintf(os.Stderr, "  %-15s %s\n", s.Name, s.Description)
 		}
 		return subcommands.ExitUsageError
 	}
@@ -111,14 +111,14 @@
 		var effects []time.Duration
 		var safe, unsafe []float64
 		for _, r := range results {
-			effects = append(effects, r.fleet.Effect...)
+			effects = append(effects, r.fleet.EffectTimes...)
 			n := r.fleet.Counts
 			share := func(kind string) float64 {
 				return float64(n[kind+" sealed"]) / max(1, float64(n[kind+" sealed"]+n[kind+" none"]+n[kind+" declined"]+n[kind+" doubtful"]))
 			}
 			safe, unsafe = append(safe, share("safe")), append(unsafe, share("unsafe"))
 			if c.isVerbose {
-				fmt.Printf("  seed %d: %v\n    not sealed: %v\n", r.seed, n, r.fleet.Lost)
+				fmt.Printf("  seed %d: %v\n    not sealed: %v\n", r.seed, n, r.fleet.Unserved)
 			}
 			if r.err == nil && len(r.fleet.Violations) == 0 {
 				continue
@@ -146,10 +146,10 @@
 		back := map[string][]time.Duration{}
 		counts := map[string]int{}
 		for _, r := range results {
-			for reason, count := range r.fleet.Lost {
+			for reason, count := range r.fleet.Unserved {
 				lost[reason] += count
 			}
-			for service, span := range r.fleet.Back {
+			for service, span := range r.fleet.RecoveryTimes {
 				back[service] = append(back[service], span)
 			}
 			for _, v := range r.fleet.Verdicts {
--- a/cmd/testfleet/world.go
+++ b/cmd/testfleet/world.go
@@ -34,7 +34,7 @@
 
 // Backend is a stand-in for a plain web service.
 type Backend struct {
-	world    *World
+	platform *Platform
 	service  string
 	instance string
 	zone     string
@@ -96,7 +96,7 @@
 	b.lock.Lock()
 	mode := b.mode
 	b.lock.Unlock()
-	h := b.world.history
+	h := b.platform.history
 	a := &checker.Arrival{At: h.Now(), Service: b.service, Instance: b.instance, Path: r.URL.Path, Method: r.Method, Attempt: r.Header.Get("Topazshed-Attempt"),
 		Send: r.Header.Get("X-Send"), Key: r.Header.Get("Topazshed-Key"), IsUnsafe: r.Method != http.MethodGet && r.Method != http.MethodHead}
 	checker.Record(h, &h.Arrivals, a)
@@ -107,19 +107,19 @@
 	if b.keyed {
 		slot, text, _ := strings.Cut(r.Header.Get("Topazshed-Slot"), ";")
 		number, err := strconv.ParseUint(text, 10, 64)
-		if err != nil || !b.world.hold(b.service, slot, number, b.instance) {
+		if err != nil || !b.platform.admitSlot(b.service, slot, number, b.instance) {
 			b.answer(w, a, http.StatusConflict, []byte(`{"error":"key is not held here"}`), modeGood)
 			return
 		}
 	}
-	holds := time.Now().Add(waitOf(r))
+	holds := time.Now().Add(callerWait(r))
 	b.work <- true
 	if b.keyed && time.Now().After(holds) {
 		<-b.work
 		b.answer(w, a, http.StatusConflict, []byte(`{"error":"key is held no longer"}`), modeGood)
 		return
 	}
-	pause := time.Duration(8+b.world.draw(15)) * time.Millisecond
+	pause := time.Duration(8+b.platform.draw(15)) * time.Millisecond
 	if b.isCold && time.Since(b.born) < 8*time.Second {
 		pause *= 6
 	}
@@ -134,11 +134,11 @@
 	h.Lock()
 	a.IsRun, a.End = true, h.Now()
 	h.Unlock()
-	text := []byte(fmt.Sprintf(`{"service":%q,"path":%q,"attempt":%q,"query":%q,"bytes":%d,"pad":%q}`, b.service, r.URL.Path, a.Attempt, r.URL.RawQuery, len(body), strings.Repeat("x", b.world.draw(400))))
+	text := []byte(fmt.Sprintf(`{"service":%q,"path":%q,"attempt":%q,"query":%q,"bytes":%d,"pad":%q}`, b.service, r.URL.Path, a.Attempt, r.URL.RawQuery, len(body), strings.Repeat("x", b.platform.draw(400))))
 	b.answer(w, a, http.StatusOK, text, mode)
 }
 
-func waitOf(r *http.Request) time.Duration {
+func callerWait(r *http.Request) time.Duration {
 	left, err := strconv.Atoi(r.Header.Get("Topazshed-Wait"))
 	if err != nil {
 		return 0
@@ -147,7 +147,7 @@
 }
 
 func (b *Backend) answer(w http.ResponseWriter, a *checker.Arrival, status int, text []byte, mode Mode) {
-	h := b.world.history
+	h := b.platform.history
 	digest := seal(text)
 	h.Lock()
 	a.Digest = digest
@@ -183,35 +183,35 @@
 }
 
 // World is the platform with its back ends.
-type World struct {
-	history  *checker.History
-	lock     sync.Mutex
-	backends []*Backend
-	shown    []*Backend
-	states   map[string]string
-	known    map[string]string
-	revision uint64
-	lag      time.Duration
-	pageSize int
-	calls    []time.Time
-	limit    int
-	server   *http.Server
-	address  string
-	held     map[string]owner
-	random   *rand.Rand
-	serial   int
-	fault    string
-	addIP    int
+type Platform struct {
+	history      *checker.History
+	lock         sync.Mutex
+	backends     []*Backend
+	listed       []*Backend
+	listedStates map[string]string
+	recorded     map[string]string
+	revision     uint64
+	lag          time.Duration
+	pageSize     int
+	calls        []time.Time
+	limit        int
+	server       *http.Server
+	address      string
+	slotOwners   map[string]slotOwner
+	random       *rand.Rand
+	serial       int
+	fault        string
+	addIP        int
 }
 
-type owner struct {
+type slotOwner struct {
 	number   uint64
 	instance string
 }
 
-func newWorld(h *checker.History, seed int64, address string) (*World, error) {
-	w := &World{history: h, states: map[string]string{}, known: map[string]string{}, lag: 300 * time.Millisecond, pageSize: 10, limit: 20, address: address,
-		held: map[string]owner{}, random: rand.New(rand.NewSource(seed))}
+func newPlatform(h *checker.History, seed int64, address string) (*Platform, error) {
+	w := &Platform{history: h, listedStates: map[string]string{}, recorded: map[string]string{}, lag: 300 * time.Millisecond, pageSize: 10, limit: 20, address: address,
+		slotOwners: map[string]slotOwner{}, random: rand.New(rand.NewSource(seed))}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
@@ -221,31 +221,31 @@
 	return w, nil
 }
 
-func (w *World) draw(n int) int {
+func (w *Platform) draw(n int) int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return w.random.Intn(n)
 }
 
-func (w *World) hold(service, slot string, number uint64, instance string) bool {
+func (w *Platform) admitSlot(service, slot string, number uint64, instance string) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	was := w.held[service+"/"+slot]
+	was := w.slotOwners[service+"/"+slot]
 	if number < was.number || number == was.number && was.instance != instance && was.instance != "" {
 		return false
 	}
-	w.held[service+"/"+slot] = owner{number, instance}
+	w.slotOwners[service+"/"+slot] = slotOwner{number, instance}
 	return true
 }
 
-func (w *World) add(service, zone, address string, keyed, isCold bool) (*Backend, error) {
+func (w *Platform) add(service, zone, address string, keyed, isCold bool) (*Backend, error) {
 	w.lock.Lock()
 	w.serial++
 	if address == "" {
 		w.addIP++
 		address = fmt.Sprintf("127.40.%d.%d:8000", w.addIP/200, w.addIP%200+1)
 	}
-	b := &Backend{world: w, service: service, instance: fmt.Sprintf("%s-%d", service, w.serial), zone: zone, address: address, state: "ready", keyed: keyed, isCold: isCold, slots: map[string]uint64{}}
+	b := &Backend{platform: w, service: service, instance: fmt.Sprintf("%s-%d", service, w.serial), zone: zone, address: address, state: "ready", keyed: keyed, isCold: isCold, slots: map[string]uint64{}}
 	w.lock.Unlock()
 	if err := b.start(); err != nil {
 		return nil, err
@@ -255,16 +255,16 @@
 	w.backends = append(w.backends, b)
 	w.revision++
 	w.history.Lock()
-	w.history.Places[b.instance] = zone
+	w.history.Zones[b.instance] = zone
 	if isCold {
-		w.history.Births[b.instance] = append(w.history.Births[b.instance], w.history.Now())
+		w.history.ColdStarts[b.instance] = append(w.history.ColdStarts[b.instance], w.history.Now())
 	}
 	w.history.Unlock()
 	w.refresh()
 	return b, nil
 }
 
-func (w *World) refresh() {
+func (w *Platform) refresh() {
 	list := slices.Clone(w.backends)
 	states := map[string]string{}
 	for _, b := range list {
@@ -275,12 +275,12 @@
 		w.lock.Lock()
 		defer w.lock.Unlock()
 		if revision == w.revision {
-			w.shown, w.states = list, states
+			w.listed, w.listedStates = list, states
 		}
 	})
 }
 
-func (w *World) drain(b *Backend) {
+func (w *Platform) drain(b *Backend) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	b.state = "draining"
@@ -288,7 +288,7 @@
 	w.refresh()
 }
 
-func (w *World) remove(b *Backend) {
+func (w *Platform) remove(b *Backend) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.backends = slices.DeleteFunc(w.backends, func(other *Backend) bool { return other == b })
@@ -296,7 +296,7 @@
 	w.refresh()
 }
 
-func (w *World) of(service string) []*Backend {
+func (w *Platform) readyBackends(service string) []*Backend {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	var list []*Backend
@@ -308,7 +308,7 @@
 	return list
 }
 
-func (w *World) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (w *Platform) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	page, err := strconv.Atoi(r.URL.Query().Get("page"))
 	if err != nil || page < 0 {
 		http.Error(rw, "page", http.StatusBadRequest)
@@ -324,7 +324,7 @@
 		return
 	}
 	w.calls = append(w.calls, now)
-	list := w.shown
+	list := w.listed
 	total := len(list)
 	pages := max(1, (total+w.pageSize-1)/w.pageSize)
 	type item struct {
@@ -337,7 +337,7 @@
 	items := []item{}
 	for i := page * w.pageSize; i < min(total, (page+1)*w.pageSize); i++ {
 		b := list[i]
-		state := w.states[b.instance]
+		state := w.listedStates[b.instance]
 		items = append(items, item{b.service, b.instance, b.address, b.zone, state})
 	}
 	switch w.fault {
@@ -350,26 +350,26 @@
 	}
 	seen := map[string]string{}
 	for _, b := range list {
-		seen[b.instance] = w.states[b.instance]
+		seen[b.instance] = w.listedStates[b.instance]
 	}
 	if w.fault == "" && page == pages-1 {
 		for instance, state := range seen {
-			if w.known[instance] != state {
+			if w.recorded[instance] != state {
 				checker.Record(w.history, &w.history.Platform, checker.PlatformEvent{At: w.history.Now(), Instance: instance, What: state})
 			}
 		}
-		for instance := range w.known {
+		for instance := range w.recorded {
 			if _, isThere := seen[instance]; !isThere {
 				checker.Record(w.history, &w.history.Platform, checker.PlatformEvent{At: w.history.Now(), Instance: instance, What: "gone"})
 			}
 		}
-		w.known = seen
+		w.recorded = seen
 	}
 	rw.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(rw).Encode(map[string]any{"page": page, "pages": pages, "total": total, "revision": w.revision, "backends": items})
 }
 
-func (w *World) close() error {
+func (w *Platform) close() error {
 	w.lock.Lock()
 	list := slices.Clone(w.backends)
 	w.lock.Unlock()
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -10,27 +10,27 @@
 
 // Verdict is the checker's word on one rule.
 type Verdict struct {
-	Rule   string        `json:"rule"`
-	Broken []string      `json:"broken,omitempty"`
-	Count  int           `json:"count"`
-	Worst  time.Duration `json:"worst_ns,omitempty"`
-	Bound  time.Duration `json:"bound_ns,omitempty"`
+	Rule       string        `json:"rule"`
+	Violations []string      `json:"broken,omitempty"`
+	Count      int           `json:"count"`
+	Worst      time.Duration `json:"worst_ns,omitempty"`
+	Bound      time.Duration `json:"bound_ns,omitempty"`
 }
 
 const (
-	becameKnown = 2500 * time.Millisecond
-	takeEffect  = 2500 * time.Millisecond
-	emptyBound  = 5 * time.Second
-	repeatShare = 0.2
-	repeatExtra = 10
-	coldBear    = 12
+	drainBound     = 2500 * time.Millisecond
+	effectBound    = 2500 * time.Millisecond
+	emptyBound     = 5 * time.Second
+	retryShare     = 0.2
+	retryAllowance = 10
+	coldLimit      = 12
 )
 
 func (v *Verdict) addViolation(form string, args ...any) {
-	v.Broken = append(v.Broken, fmt.Sprintf(form, args...))
+	v.Violations = append(v.Violations, fmt.Sprintf(form, args...))
 }
 
-func (v *Verdict) measure(d time.Duration) { v.Worst = max(v.Worst, d) }
+func (v *Verdict) observe(d time.Duration) { v.Worst = max(v.Worst, d) }
 
 // Check judges a history by what was seen from outside, one verdict a rule.
 func Check(h *History) []*Verdict {
@@ -88,11 +88,11 @@
 	return v
 }
 
-func covers(path, entry string) bool {
+func pathCovers(path, entry string) bool {
 	return path == entry || strings.HasPrefix(path, strings.TrimSuffix(entry, "/")+"/")
 }
 
-func configurations(h *History) []OperatorEvent {
+func acceptedPuts(h *History) []OperatorEvent {
 	var puts []OperatorEvent
 	for _, o := range h.Operators {
 		if o.What == "put" && o.Status == 200 {
@@ -106,7 +106,7 @@
 func inForce(puts []OperatorEvent, at time.Duration) []OperatorEvent {
 	var found []OperatorEvent
 	for i, p := range puts {
-		if p.At <= at && (i+1 == len(puts) || puts[i+1].End+takeEffect > at) {
+		if p.At <= at && (i+1 == len(puts) || puts[i+1].End+effectBound > at) {
 			found = append(found, p)
 		}
 	}
@@ -116,7 +116,7 @@
 func entryOf(o OperatorEvent, service, path string) *EntrySeen {
 	var best *EntrySeen
 	for i := range o.Entries {
-		if e := &o.Entries[i]; e.Service == service && covers(path, e.Path) && (best == nil || len(e.Path) > len(best.Path)) {
+		if e := &o.Entries[i]; e.Service == service && pathCovers(path, e.Path) && (best == nil || len(e.Path) > len(best.Path)) {
 			best = e
 		}
 	}
@@ -125,7 +125,7 @@
 
 func checkAllowed(h *History) *Verdict {
 	v := &Verdict{Rule: "allowed"}
-	puts := configurations(h)
+	puts := acceptedPuts(h)
 	for _, a := range h.Arrivals {
 		v.Count++
 		isAllowed := strings.HasPrefix(a.Instance, a.Service+"-")
@@ -141,7 +141,7 @@
 }
 
 func checkGone(h *History) *Verdict {
-	v := &Verdict{Rule: "gone", Bound: becameKnown}
+	v := &Verdict{Rule: "gone", Bound: drainBound}
 	gone := map[string]time.Duration{}
 	for _, e := range h.Platform {
 		if _, isKnown := gone[e.Instance]; !isKnown && (e.What == "draining" || e.What == "gone") {
@@ -151,8 +151,8 @@
 	v.Count = len(gone)
 	for _, a := range h.Arrivals {
 		if at, isGone := gone[a.Instance]; isGone && a.At > at && !a.IsCutOff {
-			v.measure(a.At - at)
-			if a.At > at+becameKnown {
+			v.observe(a.At - at)
+			if a.At > at+drainBound {
 				v.addViolation("%s got a request %v after it was known to go", a.Instance, a.At-at)
 			}
 		}
@@ -161,8 +161,8 @@
 }
 
 func checkEffect(h *History) *Verdict {
-	v := &Verdict{Rule: "effect", Bound: takeEffect}
-	puts := configurations(h)
+	v := &Verdict{Rule: "effect", Bound: effectBound}
+	puts := acceptedPuts(h)
 	newest := map[string]uint64{}
 	sort.Slice(h.Matches, func(a, b int) bool { return h.Matches[a].At < h.Matches[b].At })
 	for _, m := range h.Matches {
@@ -171,8 +171,8 @@
 		}
 		for _, p := range puts {
 			if m.At > p.End && m.Version < p.Version {
-				v.measure(m.At - p.End)
-				if m.At > p.End+takeEffect {
+				v.observe(m.At - p.End)
+				if m.At > p.End+effectBound {
 					v.addViolation("%s still told version %d at %v; %d was accepted at %v", m.Admin, m.Version, m.At, p.Version, p.End)
 				}
 			}
@@ -185,7 +185,7 @@
 	for _, p := range puts {
 		v.Count++
 		for _, r := range h.Replies {
-			if r.At > p.End+takeEffect && r.Status == 404 && r.Kind == "unknown-entry" {
+			if r.At > p.End+effectBound && r.Status == 404 && r.Kind == "unknown-entry" {
 				isAllowed := true
 				for _, o := range inForce(puts, r.At) {
 					isAllowed = isAllowed && entryOf(o, r.Service, r.Path) != nil
@@ -277,7 +277,7 @@
 				}
 				start++
 			}
-			if float64(repeats) > float64(firsts)*repeatShare+repeatExtra {
+			if float64(repeats) > float64(firsts)*retryShare+retryAllowance {
 				v.addViolation("service %s had %d repeats beside %d first legs in the 10 s before %v", service, repeats, firsts, m.at)
 			}
 		}
@@ -289,7 +289,7 @@
 	v := &Verdict{Rule: "cold"}
 	recent := map[string][]time.Duration{}
 	for _, a := range h.Arrivals {
-		isCold := slices.ContainsFunc(h.Births[a.Instance], func(born time.Duration) bool { return a.At >= born && a.At-born <= 8*time.Second })
+		isCold := slices.ContainsFunc(h.ColdStarts[a.Instance], func(born time.Duration) bool { return a.At >= born && a.At-born <= 8*time.Second })
 		if !isCold {
 			continue
 		}
@@ -299,7 +299,7 @@
 		}
 		recent[a.Instance] = list
 		v.Count = max(v.Count, len(list))
-		if len(list) > coldBear {
+		if len(list) > coldLimit {
 			v.addViolation("cold %s got %d requests in the second before %v", a.Instance, len(list), a.At)
 		}
 	}
@@ -308,18 +308,18 @@
 
 func checkHome(h *History) *Verdict {
 	v := &Verdict{Rule: "home"}
-	puts := configurations(h)
+	puts := acceptedPuts(h)
 	for _, a := range h.Arrivals {
 		isHome, isKnown := false, false
 		for _, o := range inForce(puts, a.At) {
 			if e := entryOf(o, a.Service, a.Path); e != nil {
 				isKnown = true
-				isHome = isHome || len(e.Homes) == 0 || slices.Contains(e.Homes, h.RegionOf(h.Places[a.Instance]))
+				isHome = isHome || len(e.Homes) == 0 || slices.Contains(e.Homes, h.RegionOf(h.Zones[a.Instance]))
 			}
 		}
 		v.Count++
 		if isKnown && !isHome {
-			v.addViolation("%s%s reached %s in %s outside its home regions", a.Service, a.Path, a.Instance, h.Places[a.Instance])
+			v.addViolation("%s%s reached %s in %s outside its home regions", a.Service, a.Path, a.Instance, h.Zones[a.Instance])
 		}
 	}
 	return v
@@ -340,8 +340,8 @@
 			}
 		}
 		for _, a := range h.Arrivals {
-			if h.Places[a.Instance] == o.Zone && a.At > o.End && a.At < until && !a.IsCutOff {
-				v.measure(a.At - o.End)
+			if h.Zones[a.Instance] == o.Zone && a.At > o.End && a.At < until && !a.IsCutOff {
+				v.observe(a.At - o.End)
 				if a.At > o.End+emptyBound {
 					v.addViolation("%s in emptied %s got a request %v after acceptance", a.Instance, o.Zone, a.At-o.End)
 				}
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -9,7 +9,7 @@
 
 func good() *History {
 	h := NewHistory(nil, func(zone string) string { region, _, _ := strings.Cut(zone, "-"); return region })
-	h.Places = map[string]string{"ledger-1": "north-a", "ledger-2": "north-b", "ledger-3": "east-a", "pay-1": "north-a", "pay-2": "north-b"}
+	h.Zones = map[string]string{"ledger-1": "north-a", "ledger-2": "north-b", "ledger-3": "east-a", "pay-1": "north-a", "pay-2": "north-b"}
 	entries := []EntrySeen{{"ledger", "/b", []string{"GET"}, []string{"GET"}, []string{"north"}}, {"pay", "/p", []string{"POST"}, nil, nil}}
 	h.Operators = []OperatorEvent{{At: time.Second, End: time.Second, What: "put", Version: 1, Status: 200, Entries: entries}}
 	for i := range 200 {
@@ -36,7 +36,7 @@
 	}{
 		{"", "nothing wrong", func(*History) {}},
 		{"", "many requests at a back end that only later comes back cold", func(h *History) {
-			h.Births["ledger-1"] = []time.Duration{50 * time.Second}
+			h.ColdStarts["ledger-1"] = []time.Duration{50 * time.Second}
 			for i := range 40 {
 				again := *h.Arrivals[1]
 				again.Send = fmt.Sprintf("flood/%d", i)
@@ -54,7 +54,7 @@
 		{"sealed", "half an answer", func(h *History) { h.Replies[5].Digest = "half" }},
 		{"allowed", "a path without an entry", func(h *History) { h.Arrivals[5].Path = "/secret" }},
 		{"allowed", "a reused address", func(h *History) {
-			h.Arrivals[5].Instance, h.Places["gates-1"] = "gates-1", "north-a"
+			h.Arrivals[5].Instance, h.Zones["gates-1"] = "gates-1", "north-a"
 		}},
 		{"gone", "a request 2.6 s after the list told of the drain", func(h *History) {
 			h.Platform = append(h.Platform, PlatformEvent{h.Arrivals[100].At - 2600*time.Millisecond, "ledger-1", "draining"}, PlatformEvent{h.Arrivals[100].At - 2600*time.Millisecond, "pay-1", "ready"})
@@ -98,7 +98,7 @@
 			}
 		}},
 		{"cold", "a flood at a cold back end", func(h *History) {
-			h.Births["ledger-1"] = []time.Duration{20 * time.Second, 50 * time.Second}
+			h.ColdStarts["ledger-1"] = []time.Duration{20 * time.Second, 50 * time.Second}
 			for i := range 40 {
 				again := *h.Arrivals[1]
 				again.Send = fmt.Sprintf("flood/%d", i)
@@ -121,7 +121,7 @@
 			c.violation(h)
 			var broken []string
 			for _, v := range Check(h) {
-				if len(v.Broken) > 0 {
+				if len(v.Violations) > 0 {
 					broken = append(broken, v.Rule)
 				}
 			}
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -25,35 +25,35 @@
 
 // Reply is one sending as a caller saw it.
 type Reply struct {
-	At, End  time.Duration
-	Service  string
-	Path     string
-	Method   string
-	Attempt  string
-	Send     string
-	Zone     string
-	Proxy    string
-	Result   string
-	Kind     string
-	Status   int
-	Digest   string
-	IsUnsafe bool
-	IsProper bool
-	Later    time.Duration
-	Broken   string
-	IsCutOff bool
+	At, End    time.Duration
+	Service    string
+	Path       string
+	Method     string
+	Attempt    string
+	Send       string
+	Zone       string
+	Proxy      string
+	Result     string
+	Kind       string
+	Status     int
+	Digest     string
+	IsUnsafe   bool
+	IsProper   bool
+	RetryAfter time.Duration
+	Broken     string
+	IsCutOff   bool
 }
 
 // Call is a caller's whole undertaking: one attempt id, one or more sendings.
 type Call struct {
-	At, End  time.Duration
-	Service  string
-	Path     string
-	Attempt  string
-	IsUnsafe bool
-	Result   string
-	Sends    int
-	Last     string
+	At, End    time.Duration
+	Service    string
+	Path       string
+	Attempt    string
+	IsUnsafe   bool
+	Result     string
+	Sends      int
+	LastReason string
 }
 
 // MatchSeen is a directory's response as a caller saw it.
@@ -106,22 +106,22 @@
 // History is everything that was seen from outside.
 type History struct {
 	sync.Mutex
-	Now       func() time.Duration
-	RegionOf  func(zone string) string
-	Arrivals  []*Arrival
-	Replies   []*Reply
-	Calls     []*Call
-	Matches   []MatchSeen
-	Platform  []PlatformEvent
-	Operators []OperatorEvent
-	Fleet     []FleetEvent
-	Places    map[string]string
-	Births    map[string][]time.Duration
+	Now        func() time.Duration
+	RegionOf   func(zone string) string
+	Arrivals   []*Arrival
+	Replies    []*Reply
+	Calls      []*Call
+	Matches    []MatchSeen
+	Platform   []PlatformEvent
+	Operators  []OperatorEvent
+	Fleet      []FleetEvent
+	Zones      map[string]string
+	ColdStarts map[string][]time.Duration
 }
 
 // NewHistory makes an empty history on a clock and a way to tell a zone's region.
 func NewHistory(now func() time.Duration, regionOf func(zone string) string) *History {
-	return &History{Now: now, RegionOf: regionOf, Places: map[string]string{}, Births: map[string][]time.Duration{}}
+	return &History{Now: now, RegionOf: regionOf, Zones: map[string]string{}, ColdStarts: map[string][]time.Duration{}}
 }
 
 // Record adds one thing that was seen.
--- a/internal/sim/backend.go
+++ b/internal/sim/backend.go
@@ -25,11 +25,11 @@
 )
 
 const (
-	coldSpan    = 8 * time.Second
-	workers     = 6
-	coldTimes   = 6
-	machineBoot = 3 * time.Second
-	processBoot = time.Second
+	coldPeriod     = 8 * time.Second
+	backendWorkers = 6
+	coldSlowdown   = 6
+	machineBoot    = 3 * time.Second
+	processBoot    = time.Second
 )
 
 // Backend is a simulated back end.
@@ -38,13 +38,13 @@
 	IsUp                             bool
 	State                            string
 	Mode                             Mode
-	isSilent                         bool
+	isUnresponsive                   bool
 	downAt                           time.Duration
-	frozen                           time.Duration
+	frozenUntil                      time.Duration
 	coldUntil                        time.Duration
 	working                          int
-	waiting                          []func()
-	open                             map[uint64]func(error)
+	queue                            []func()
+	openRequests                     map[uint64]func(error)
 	running                          map[*checker.Arrival]bool
 }
 
@@ -54,21 +54,21 @@
 }
 
 func (f *Fleet) addBackend(service, zone, address string) *Backend {
-	b := &Backend{Service: service, Instance: fmt.Sprintf("%s-%d", service, len(f.Backends)), Zone: zone, Address: address, IsUp: true, State: "ready", open: map[uint64]func(error){}, running: map[*checker.Arrival]bool{}}
+	b := &Backend{Service: service, Instance: fmt.Sprintf("%s-%d", service, len(f.Backends)), Zone: zone, Address: address, IsUp: true, State: "ready", openRequests: map[uint64]func(error){}, running: map[*checker.Arrival]bool{}}
 	if f.Now > 0 {
-		f.warm(b)
+		f.warmUp(b)
 	}
-	f.History.Places[b.Instance] = zone
+	f.History.Zones[b.Instance] = zone
 	f.Backends = append(f.Backends, b)
 	return b
 }
 
-func (f *Fleet) warm(b *Backend) {
-	b.coldUntil = f.Now + coldSpan
-	f.History.Births[b.Instance] = append(f.History.Births[b.Instance], f.Now)
+func (f *Fleet) warmUp(b *Backend) {
+	b.coldUntil = f.Now + coldPeriod
+	f.History.ColdStarts[b.Instance] = append(f.History.ColdStarts[b.Instance], f.Now)
 }
 
-func (f *Fleet) at(address string) *Backend {
+func (f *Fleet) backendAt(address string) *Backend {
 	for _, b := range f.Backends {
 		if b.Address == address && b.IsUp {
 			return b
@@ -77,24 +77,24 @@
 	return nil
 }
 
-func (f *Fleet) refused(address string) error {
+func (f *Fleet) connectionRefused(address string) error {
 	if f.Options.Fault == "cold" {
 		return fmt.Errorf("connect to %s: refused, but not told so", address)
 	}
 	return fmt.Errorf("connect to %s: %w", address, syscall.ECONNREFUSED)
 }
 
-func (f *Fleet) reach(n *Node, b *Backend) error {
+func (f *Fleet) probe(n *Node, b *Backend) error {
 	switch {
-	case !b.IsUp && !b.isSilent || f.at(b.Address) != b && f.at(b.Address) != nil:
-		return f.refused(b.Address)
-	case !b.IsUp || f.Now < b.frozen || f.cuts[[2]string{n.Name, b.Instance}]:
+	case !b.IsUp && !b.isUnresponsive || f.backendAt(b.Address) != b && f.backendAt(b.Address) != nil:
+		return f.connectionRefused(b.Address)
+	case !b.IsUp || f.Now < b.frozenUntil || f.cuts[[2]string{n.Name, b.Instance}]:
 		return fmt.Errorf("connect to %s: no answer", b.Address)
 	}
 	return nil
 }
 
-func (f *Fleet) backend(instance string) *Backend {
+func (f *Fleet) findBackend(instance string) *Backend {
 	for _, b := range f.Backends {
 		if b.Instance == instance {
 			return b
@@ -106,16 +106,16 @@
 // Crash ends a back end in mid-work; Return brings it back, cold.
 func (f *Fleet) Crash(b *Backend) {
 	b.IsUp = false
-	b.isSilent = f.random.Intn(2) == 0
+	b.isUnresponsive = f.random.Intn(2) == 0
 	b.downAt = f.Now
-	b.working, b.waiting = 0, nil
+	b.working, b.queue = 0, nil
 	for a := range b.running {
 		a.End = f.Now
 	}
 	b.running = map[*checker.Arrival]bool{}
-	for _, id := range slices.Sorted(maps.Keys(b.open)) {
-		lose := b.open[id]
-		delete(b.open, id)
+	for _, id := range slices.Sorted(maps.Keys(b.openRequests)) {
+		lose := b.openRequests[id]
+		delete(b.openRequests, id)
 		lose(fmt.Errorf("connection reset by %s", b.Instance))
 	}
 }
@@ -123,7 +123,7 @@
 // Return starts a crashed back end again, cold; a process takes a second at least, a machine that vanished its boot.
 func (f *Fleet) Return(b *Backend) {
 	boot := processBoot
-	if b.isSilent {
+	if b.isUnresponsive {
 		boot = machineBoot
 	}
 	if left := boot - (f.Now - b.downAt); !b.IsUp && left > 0 {
@@ -132,7 +132,7 @@
 	}
 	if !b.IsUp && b.State != "gone" {
 		b.IsUp = true
-		f.warm(b)
+		f.warmUp(b)
 	}
 }
 
@@ -143,20 +143,20 @@
 	return f.addBackend(service, b.Zone, b.Address)
 }
 
-func (f *Fleet) show(page discovery.Page) {
+func (f *Fleet) recordList(page discovery.Page) {
 	seen := map[string]string{}
 	for _, item := range page.Backends {
 		seen[item.Instance] = item.State
 	}
 	for _, instance := range slices.Sorted(maps.Keys(seen)) {
-		if f.shown[instance] != seen[instance] {
+		if f.listed[instance] != seen[instance] {
 			f.History.Platform = append(f.History.Platform, checker.PlatformEvent{At: f.Now, Instance: instance, What: seen[instance]})
 		}
 	}
-	for _, instance := range slices.Sorted(maps.Keys(f.shown)) {
+	for _, instance := range slices.Sorted(maps.Keys(f.listed)) {
 		if seen[instance] == "" {
 			f.History.Platform = append(f.History.Platform, checker.PlatformEvent{At: f.Now, Instance: instance, What: "gone"})
 		}
 	}
-	f.shown = seen
+	f.listed = seen
 }
--- a/internal/sim/backend_work.go
+++ b/internal/sim/backend_work.go
@@ -11,17 +11,17 @@
 	"topazshed/internal/proxy"
 )
 
-func (f *Fleet) arrive(b *Backend, from *Node, order proxy.Order, method string, finish func(proxy.Event)) {
+func (f *Fleet) receiveRequest(b *Backend, from *Node, order proxy.Order, method string, finish func(proxy.Event)) {
 	h := order.Header
 	a := &checker.Arrival{At: f.Now, End: f.Now, Service: b.Service, Instance: b.Instance, Path: order.Path, Method: method, Attempt: h.Get(proxy.HeaderAttempt), Send: h.Get("X-Send"),
 		Key: h.Get(proxy.HeaderKey), Proxy: from.Name, IsUnsafe: method != http.MethodGet, IsCutOff: f.isOutOfReach(from)}
 	f.History.Arrivals = append(f.History.Arrivals, a)
-	f.order++
-	id := f.order
-	b.open[id] = func(err error) { finish(proxy.Event{Kind: proxy.EventAnswered, Err: err, IsTouched: true}) }
+	f.eventCount++
+	id := f.eventCount
+	b.openRequests[id] = func(err error) { finish(proxy.Event{Kind: proxy.EventAnswered, Err: err, IsTouched: true}) }
 	answer := func(status int, text string, mode Mode) {
-		take := b.open[id]
-		delete(b.open, id)
+		take := b.openRequests[id]
+		delete(b.openRequests, id)
 		if take == nil {
 			return
 		}
@@ -83,34 +83,34 @@
 			span = time.Duration(500+f.random.Intn(5000)) * time.Millisecond
 		}
 		if f.Now < b.coldUntil {
-			span *= coldTimes
+			span *= coldSlowdown
 		}
 		if b.Mode == ModeSlow {
 			span *= 20
 		}
-		span += max(0, b.frozen-f.Now)
+		span += max(0, b.frozenUntil-f.Now)
 		span = min(span, holds-f.Now)
 		a.End = f.Now + span
 		mode := b.Mode
-		f.after(span, func() { f.worked(b, a, mode, answer) })
+		f.after(span, func() { f.finishWork(b, a, mode, answer) })
 	}
-	if b.working >= workers {
-		b.waiting = append(b.waiting, work)
+	if b.working >= backendWorkers {
+		b.queue = append(b.queue, work)
 		return
 	}
 	b.working++
 	work()
 }
 
-func (f *Fleet) worked(b *Backend, a *checker.Arrival, mode Mode, answer func(int, string, Mode)) {
+func (f *Fleet) finishWork(b *Backend, a *checker.Arrival, mode Mode, answer func(int, string, Mode)) {
 	if !b.running[a] {
 		return
 	}
-	if f.Now < b.frozen {
+	if f.Now < b.frozenUntil {
 		if a.Key == "" {
-			a.End = b.frozen
+			a.End = b.frozenUntil
 		}
-		f.after(b.frozen-f.Now, func() { f.worked(b, a, mode, answer) })
+		f.after(b.frozenUntil-f.Now, func() { f.finishWork(b, a, mode, answer) })
 		return
 	}
 	delete(b.running, a)
@@ -119,9 +119,9 @@
 }
 
 func (b *Backend) done() {
-	if len(b.waiting) > 0 {
-		next := b.waiting[0]
-		b.waiting = b.waiting[1:]
+	if len(b.queue) > 0 {
+		next := b.queue[0]
+		b.queue = b.queue[1:]
 		next()
 		return
 	}
--- a/internal/sim/caller.go
+++ b/internal/sim/caller.go
@@ -14,25 +14,25 @@
 	"topazshed/internal/proxy"
 )
 
-type found struct {
+type cachedMatch struct {
 	match    *directory.Match
 	until    time.Duration
 	isCutOff bool
 }
 
 // Ask is what a simulated caller wants.
-type Ask struct {
+type CallerRequest struct {
 	Attempt, Method, Service, Path, Region, Key string
 	Wait                                        time.Duration
-	HasTwin                                     bool
+	IsSentTwice                                 bool
 	Age                                         time.Duration
 }
 
-func (a Ask) isUnsafe() bool { return a.Method != http.MethodGet }
+func (a CallerRequest) isUnsafe() bool { return a.Method != http.MethodGet }
 
 // Request is one simulated sending; done is told its response: sealed, refused, doubtful, unreached, broken or late.
 func (f *Fleet) Request(attempt, method, service, path string, region string, wait time.Duration, done func(result string)) {
-	f.send(Ask{Attempt: attempt, Method: method, Service: service, Path: path, Region: region, Wait: wait}, 1, func(r *checker.Reply) {
+	f.send(CallerRequest{Attempt: attempt, Method: method, Service: service, Path: path, Region: region, Wait: wait}, 1, func(r *checker.Reply) {
 		switch {
 		case r == nil:
 			done("unreached")
@@ -44,16 +44,16 @@
 	})
 }
 
-func (f *Fleet) send(a Ask, serial int, done func(*checker.Reply)) {
+func (f *Fleet) send(a CallerRequest, serial int, done func(*checker.Reply)) {
 	name := a.Region + "/" + a.Service + a.Path
 	until := f.Now + a.Wait
-	if m := f.matches[name]; m != nil && f.Now < m.until {
+	if m := f.cachedMatches[name]; m != nil && f.Now < m.until {
 		f.post(a, serial, m, until, done)
 		return
 	}
 	var options []*Node
 	for _, n := range f.Nodes {
-		if n.IsUp && n.core != nil && !n.isShut && f.Now >= n.frozen {
+		if n.IsUp && n.machine != nil && !n.isShut && f.Now >= n.frozenUntil {
 			options = append(options, n)
 		}
 	}
@@ -62,17 +62,17 @@
 		return
 	}
 	n := options[f.random.Intn(len(options))]
-	f.after(f.far(a.Region, n), func() { f.match(n, n.Boot, a, serial, until, 0, done) })
+	f.after(f.callerDelay(a.Region, n), func() { f.match(n, n.Boot, a, serial, until, 0, done) })
 }
 
-func (f *Fleet) far(region string, n *Node) time.Duration {
+func (f *Fleet) callerDelay(region string, n *Node) time.Duration {
 	if region == n.Region {
 		return 500 * time.Microsecond
 	}
-	return between(region, n.Region)
+	return regionDelay(region, n.Region)
 }
 
-func (f *Fleet) match(n *Node, boot int, a Ask, serial int, until, parked time.Duration, done func(*checker.Reply)) {
+func (f *Fleet) match(n *Node, boot int, a CallerRequest, serial int, until, parked time.Duration, done func(*checker.Reply)) {
 	isOver := false
 	f.after(min(time.Second, max(until-f.Now, 0)), func() {
 		if !isOver {
@@ -86,9 +86,9 @@
 			if isOver {
 				return
 			}
-			match, fault, wanted := directory.Decide(f.clock(n), f.local(n), a.Region, a.Service, a.Path, parked, n.random.Int63n)
+			match, fault, wanted := directory.Decide(f.clock(n), f.faultyLocal(n), a.Region, a.Service, a.Path, parked, n.random.Int63n)
 			if wanted != "" {
-				n.core.Want(f.clock(n), wanted)
+				n.machine.Want(f.clock(n), wanted)
 				f.perform(n)
 			}
 			if match == nil && fault == nil {
@@ -98,17 +98,17 @@
 			}
 			isOver = true
 			seen := checker.MatchSeen{At: f.Now, Admin: n.Name, Service: a.Service, Path: a.Path, Status: http.StatusOK, Boot: boot, IsCutOff: f.isOutOfReach(n)}
-			f.after(f.far(a.Region, n), func() {
+			f.after(f.callerDelay(a.Region, n), func() {
 				if fault != nil {
 					seen.Status = fault.Status
 					f.History.Matches = append(f.History.Matches, seen)
-					done(&checker.Reply{At: f.Now, End: f.Now, Attempt: a.Attempt, Service: a.Service, Path: a.Path, Result: proxy.ResultRefused, Kind: fault.Kind, Status: fault.Status, Later: fault.RetryAfter, IsCutOff: seen.IsCutOff})
+					done(&checker.Reply{At: f.Now, End: f.Now, Attempt: a.Attempt, Service: a.Service, Path: a.Path, Result: proxy.ResultRefused, Kind: fault.Kind, Status: fault.Status, RetryAfter: fault.RetryAfter, IsCutOff: seen.IsCutOff})
 					return
 				}
 				seen.Version, seen.Zone = match.Version, match.Proxies[0].Zone
 				f.History.Matches = append(f.History.Matches, seen)
-				m := &found{match, f.Now + time.Duration(match.LiveMilli)*time.Millisecond, seen.IsCutOff}
-				f.matches[a.Region+"/"+a.Service+a.Path] = m
+				m := &cachedMatch{match, f.Now + time.Duration(match.LiveMilli)*time.Millisecond, seen.IsCutOff}
+				f.cachedMatches[a.Region+"/"+a.Service+a.Path] = m
 				f.post(a, serial, m, until, done)
 			})
 		})
@@ -116,7 +116,7 @@
 	try()
 }
 
-func (f *Fleet) post(a Ask, serial int, m *found, until time.Duration, done func(*checker.Reply)) {
+func (f *Fleet) post(a CallerRequest, serial int, m *cachedMatch, until time.Duration, done func(*checker.Reply)) {
 	match := m.match
 	chosen := match.Proxies[f.random.Intn(len(match.Proxies))]
 	n := f.Node(strings.TrimSuffix(chosen.Address, ":p"))
@@ -144,7 +144,7 @@
 				r.Kind, _, _ = strings.Cut(text, `"`)
 			}
 			if seconds, err := strconv.Atoi(o.Header.Get("Retry-After")); err == nil {
-				r.Later = time.Duration(seconds) * time.Second
+				r.RetryAfter = time.Duration(seconds) * time.Second
 			}
 		}
 		f.History.Replies = append(f.History.Replies, r)
@@ -167,26 +167,26 @@
 	if a.Key != "" {
 		request.Header.Set(proxy.HeaderKey, a.Key)
 	}
-	span := f.far(a.Region, n)
+	span := f.callerDelay(a.Region, n)
 	f.after(span, func() {
-		if !n.IsUp && n.isSilent {
+		if !n.IsUp && n.isUnresponsive {
 			return
 		}
-		f.carry(n, request, func(o *proxy.Result, broken string) {
+		f.startRequest(n, request, func(o *proxy.Result, broken string) {
 			f.after(span, func() { end(o, broken) })
 		})
 	})
 }
 
 // Attempt carries one attempt to its end as an honest caller would.
-func (f *Fleet) Attempt(a Ask) {
+func (f *Fleet) Attempt(a CallerRequest) {
 	call := &checker.Call{At: f.Now, Service: a.Service, Path: a.Path, Attempt: a.Attempt, IsUnsafe: a.isUnsafe()}
 	until := f.Now + a.Wait
 	kind := "safe "
 	if call.IsUnsafe {
 		kind = "unsafe "
 	}
-	isDoubtful := a.HasTwin
+	isDoubtful := a.IsSentTwice
 	end := func(result string) {
 		if result == "declined" && isDoubtful {
 			result = "doubtful"
@@ -195,7 +195,7 @@
 		f.History.Calls = append(f.History.Calls, call)
 		f.Counts[kind+result]++
 		if result != "sealed" {
-			f.Lost[kind+result+" "+call.Last]++
+			f.Unserved[kind+result+" "+call.LastReason]++
 		}
 	}
 	last := "none"
@@ -218,9 +218,9 @@
 				f.after(300*time.Millisecond, try)
 				return
 			}
-			call.Last = strings.TrimSpace(r.Kind + " " + r.Broken)
+			call.LastReason = strings.TrimSpace(r.Kind + " " + r.Broken)
 			if r.Result != proxy.ResultSealed {
-				delete(f.matches, a.Region+"/"+a.Service+a.Path)
+				delete(f.cachedMatches, a.Region+"/"+a.Service+a.Path)
 			}
 			switch r.Result {
 			case proxy.ResultSealed:
@@ -232,11 +232,11 @@
 					end("declined")
 					return
 				}
-				if until-f.Now <= r.Later+50*time.Millisecond {
+				if until-f.Now <= r.RetryAfter+50*time.Millisecond {
 					end("declined")
 					return
 				}
-				pause = r.Later + time.Duration(f.random.Intn(200))*time.Millisecond
+				pause = r.RetryAfter + time.Duration(f.random.Intn(200))*time.Millisecond
 			default:
 				last = "none"
 				isDoubtful = true
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -9,15 +9,15 @@
 )
 
 type write struct {
-	at    int64
-	bytes []byte
+	at   int64
+	data []byte
 }
 
 type area struct {
-	name       string
-	live, kept []byte
-	pending    []write
-	disk       *Disk
+	name            string
+	written, synced []byte
+	pending         []write
+	disk            *Disk
 }
 
 // Disk is a simulated disk that loses what was not synced.
@@ -26,9 +26,9 @@
 	Syncs int
 	Fault error
 	// Only, where it is set, is the one kind of file that Fault strikes: ring or snapshot.
-	Only   string
-	isHeld bool
-	left   int
+	Only           string
+	isSyncDeferred bool
+	writesLeft     int
 }
 
 // NewDisk makes an empty disk.
@@ -38,20 +38,20 @@
 func (d *Disk) Area(name string, size int64) (journal.Area, error) {
 	a := d.areas[name]
 	if a == nil {
-		a = &area{name: name, live: make([]byte, size), kept: make([]byte, size), disk: d}
+		a = &area{name: name, written: make([]byte, size), synced: make([]byte, size), disk: d}
 		d.areas[name] = a
 	}
 	return a, nil
 }
 
-func (a *area) ReadAt(p []byte, at int64) (int, error) { return copy(p, a.live[at:]), nil }
+func (a *area) ReadAt(p []byte, at int64) (int, error) { return copy(p, a.written[at:]), nil }
 
 func (a *area) WriteAt(p []byte, at int64) (int, error) {
 	if err := a.fault(); err != nil {
 		return 0, err
 	}
 	a.pending = append(a.pending, write{at, append([]byte(nil), p...)})
-	return copy(a.live[at:], p), nil
+	return copy(a.written[at:], p), nil
 }
 
 func (a *area) Sync() error {
@@ -59,7 +59,7 @@
 		return err
 	}
 	a.disk.Syncs++
-	if a.disk.isHeld {
+	if a.disk.isSyncDeferred {
 		return nil
 	}
 	a.flush()
@@ -67,11 +67,11 @@
 }
 
 // CutAfter lets that many writes and syncs through; the next fails as if the power had gone.
-func (d *Disk) CutAfter(count int) { d.left = count + 1 }
+func (d *Disk) CutAfter(count int) { d.writesLeft = count + 1 }
 
 func (a *area) fault() error {
-	if a.disk.left > 0 {
-		if a.disk.left--; a.disk.left == 0 {
+	if a.disk.writesLeft > 0 {
+		if a.disk.writesLeft--; a.disk.writesLeft == 0 {
 			a.disk.Fault, a.disk.Only = fmt.Errorf("power lost"), ""
 		}
 	}
@@ -90,12 +90,12 @@
 
 func (a *area) flush() {
 	for _, w := range a.pending {
-		copy(a.kept[w.at:], w.bytes)
+		copy(a.synced[w.at:], w.data)
 	}
 	a.pending = nil
 }
 
-func (a *area) Size() int64 { return int64(len(a.live)) }
+func (a *area) Size() int64 { return int64(len(a.written)) }
 
 // Crash keeps what was synced and, of the rest, what the seed decides: each write by itself survives, is missing or comes back torn.
 func (d *Disk) Crash(random *rand.Rand) {
@@ -108,27 +108,27 @@
 			if random.Intn(2) == 0 {
 				continue
 			}
-			part := w.bytes
+			part := w.data
 			if random.Intn(2) == 0 {
 				part = part[:random.Intn(len(part)+1)]
 			}
-			copy(a.kept[w.at:], part)
+			copy(a.synced[w.at:], part)
 		}
 		a.pending = nil
-		copy(a.live, a.kept)
+		copy(a.written, a.synced)
 	}
 }
 
 // Flip damages one byte of a file.
 func (d *Disk) Flip(name string, at int64) {
 	a := d.areas[name]
-	a.live[at] ^= 0x40
-	a.kept[at] ^= 0x40
+	a.written[at] ^= 0x40
+	a.synced[at] ^= 0x40
 }
 
 // FlipLast damages the last byte of a file that is not zero.
 func (d *Disk) FlipLast(name string) {
-	live := d.areas[name].live
+	live := d.areas[name].written
 	for at := len(live) - 1; at >= 0; at-- {
 		if live[at] != 0 {
 			d.Flip(name, int64(at))
--- a/internal/sim/event_loop.go
+++ b/internal/sim/event_loop.go
@@ -31,8 +31,8 @@
 }
 
 func (f *Fleet) after(d time.Duration, do func()) {
-	f.order++
-	heap.Push(&f.queue, &event{f.Now + d, f.order, do})
+	f.eventCount++
+	heap.Push(&f.queue, &event{f.Now + d, f.eventCount, do})
 }
 
 // Run works until a virtual time.
@@ -49,27 +49,27 @@
 func (f *Fleet) RunFor(d time.Duration) { f.Run(f.Now + d) }
 
 func (f *Fleet) clock(n *Node) time.Duration {
-	return n.offset + time.Duration(float64(f.Now)*n.rate)
+	return n.clockOffset + time.Duration(float64(f.Now)*n.clockRate)
 }
 
 func (f *Fleet) on(n *Node, boot int, do func()) {
 	if !n.IsUp || n.Boot != boot {
 		return
 	}
-	if f.Now < n.frozen {
-		f.after(n.frozen-f.Now+time.Microsecond, func() { f.on(n, boot, do) })
+	if f.Now < n.frozenUntil {
+		f.after(n.frozenUntil-f.Now+time.Microsecond, func() { f.on(n, boot, do) })
 		return
 	}
 	do()
-	f.check(n)
+	f.checkNode(n)
 }
 
 func (f *Fleet) onWire(n *Node, boot int, do func()) {
 	if !n.IsUp || n.Boot != boot {
 		return
 	}
-	if f.Now < n.frozen {
-		f.after(n.frozen-f.Now+time.Microsecond, func() { f.onWire(n, boot, do) })
+	if f.Now < n.frozenUntil {
+		f.after(n.frozenUntil-f.Now+time.Microsecond, func() { f.onWire(n, boot, do) })
 		return
 	}
 	do()
--- a/internal/sim/failover.go
+++ b/internal/sim/failover.go
@@ -8,13 +8,13 @@
 )
 
 // Failing is how long the loss of an entry's active group was felt, on virtual time from its last machine's end.
-type Failing struct {
-	Number, Read, Unsafe time.Duration
+type FailoverTimes struct {
+	NewNumber, Read, Unsafe time.Duration
 }
 
 // Failover kills the group that is active for reads in the first region, and the one for unsafe work, and measures each.
-func Failover(seed int64) (Failing, error) {
-	var result Failing
+func Failover(seed int64) (FailoverTimes, error) {
+	var result FailoverTimes
 	for _, kind := range []struct {
 		method, service, path, probe string
 		into                         *time.Duration
@@ -40,9 +40,9 @@
 		for i := 0; !isServed && f.Now < at+30*time.Second; i++ {
 			f.Request(fmt.Sprintf("failover-%s-%d", kind.service, i), kind.method, kind.service, kind.probe, "r0", 2*time.Second, func(o string) { isServed = isServed || o == "sealed" })
 			f.RunFor(50 * time.Millisecond)
-			if leader := f.Leader(); leader != nil && result.Number == 0 {
+			if leader := f.Leader(); leader != nil && result.NewNumber == 0 {
 				if now, err := failover.Resolve(f.View(leader), entry, origin); err == nil && now.Trail.IsNewer(owner.Trail) {
-					result.Number = f.Now - at
+					result.NewNumber = f.Now - at
 				}
 			}
 		}
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -9,7 +9,7 @@
 )
 
 // Fault is a protection that can be switched off, the scenario that then shows it, and the rule or invariant whose check must fail.
-type Fault struct{ Name, About, Scenario, Caught string }
+type Fault struct{ Name, Description, Scenario, Violation string }
 
 // Faults are the deliberate ones, at least one for each rule.
 var Faults = []Fault{
@@ -32,8 +32,8 @@
 	{"keys", "nodes do not tell of their running keyed legs", "release", "rule keys"},
 }
 
-func (f *Fleet) local(n *Node) *controlplane.Local {
-	local := n.core.Local()
+func (f *Fleet) faultyLocal(n *Node) *controlplane.Local {
+	local := n.machine.Local()
 	switch f.Options.Fault {
 	case "grants":
 		local.LeaseUntil = f.clock(n) + time.Hour
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -33,39 +33,39 @@
 
 // Fleet is the simulated system and its checker.
 type Fleet struct {
-	Options       Options
-	Now           time.Duration
-	Nodes         []*Node
-	Backends      []*Backend
-	History       *checker.History
-	Verdicts      []*checker.Verdict
-	Violations    []string
-	Counts        map[string]int
-	Lost          map[string]int
-	Back          map[string]time.Duration
-	hotKey        bool
-	lacking       []string
-	freezeAttempt time.Duration
-	staleFrom     time.Duration
-	Effect        []time.Duration
-	queue         events
-	order         uint64
-	random        *rand.Rand
-	cuts          map[[2]string]bool
-	lastAt        map[[2]string]time.Duration
-	leaders       map[uint64]string
-	applied       map[uint64][32]byte
-	numbers       map[string]uint64
-	trails        map[string]failover.Trail
-	matches       map[string]*found
-	votes         map[string]string
-	cutAt         map[string]time.Duration
-	accepted      uint64
-	accepts       map[uint64]time.Duration
-	stale         map[string]*controlplane.Local
-	shown         map[string]string
-	log           *slog.Logger
-	listFault     string
+	Options          Options
+	Now              time.Duration
+	Nodes            []*Node
+	Backends         []*Backend
+	History          *checker.History
+	Verdicts         []*checker.Verdict
+	Violations       []string
+	Counts           map[string]int
+	Unserved         map[string]int
+	RecoveryTimes    map[string]time.Duration
+	hotKey           bool
+	unconfirmed      []string
+	freezeBeforeSend time.Duration
+	staleFrom        time.Duration
+	EffectTimes      []time.Duration
+	queue            events
+	eventCount       uint64
+	random           *rand.Rand
+	cuts             map[[2]string]bool
+	lastAt           map[[2]string]time.Duration
+	leaders          map[uint64]string
+	applied          map[uint64][32]byte
+	highestNumbers   map[string]uint64
+	trails           map[string]failover.Trail
+	cachedMatches    map[string]*cachedMatch
+	votes            map[string]string
+	lastCutOff       map[string]time.Duration
+	acceptedVersion  uint64
+	acceptedAt       map[uint64]time.Duration
+	stale            map[string]*controlplane.Local
+	listed           map[string]string
+	log              *slog.Logger
+	listFault        string
 }
 
 // New makes a fleet and starts every machine.
@@ -80,8 +80,8 @@
 	if writer == nil {
 		writer = io.Discard
 	}
-	f := &Fleet{Options: o, random: rand.New(rand.NewSource(o.Seed)), cuts: map[[2]string]bool{}, lastAt: map[[2]string]time.Duration{}, Counts: map[string]int{}, Lost: map[string]int{}, Back: map[string]time.Duration{},
-		leaders: map[uint64]string{}, applied: map[uint64][32]byte{}, numbers: map[string]uint64{}, trails: map[string]failover.Trail{}, matches: map[string]*found{}, cutAt: map[string]time.Duration{}, votes: map[string]string{}, stale: map[string]*controlplane.Local{}, shown: map[string]string{}, accepts: map[uint64]time.Duration{}}
+	f := &Fleet{Options: o, random: rand.New(rand.NewSource(o.Seed)), cuts: map[[2]string]bool{}, lastAt: map[[2]string]time.Duration{}, Counts: map[string]int{}, Unserved: map[string]int{}, RecoveryTimes: map[string]time.Duration{},
+		leaders: map[uint64]string{}, applied: map[uint64][32]byte{}, highestNumbers: map[string]uint64{}, trails: map[string]failover.Trail{}, cachedMatches: map[string]*cachedMatch{}, lastCutOff: map[string]time.Duration{}, votes: map[string]string{}, stale: map[string]*controlplane.Local{}, listed: map[string]string{}, acceptedAt: map[uint64]time.Duration{}}
 	f.History = checker.NewHistory(func() time.Duration { return f.Now }, regionOf)
 	f.log = slog.New(slog.NewTextHandler(writer, nil))
 	var zones []string
@@ -96,8 +96,8 @@
 			for i := range count {
 				n := &Node{Name: fmt.Sprintf("%s-n%d", zone, i), Zone: zone, Region: region, HasDisk: i == 0 && r < 3, disk: NewDisk()}
 				n.address = n.Name
-				n.rate = 1 + o.ClockError*(2*f.random.Float64()-1)
-				n.offset = time.Hour + time.Duration(f.random.Intn(1000))*time.Second
+				n.clockRate = 1 + o.ClockError*(2*f.random.Float64()-1)
+				n.clockOffset = time.Hour + time.Duration(f.random.Intn(1000))*time.Second
 				f.Nodes = append(f.Nodes, n)
 			}
 		}
@@ -128,7 +128,7 @@
 func (f *Fleet) Leader() *Node {
 	var leader *Node
 	for _, n := range f.Nodes {
-		if n.IsUp && n.core != nil && f.Now >= n.frozen && n.core.IsLeading() && (leader == nil || n.core.Local().Term > leader.core.Local().Term) {
+		if n.IsUp && n.machine != nil && f.Now >= n.frozenUntil && n.machine.IsLeading() && (leader == nil || n.machine.Local().Term > leader.machine.Local().Term) {
 			leader = n
 		}
 	}
@@ -136,7 +136,7 @@
 }
 
 // View gives a machine's compiled snapshot.
-func (f *Fleet) View(n *Node) *store.View { return n.core.Local().View }
+func (f *Fleet) View(n *Node) *store.View { return n.machine.Local().View }
 
 // Begin founds the system, waits for its members and puts the document.
 func (f *Fleet) Begin() error {
--- a/internal/sim/helpers_test.go
+++ b/internal/sim/helpers_test.go
@@ -29,12 +29,12 @@
 	for _, name := range slices.Sorted(maps.Keys(f.Counts)) {
 		fmt.Fprintln(sum, name, f.Counts[name])
 	}
-	fmt.Fprintln(sum, f.order, f.Now)
+	fmt.Fprintln(sum, f.eventCount, f.Now)
 	return fmt.Sprintf("%x", sum.Sum(nil)[:8])
 }
 
 // Holds tells whether every running machine has the rows of a service's entries and of the newest configuration.
 func (f *Fleet) Holds(n *Node, service, path string) bool {
-	view := n.core.Local().View
+	view := n.machine.Local().View
 	return view.Services[service] != nil && view.Services[service].Entry(path) != nil
 }
--- a/internal/sim/invariants.go
+++ b/internal/sim/invariants.go
@@ -18,29 +18,29 @@
 	}
 }
 
-func (f *Fleet) check(n *Node) {
-	local := n.core.Local()
+func (f *Fleet) checkNode(n *Node) {
+	local := n.machine.Local()
 	if local.Role == "leader" {
-		if other, isThere := f.leaders[local.Term]; isThere && other != n.ident {
-			f.addViolation("two leaders in term %d: %s and %s", local.Term, other, n.ident)
+		if other, isThere := f.leaders[local.Term]; isThere && other != n.id {
+			f.addViolation("two leaders in term %d: %s and %s", local.Term, other, n.id)
 		}
-		f.leaders[local.Term] = n.ident
+		f.leaders[local.Term] = n.id
 	}
-	if local.View.Version < n.lastSeen {
-		f.addViolation("%s went back from index %d to %d", n.Name, n.lastSeen, local.View.Version)
+	if local.View.Version < n.lastIndex {
+		f.addViolation("%s went back from index %d to %d", n.Name, n.lastIndex, local.View.Version)
 	}
-	if local.View.Head.Version < n.lastHead {
-		f.addViolation("%s went back from configuration %d to %d", n.Name, n.lastHead, local.View.Head.Version)
+	if local.View.Head.Version < n.lastConfiguration {
+		f.addViolation("%s went back from configuration %d to %d", n.Name, n.lastConfiguration, local.View.Head.Version)
 	}
-	if local.View.Version == n.lastSeen {
+	if local.View.Version == n.lastIndex {
 		return
 	}
-	n.lastSeen, n.lastHead = local.View.Version, local.View.Head.Version
+	n.lastIndex, n.lastConfiguration = local.View.Version, local.View.Head.Version
 	if !local.IsFull || !n.HasDisk {
 		return
 	}
 	sum := sha256.New()
-	whole := n.core.Whole()
+	whole := n.machine.Whole()
 	for _, row := range whole.Rows {
 		fmt.Fprintf(sum, "%s\x00%x\x00%d\n", row.Key, row.Value, row.Index)
 	}
@@ -53,7 +53,7 @@
 	for _, service := range local.View.Services {
 		for path, rows := range service.Assignments {
 			for region, row := range rows {
-				f.rises("standing "+service.Name+path+"@"+region, whole.Index, row.Number)
+				f.checkRises("standing "+service.Name+path+"@"+region, whole.Index, row.Number)
 				if residue := row.Number % constants.Increment; residue%2 == 0 {
 					for _, d := range local.View.Zones {
 						if uint64(d.Residue) == residue && d.Region != region {
@@ -64,46 +64,46 @@
 			}
 		}
 		for path, row := range service.Entities {
-			f.rises("entity "+service.Name+path, whole.Index, row.Number)
+			f.checkRises("entity "+service.Name+path, whole.Index, row.Number)
 		}
 	}
 }
 
-func (f *Fleet) rises(name string, index, number uint64) {
-	at := f.numbers[name+"#"]
+func (f *Fleet) checkRises(name string, index, number uint64) {
+	at := f.highestNumbers[name+"#"]
 	if index >= at {
-		if number < f.numbers[name] {
-			f.addViolation("%s fell from %d to %d", name, f.numbers[name], number)
+		if number < f.highestNumbers[name] {
+			f.addViolation("%s fell from %d to %d", name, f.highestNumbers[name], number)
 		}
-		f.numbers[name], f.numbers[name+"#"] = number, index
+		f.highestNumbers[name], f.highestNumbers[name+"#"] = number, index
 	}
 }
 
 func (f *Fleet) observe() {
 	for _, n := range f.Nodes {
 		if !f.isInReach(n) {
-			f.cutAt[n.Name] = f.Now
+			f.lastCutOff[n.Name] = f.Now
 		}
 	}
-	for version, at := range f.accepts {
+	for version, at := range f.acceptedAt {
 		isEverywhere := true
 		for _, n := range f.Nodes {
-			if n.IsUp && f.isConnected(n) && n.core.Local().View.Head.Version < version && proxy.IsFit(f.clock(n), n.core.Local()) {
+			if n.IsUp && f.isConnected(n) && n.machine.Local().View.Head.Version < version && proxy.IsFit(f.clock(n), n.machine.Local()) {
 				isEverywhere = false
 			}
 		}
 		if isEverywhere {
-			f.Effect = append(f.Effect, f.Now-at)
-			delete(f.accepts, version)
+			f.EffectTimes = append(f.EffectTimes, f.Now-at)
+			delete(f.acceptedAt, version)
 		} else if f.Now-at > 2500*time.Millisecond {
 			f.addViolation("configuration %d is not everywhere %v after its acceptance", version, f.Now-at)
-			delete(f.accepts, version)
+			delete(f.acceptedAt, version)
 		}
 	}
 	f.after(10*time.Millisecond, f.observe)
 }
 
-func (f *Fleet) began(q *proxy.Request, number string) {
+func (f *Fleet) checkTrail(q *proxy.Request, number string) {
 	if q.Method == http.MethodGet {
 		return
 	}
@@ -116,10 +116,10 @@
 }
 
 // Judge has the outside history judged and adds what it finds to the breaches.
-func (f *Fleet) Judge() []*checker.Verdict {
+func (f *Fleet) Check() []*checker.Verdict {
 	verdicts := checker.Check(f.History)
 	for _, v := range verdicts {
-		for _, text := range v.Broken[:min(5, len(v.Broken))] {
+		for _, text := range v.Violations[:min(5, len(v.Violations))] {
 			f.addViolation("rule %s: %s", v.Rule, text)
 		}
 	}
--- a/internal/sim/load.go
+++ b/internal/sim/load.go
@@ -13,7 +13,7 @@
 	total := int(span.Seconds() * float64(perSecond))
 	for i := range total {
 		f.after(time.Duration(i)*time.Second/time.Duration(perSecond), func() {
-			a := Ask{Attempt: fmt.Sprintf("%s-%06d", name, i), Method: http.MethodGet, Region: fmt.Sprintf("r%d", f.random.Intn(f.Options.Regions)), Wait: 5 * time.Second}
+			a := CallerRequest{Attempt: fmt.Sprintf("%s-%06d", name, i), Method: http.MethodGet, Region: fmt.Sprintf("r%d", f.random.Intn(f.Options.Regions)), Wait: 5 * time.Second}
 			switch f.random.Intn(5) {
 			case 4:
 				a.Method, a.Service, a.Path = http.MethodPost, "service3", "/book"
@@ -24,7 +24,7 @@
 			case 0:
 				a.Method, a.Service, a.Path = http.MethodPost, "service1", "/pay"
 				if i%9 == 0 {
-					a.HasTwin = true
+					a.IsSentTwice = true
 					late := a
 					late.Age = time.Duration(8+f.random.Intn(24)) * time.Second
 					f.after(late.Age, func() {
@@ -37,7 +37,7 @@
 				}
 				if i%7 == 0 {
 					twin := a
-					a.HasTwin = true
+					a.IsSentTwice = true
 					twin.Region, twin.Wait = fmt.Sprintf("r%d", f.random.Intn(f.Options.Regions)), 4*time.Second
 					f.after(time.Duration(f.random.Intn(400))*time.Millisecond, func() {
 						f.send(twin, 91, func(r *checker.Reply) {
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -9,7 +9,7 @@
 	"topazshed/internal/schema"
 )
 
-func between(a, b string) time.Duration {
+func regionDelay(a, b string) time.Duration {
 	return time.Duration(20+7*((int(a[1])+int(b[1]))%3)) * time.Millisecond
 }
 
@@ -20,7 +20,7 @@
 	case a.Region == b.Region:
 		base = time.Millisecond
 	default:
-		base = between(a.Region, b.Region)
+		base = regionDelay(a.Region, b.Region)
 	}
 	if j := f.Options.JitterMillis; j > 0 {
 		base += time.Duration(f.random.Intn(j*1000)) * time.Microsecond
@@ -35,7 +35,7 @@
 	}
 	link := [2]string{from.Name, target.Name}
 	if raft := frame.GetRaft(); raft != nil && raft.Kind == schema.RaftKind_RAFT_VOTE_RESPONSE && !raft.Rejected {
-		ballot := fmt.Sprintf("%s in term %d", from.ident, raft.Term)
+		ballot := fmt.Sprintf("%s in term %d", from.id, raft.Term)
 		if other, isGiven := f.votes[ballot]; isGiven && other != raft.To {
 			f.addViolation("%s gave its vote twice: to %s and %s", ballot, other, raft.To)
 		}
@@ -58,47 +58,47 @@
 
 func (f *Fleet) receive(n *Node, frame *schema.Frame) {
 	if frame.Response {
-		if take := n.calls[frame.Call]; take != nil {
-			delete(n.calls, frame.Call)
+		if take := n.pendingCalls[frame.Call]; take != nil {
+			delete(n.pendingCalls, frame.Call)
 			take(frame)
 		}
 		return
 	}
 	reply := func(body *schema.Frame) {
-		body.Call, body.Response, body.System, body.From, body.Address = frame.Call, true, n.core.Local().System, n.ident, n.address
+		body.Call, body.Response, body.System, body.From, body.Address = frame.Call, true, n.machine.Local().System, n.id, n.address
 		f.transmit(n, frame.Address, body)
 	}
 	switch body := frame.Body.(type) {
 	case *schema.Frame_ReservationRequest:
-		reply(&schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: f.take(n, body.ReservationRequest)}})
+		reply(&schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: f.takeReservation(n, body.ReservationRequest)}})
 	case *schema.Frame_ReservationCopyRequest:
 		reply(&schema.Frame{Body: &schema.Frame_ReservationCopyResponse{ReservationCopyResponse: n.replica.Copy(f.clock(n), body.ReservationCopyRequest)}})
 	case *schema.Frame_ReplayRequest:
 		reply(&schema.Frame{Body: &schema.Frame_ReplayResponse{ReplayResponse: n.kept.Replay(body.ReplayRequest)}})
 	default:
-		n.core.Receive(f.clock(n), frame)
+		n.machine.Receive(f.clock(n), frame)
 		f.perform(n)
 	}
 }
 
-func (f *Fleet) take(n *Node, c *schema.ReservationRequest) *schema.ReservationResponse {
+func (f *Fleet) takeReservation(n *Node, c *schema.ReservationRequest) *schema.ReservationResponse {
 	if f.Options.Fault == "claims" {
 		return &schema.ReservationResponse{State: schema.ReservationState_RESERVATION_TAKEN, Owner: c.Owner, ReplicaSet: c.ReplicaSet}
 	}
 	now := f.clock(n)
-	return n.replica.Take(now, c, now < n.core.Local().LeaseUntil || f.Options.Fault == "grants")
+	return n.replica.Take(now, c, now < n.machine.Local().LeaseUntil || f.Options.Fault == "grants")
 }
 
 func (f *Fleet) call(n *Node, to string, frame *schema.Frame, take func(*schema.Frame)) {
 	n.serial++
-	frame.Call, frame.System, frame.From, frame.Address = n.serial, n.core.Local().System, n.ident, n.address
+	frame.Call, frame.System, frame.From, frame.Address = n.serial, n.machine.Local().System, n.id, n.address
 	if to == n.address {
 		if c := frame.GetReservationRequest(); c != nil {
-			take(&schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: f.take(n, c)}})
+			take(&schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: f.takeReservation(n, c)}})
 		}
 		return
 	}
-	n.calls[n.serial] = take
+	n.pendingCalls[n.serial] = take
 	f.transmit(n, to, frame)
 }
 
@@ -117,7 +117,7 @@
 }
 
 func (f *Fleet) isConnected(n *Node) bool {
-	if f.Now < n.frozen+2500*time.Millisecond && n.frozen > 0 {
+	if f.Now < n.frozenUntil+2500*time.Millisecond && n.frozenUntil > 0 {
 		return false
 	}
 	for _, other := range f.Nodes {
@@ -125,7 +125,7 @@
 			return false
 		}
 	}
-	return n.core.Local().View.Version > 0
+	return n.machine.Local().View.Version > 0
 }
 
 func (f *Fleet) isInReach(n *Node) bool {
@@ -142,6 +142,6 @@
 }
 
 func (f *Fleet) isOutOfReach(n *Node) bool {
-	at, wasOut := f.cutAt[n.Name]
+	at, wasOut := f.lastCutOff[n.Name]
 	return wasOut && f.Now-at < 2500*time.Millisecond
 }
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -18,33 +18,33 @@
 
 // Node is one simulated machine.
 type Node struct {
-	Name      string
-	Zone      string
-	Region    string
-	HasDisk   bool
-	Boot      int
-	IsUp      bool
-	address   string
-	ident     string
-	disk      *Disk
-	core      *controlplane.Machine
-	driver    *controlplane.Driver
-	replica   *idempotency.Replica
-	loads     *proxy.Loads
-	kept      *proxy.Kept
-	rate      float64
-	offset    time.Duration
-	frozen    time.Duration
-	fails     map[string]int
-	calls     map[uint64]func(*schema.Frame)
-	flying    map[uint64]*carried
-	isShut    bool
-	isSilent  bool
-	serial    uint64
-	lastSeen  uint64
-	lastHead  uint64
-	syncPause time.Duration
-	random    *rand.Rand
+	Name              string
+	Zone              string
+	Region            string
+	HasDisk           bool
+	Boot              int
+	IsUp              bool
+	address           string
+	id                string
+	disk              *Disk
+	machine           *controlplane.Machine
+	driver            *controlplane.Driver
+	replica           *idempotency.Replica
+	loads             *proxy.Loads
+	kept              *proxy.Kept
+	clockRate         float64
+	clockOffset       time.Duration
+	frozenUntil       time.Duration
+	failedChecks      map[string]int
+	pendingCalls      map[uint64]func(*schema.Frame)
+	inFlight          map[uint64]*proxyRequest
+	isShut            bool
+	isUnresponsive    bool
+	serial            uint64
+	lastIndex         uint64
+	lastConfiguration uint64
+	syncDelay         time.Duration
+	random            *rand.Rand
 }
 
 // Start boots a machine from its disk.
@@ -54,11 +54,11 @@
 	}
 	n.Boot++
 	n.IsUp = true
-	n.lastSeen, n.lastHead = 0, 0
-	n.isShut, n.flying = false, map[uint64]*carried{}
+	n.lastIndex, n.lastConfiguration = 0, 0
+	n.isShut, n.inFlight = false, map[uint64]*proxyRequest{}
 	n.random = rand.New(rand.NewSource(f.random.Int63()))
-	n.ident = fmt.Sprintf("%012x", f.random.Int63()&0xffffffffffff)
-	self := &schema.Node{Id: n.ident, Address: n.address, Proxy: n.address + ":p", Admin: n.address + ":d", Zone: n.Zone, Region: n.Region, Disk: n.HasDisk,
+	n.id = fmt.Sprintf("%012x", f.random.Int63()&0xffffffffffff)
+	self := &schema.Node{Id: n.id, Address: n.address, Proxy: n.address + ":p", Admin: n.address + ":d", Zone: n.Zone, Region: n.Region, Disk: n.HasDisk,
 		Incarnation: uint64(f.Now.Milliseconds()) + 1, State: schema.NodeState_NODE_READY}
 	options := controlplane.Options{Self: self, Seeds: f.seeds(), Draw: n.random.Int63n, Log: f.log.With("node", n.Name)}
 	var j *journal.Journal
@@ -83,40 +83,40 @@
 		options.Hard, options.Snapshot, options.Items = state.Hard, state.Snapshot, state.Items
 		options.System, options.Restart = state.Hard.System, state.Hard.Id != ""
 		if options.Restart {
-			n.ident = state.Hard.Id
-			self.Id = n.ident
+			n.id = state.Hard.Id
+			self.Id = n.id
 		}
 	}
-	n.replica = idempotency.NewReplica(n.ident, options.Restart)
+	n.replica = idempotency.NewReplica(n.id, options.Restart)
 	n.loads = proxy.NewLoads(func() time.Duration { return f.clock(n) })
 	n.kept = proxy.NewKept()
-	n.fails = map[string]int{}
-	n.calls = map[uint64]func(*schema.Frame){}
-	n.core = controlplane.New(f.clock(n), options)
+	n.failedChecks = map[string]int{}
+	n.pendingCalls = map[uint64]func(*schema.Frame){}
+	n.machine = controlplane.New(f.clock(n), options)
 	boot := n.Boot
-	n.driver = &controlplane.Driver{Core: n.core, Journal: j, Now: func() time.Duration { return f.clock(n) },
+	n.driver = &controlplane.Driver{Core: n.machine, Journal: j, Now: func() time.Duration { return f.clock(n) },
 		Send:   func(to string, frame *schema.Frame) { f.transmit(n, to, frame) },
 		Answer: func(o controlplane.LocalResponse) { f.answer(n, o) },
 		Synced: func(took time.Duration, err error) {
 			if took > constants.SlowSync {
-				n.core.SlowDisk(f.clock(n))
+				n.machine.SlowDisk(f.clock(n))
 			}
 		},
 		Write: func(work func() error, done func(error)) { f.write(n, boot, work, done) },
 		Publish: func() {
-			if set := n.core.Local().View.ReplicaSets[n.Region]; set != nil {
+			if set := n.machine.Local().View.ReplicaSets[n.Region]; set != nil {
 				n.replica.Adopt(f.clock(n), set)
 			}
 			number, isMember, isReady, _ := n.replica.State()
-			n.core.SetReservationReplica(number, isMember && isReady)
+			n.machine.SetReservationReplica(number, isMember && isReady)
 			if f.Options.Fault != "keys" {
-				n.core.SetOldestIndex(n.loads.Floor())
+				n.machine.SetOldestIndex(n.loads.Floor())
 			}
 		}}
 	f.tick(n, boot)
 	f.healthReports(n, boot)
 	if n.HasDisk {
-		f.list(n, boot)
+		f.readList(n, boot)
 	}
 }
 
@@ -132,14 +132,14 @@
 
 func (f *Fleet) write(n *Node, boot int, work func() error, done func(error)) {
 	disk := n.disk
-	disk.isHeld = n.syncPause > 0 || f.Options.Fault == "unsynced"
+	disk.isSyncDeferred = n.syncDelay > 0 || f.Options.Fault == "unsynced"
 	err := work()
-	disk.isHeld = false
-	if n.syncPause == 0 {
+	disk.isSyncDeferred = false
+	if n.syncDelay == 0 {
 		done(err)
 		return
 	}
-	f.after(n.syncPause, func() {
+	f.after(n.syncDelay, func() {
 		if n.IsUp && n.Boot == boot && err == nil {
 			disk.Flush()
 		}
@@ -159,7 +159,7 @@
 
 func (f *Fleet) tick(n *Node, boot int) {
 	f.on(n, boot, func() {
-		n.core.Tick(f.clock(n))
+		n.machine.Tick(f.clock(n))
 		f.perform(n)
 		for _, asking := range n.replica.Ask(f.clock(n)) {
 			f.call(n, asking.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: asking.Message}}, func(o *schema.Frame) {
@@ -175,8 +175,8 @@
 // Kill ends a machine at once; its disk keeps what was synced.
 func (f *Fleet) Kill(n *Node) {
 	n.IsUp = false
-	n.isSilent = f.random.Intn(2) == 0
-	for _, c := range n.sorted() {
+	n.isUnresponsive = f.random.Intn(2) == 0
+	for _, c := range n.sortedRequests() {
 		c.answer(nil, "lost")
 	}
 	n.disk.Crash(f.random)
@@ -186,22 +186,22 @@
 func (f *Fleet) Wipe(n *Node) { n.disk = NewDisk() }
 
 // Mend makes a dead machine's disk work again; it keeps what was synced.
-func (f *Fleet) Mend(n *Node) {
-	n.disk.Fault, n.disk.Only, n.disk.left = nil, "", 0
-	n.syncPause = 0
+func (f *Fleet) RepairDisk(n *Node) {
+	n.disk.Fault, n.disk.Only, n.disk.writesLeft = nil, "", 0
+	n.syncDelay = 0
 }
 
 // Freeze stops a machine for a while without its knowing.
-func (f *Fleet) Freeze(n *Node, d time.Duration) { n.frozen = f.Now + d }
+func (f *Fleet) Freeze(n *Node, d time.Duration) { n.frozenUntil = f.Now + d }
 
 // SlowDisk makes each sync of a machine take that long.
-func (f *Fleet) SlowDisk(n *Node, d time.Duration) { n.syncPause = d }
+func (f *Fleet) SlowDisk(n *Node, d time.Duration) { n.syncDelay = d }
 
 // Stop ends a machine as planned: it is told off, serves on, finishes what is in flight, then ends.
 func (f *Fleet) Stop(n *Node) {
 	at, boot := f.Now, n.Boot
 	f.on(n, boot, func() {
-		n.core.Stop(f.clock(n))
+		n.machine.Stop(f.clock(n))
 		f.perform(n)
 	})
 	linger := constants.StopLinger
@@ -210,19 +210,19 @@
 	}
 	f.after(linger, func() {
 		n.isShut = n.Boot == boot
-		f.finish(n, boot, at, f.Now+constants.StopMost-constants.StopLinger)
+		f.awaitDrained(n, boot, at, f.Now+constants.StopMost-constants.StopLinger)
 	})
 }
 
-func (f *Fleet) finish(n *Node, boot int, at, until time.Duration) {
+func (f *Fleet) awaitDrained(n *Node, boot int, at, until time.Duration) {
 	if !n.IsUp || n.Boot != boot {
 		return
 	}
-	if len(n.flying) > 0 && f.Now < until && f.Options.Fault != "stop" {
-		f.after(10*time.Millisecond, func() { f.finish(n, boot, at, until) })
+	if len(n.inFlight) > 0 && f.Now < until && f.Options.Fault != "stop" {
+		f.after(10*time.Millisecond, func() { f.awaitDrained(n, boot, at, until) })
 		return
 	}
 	f.Kill(n)
-	n.isSilent = false
+	n.isUnresponsive = false
 	f.History.Fleet = append(f.History.Fleet, checker.FleetEvent{At: at, End: f.Now, What: "stop", Node: n.Name, Proxy: n.address + ":p"})
 }
--- a/internal/sim/node_inputs.go
+++ b/internal/sim/node_inputs.go
@@ -9,28 +9,28 @@
 func (f *Fleet) healthReports(n *Node, boot int) {
 	f.on(n, boot, func() {
 		var healthReports []*schema.HealthReport
-		view := n.core.Local().View
+		view := n.machine.Local().View
 		for _, b := range f.Backends {
 			if b.State == "gone" || regionOf(b.Zone) != n.Region || view.Services[b.Service] == nil {
 				continue
 			}
-			err := f.reach(n, b)
+			err := f.probe(n, b)
 			if err == nil {
-				n.fails[b.Instance] = 0
+				n.failedChecks[b.Instance] = 0
 			} else {
-				n.fails[b.Instance]++
+				n.failedChecks[b.Instance]++
 			}
 			n.loads.Report(b.Instance, err)
-			healthReports = append(healthReports, &schema.HealthReport{Instance: b.Instance, Failing: n.fails[b.Instance] >= constants.HealthCheckFailures})
+			healthReports = append(healthReports, &schema.HealthReport{Instance: b.Instance, Failing: n.failedChecks[b.Instance] >= constants.HealthCheckFailures})
 		}
-		n.core.SetHealthReports(healthReports)
+		n.machine.SetHealthReports(healthReports)
 		f.after(constants.HealthCheckEvery, func() { f.healthReports(n, boot) })
 	})
 }
 
-func (f *Fleet) list(n *Node, boot int) {
+func (f *Fleet) readList(n *Node, boot int) {
 	f.on(n, boot, func() {
-		if n.core.IsLeading() {
+		if n.machine.IsLeading() {
 			page := discovery.Page{Pages: 1, Revision: 1}
 			for _, b := range f.Backends {
 				if b.State != "gone" {
@@ -53,11 +53,11 @@
 				pages[0].Total = len(pages[0].Backends)
 			}
 			if f.listFault == "" {
-				f.show(page)
+				f.recordList(page)
 			}
-			n.core.SetListRead(f.clock(n), discovery.Join(pages))
+			n.machine.SetListRead(f.clock(n), discovery.Join(pages))
 		}
-		f.after(constants.ListReadEvery, func() { f.list(n, boot) })
+		f.after(constants.ListReadEvery, func() { f.readList(n, boot) })
 	})
 }
 
--- a/internal/sim/operator.go
+++ b/internal/sim/operator.go
@@ -13,8 +13,8 @@
 )
 
 func (f *Fleet) answer(n *Node, o controlplane.LocalResponse) {
-	if take := n.calls[o.Ticket]; take != nil {
-		delete(n.calls, o.Ticket)
+	if take := n.pendingCalls[o.Ticket]; take != nil {
+		delete(n.pendingCalls, o.Ticket)
 		take(&schema.Frame{Body: &schema.Frame_OperatorResponse{OperatorResponse: o.Response}})
 	}
 }
@@ -33,25 +33,25 @@
 func (f *Fleet) operate(n *Node, at time.Duration, request *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
 	base := request.Base
 	if f.Options.Fault == "race" {
-		request.Base = n.core.Local().View.Head.Version
+		request.Base = n.machine.Local().View.Head.Version
 		at = f.Now
 	}
 	f.on(n, n.Boot, func() {
 		n.serial++
-		n.calls[n.serial] = func(frame *schema.Frame) {
+		n.pendingCalls[n.serial] = func(frame *schema.Frame) {
 			o := frame.GetOperatorResponse()
 			if f.Options.Fault == "read-back" && o.Version > 1 && request.Kind == schema.OperatorKind_OPERATOR_SHOW {
 				o.Version--
 			}
-			f.notified(n, at, base, request, o)
+			f.recordOperator(n, at, base, request, o)
 			take(o)
 		}
-		n.core.Operate(f.clock(n), n.serial, request)
+		n.machine.Operate(f.clock(n), n.serial, request)
 		f.perform(n)
 	})
 }
 
-func (f *Fleet) notified(n *Node, at time.Duration, base uint64, request *schema.OperatorRequest, o *schema.OperatorResponse) {
+func (f *Fleet) recordOperator(n *Node, at time.Duration, base uint64, request *schema.OperatorRequest, o *schema.OperatorResponse) {
 	e := checker.OperatorEvent{At: at, End: f.Now, Zone: request.Zone, Version: o.Version, Base: base, Status: 200, Node: n.Name}
 	switch request.Kind {
 	case schema.OperatorKind_OPERATOR_PUT:
@@ -72,12 +72,12 @@
 	default:
 		return
 	}
-	f.lacking = o.Unconfirmed
+	f.unconfirmed = o.Unconfirmed
 	if o.Refusal != schema.RefusalKind_REFUSAL_NONE {
 		e.Status = 400 + int(o.Refusal)
 	} else if e.What == "put" {
-		f.accepted = max(f.accepted, o.Version)
-		f.accepts[o.Version] = f.Now
+		f.acceptedVersion = max(f.acceptedVersion, o.Version)
+		f.acceptedAt[o.Version] = f.Now
 	}
 	f.History.Operators = append(f.History.Operators, e)
 }
@@ -113,7 +113,7 @@
 }
 
 // Move empties or restores a zone through any machine, trying until it is accepted.
-func (f *Fleet) Move(zone string, isEmpty bool) bool {
+func (f *Fleet) SetZoneEmptied(zone string, isEmpty bool) bool {
 	kind := schema.OperatorKind_OPERATOR_RESTORE
 	if isEmpty {
 		kind = schema.OperatorKind_OPERATOR_EMPTY
--- a/internal/sim/scenario_steps.go
+++ b/internal/sim/scenario_steps.go
@@ -9,25 +9,25 @@
 	"topazshed/internal/schema"
 )
 
-func (f *Fleet) leader() *Node {
+func (f *Fleet) awaitLeader() *Node {
 	for range 100 {
 		if leader := f.Leader(); leader != nil {
 			return leader
 		}
 		f.RunFor(100 * time.Millisecond)
 	}
-	return f.pick(func(n *Node) bool { return n.HasDisk })
+	return f.pickNode(func(n *Node) bool { return n.HasDisk })
 }
 
-func (f *Fleet) change() {
-	n := f.pick(func(n *Node) bool { return n.IsUp })
-	f.Operate(n, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(DefaultDocument), Base: f.accepted}, func(*schema.OperatorResponse) {})
+func (f *Fleet) putAgain() {
+	n := f.pickNode(func(n *Node) bool { return n.IsUp })
+	f.Operate(n, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(DefaultDocument), Base: f.acceptedVersion}, func(*schema.OperatorResponse) {})
 }
 
-func (f *Fleet) status() []string {
+func (f *Fleet) unconfirmedZones() []string {
 	var lacking []string
 	for i := 0; i < 40 && lacking == nil; i++ {
-		f.Operate(f.pick(func(n *Node) bool { return n.IsUp }), &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}, func(o *schema.OperatorResponse) {
+		f.Operate(f.pickNode(func(n *Node) bool { return n.IsUp }), &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}, func(o *schema.OperatorResponse) {
 			if o.Refusal == schema.RefusalKind_REFUSAL_NONE {
 				lacking = append([]string{}, o.Unconfirmed...)
 			}
@@ -37,9 +37,9 @@
 	return lacking
 }
 
-func (f *Fleet) reads() error {
+func (f *Fleet) expectReadBack() error {
 	for range 40 {
-		if o := f.Show(f.pick(func(n *Node) bool { return n.IsUp })); o != nil && o.Refusal == schema.RefusalKind_REFUSAL_NONE {
+		if o := f.Show(f.pickNode(func(n *Node) bool { return n.IsUp })); o != nil && o.Refusal == schema.RefusalKind_REFUSAL_NONE {
 			return nil
 		}
 		f.RunFor(250 * time.Millisecond)
@@ -47,7 +47,7 @@
 	return fmt.Errorf("no read-back within 10 s at %v", f.Now)
 }
 
-func (f *Fleet) owner(service, path string) failover.Owner {
+func (f *Fleet) ownerOf(service, path string) failover.Owner {
 	for _, n := range f.Nodes {
 		view := f.View(n)
 		if known := view.Services[service]; n.IsUp && known != nil && known.Entry(path) != nil {
@@ -59,7 +59,7 @@
 	return failover.Owner{Region: "r0", Zone: "r0-d0"}
 }
 
-func (f *Fleet) pick(isFit func(*Node) bool) *Node {
+func (f *Fleet) pickNode(isFit func(*Node) bool) *Node {
 	var options []*Node
 	for _, n := range f.Nodes {
 		if isFit(n) {
@@ -72,7 +72,7 @@
 	return options[f.random.Intn(len(options))]
 }
 
-func (f *Fleet) settled() error {
+func (f *Fleet) expectConverged() error {
 	leader := f.Leader()
 	if leader == nil {
 		return fmt.Errorf("no leader at %v", f.Now)
@@ -85,10 +85,10 @@
 	return nil
 }
 
-func (f *Fleet) serves(what string, within time.Duration) error {
+func (f *Fleet) expectServed(what string, within time.Duration) error {
 	at := f.Now
 	isServed := map[string]bool{}
-	kinds := []Ask{{Method: "GET", Service: "service0", Path: "/read/x"}, {Method: "POST", Service: "service1", Path: "/pay"}, {Method: "GET", Service: "service2", Path: "/home/x"}, {Method: "POST", Service: "service3", Path: "/book", Key: "x"}}
+	kinds := []CallerRequest{{Method: "GET", Service: "service0", Path: "/read/x"}, {Method: "POST", Service: "service1", Path: "/pay"}, {Method: "GET", Service: "service2", Path: "/home/x"}, {Method: "POST", Service: "service3", Path: "/book", Key: "x"}}
 	for i := 0; len(isServed) < len(kinds) && f.Now < at+within; i++ {
 		for _, a := range kinds {
 			if isServed[a.Service] {
@@ -98,7 +98,7 @@
 			f.send(a, 1, func(r *checker.Reply) {
 				if r != nil && r.Result == "sealed" && !isServed[a.Service] {
 					isServed[a.Service] = true
-					f.Back[a.Service] = max(f.Back[a.Service], f.Now-at)
+					f.RecoveryTimes[a.Service] = max(f.RecoveryTimes[a.Service], f.Now-at)
 				}
 			})
 		}
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func (f *Fleet) drain(b *Backend) {
+func (f *Fleet) drainBackend(b *Backend) {
 	b.State = "draining"
 	f.after(4*time.Second, func() {
 		f.Crash(b)
@@ -120,7 +120,7 @@
 	})
 }
 
-func (f *Fleet) of(service string) []*Backend {
+func (f *Fleet) readyBackends(service string) []*Backend {
 	var list []*Backend
 	for _, b := range f.Backends {
 		if b.Service == service && b.IsUp && b.State == "ready" {
--- a/internal/sim/scenarios_backends.go
+++ b/internal/sim/scenarios_backends.go
@@ -14,26 +14,26 @@
 		case 0:
 			f.Crash(b)
 		case 1:
-			f.drain(b)
+			f.drainBackend(b)
 		case 2:
 			f.AddBackend(b.Service, b.Zone)
 		}
 		f.RunFor(2 * time.Second)
 	}
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playRelease(f *Fleet) error {
 	for _, service := range []string{"service0", "service3"} {
-		for _, b := range f.of(service)[:4] {
+		for _, b := range f.readyBackends(service)[:4] {
 			f.AddBackend(b.Service, b.Zone)
 			f.RunFor(1500 * time.Millisecond)
-			f.drain(b)
+			f.drainBackend(b)
 			f.RunFor(1500 * time.Millisecond)
 		}
 	}
 	f.RunFor(12 * time.Second)
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playAllCold(f *Fleet) error {
@@ -41,7 +41,7 @@
 	for _, away := range []time.Duration{3 * time.Second, processBoot} {
 		for _, b := range f.Backends {
 			f.Crash(b)
-			b.isSilent = false
+			b.isUnresponsive = false
 		}
 		f.RunFor(away)
 		for _, b := range f.Backends {
@@ -49,23 +49,23 @@
 		}
 		f.RunFor(15 * time.Second)
 	}
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playReuse(f *Fleet) error {
 	for i := range 6 {
-		list := f.of(fmt.Sprintf("service%d", i%4))
+		list := f.readyBackends(fmt.Sprintf("service%d", i%4))
 		f.Reuse(list[f.random.Intn(len(list))], fmt.Sprintf("service%d", (i+1)%4))
 		f.RunFor(3 * time.Second)
 	}
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playBadOutcomes(f *Fleet) error {
 	for _, mode := range []Mode{ModeLose, ModeGarbage, ModeForeign, ModeCut, ModeSlow} {
 		for _, count := range []int{2, 12} {
 			for s := range 4 {
-				for i, b := range f.of(fmt.Sprintf("service%d", s)) {
+				for i, b := range f.readyBackends(fmt.Sprintf("service%d", s)) {
 					if b.Mode = ModeGood; i < count {
 						b.Mode = mode
 					}
@@ -83,31 +83,31 @@
 func playBackendFrozen(f *Fleet) error {
 	for range 5 {
 		b := f.Backends[f.random.Intn(len(f.Backends))]
-		b.frozen = f.Now + time.Duration(1+f.random.Intn(12))*time.Second
+		b.frozenUntil = f.Now + time.Duration(1+f.random.Intn(12))*time.Second
 		f.RunFor(4 * time.Second)
 	}
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playHotKey(f *Fleet) error {
 	f.hotKey = true
 	f.RunFor(8 * time.Second)
-	busiest, most := f.of("service3")[0], 0
+	busiest, most := f.readyBackends("service3")[0], 0
 	counts := map[string]int{}
 	for _, a := range f.History.Arrivals {
 		if counts[a.Instance]++; a.Service == "service3" && counts[a.Instance] > most {
-			busiest, most = f.backend(a.Instance), counts[a.Instance]
+			busiest, most = f.findBackend(a.Instance), counts[a.Instance]
 		}
 	}
 	f.AddBackend("service3", busiest.Zone)
-	f.drain(busiest)
+	f.drainBackend(busiest)
 	f.RunFor(15 * time.Second)
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playBackendCut(f *Fleet) error {
 	for range 5 {
-		list := f.of("service3")
+		list := f.readyBackends("service3")
 		b := list[f.random.Intn(len(list))]
 		b.Mode = ModeSlow
 		f.RunFor(time.Second)
@@ -115,8 +115,8 @@
 			f.cuts[[2]string{b.Instance, n.Name}] = true
 			f.cuts[[2]string{n.Name, b.Instance}] = f.random.Intn(2) == 0
 		}
-		for _, id := range slices.Sorted(maps.Keys(b.open)) {
-			b.open[id](fmt.Errorf("connection reset on the way"))
+		for _, id := range slices.Sorted(maps.Keys(b.openRequests)) {
+			b.openRequests[id](fmt.Errorf("connection reset on the way"))
 		}
 		b.State = "draining"
 		f.RunFor(5 * time.Second)
@@ -125,7 +125,7 @@
 			delete(f.cuts, [2]string{n.Name, b.Instance})
 		}
 	}
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playBadList(f *Fleet) error {
@@ -149,5 +149,5 @@
 		}
 	}
 	f.listFault = ""
-	return f.settled()
+	return f.expectConverged()
 }
--- a/internal/sim/scenarios_chaos.go
+++ b/internal/sim/scenarios_chaos.go
@@ -9,7 +9,7 @@
 
 func playChaos(f *Fleet) error {
 	for range 12 {
-		n := f.pick(func(n *Node) bool { return true })
+		n := f.pickNode(func(n *Node) bool { return true })
 		switch f.random.Intn(8) {
 		case 0, 1:
 			if n.IsUp {
@@ -23,7 +23,7 @@
 			f.Split(isInRegion(region), true)
 			f.after(time.Duration(f.random.Intn(9000))*time.Millisecond, func() { f.Split(isInRegion(region), false) })
 		case 4:
-			other := f.pick(func(*Node) bool { return true })
+			other := f.pickNode(func(*Node) bool { return true })
 			f.Cut(n, other, true)
 			f.after(6*time.Second, func() { f.Cut(n, other, false) })
 		case 5:
@@ -54,13 +54,13 @@
 		f.Return(b)
 	}
 	f.RunFor(5 * time.Second)
-	f.killAll(isInRegion(f.owner("service3", "/book").Region))
-	if err := f.serves("the last blow", finalLoss); err != nil {
+	f.killAll(isInRegion(f.ownerOf("service3", "/book").Region))
+	if err := f.expectServed("the last blow", recoveryBound); err != nil {
 		return err
 	}
 	for range 20 {
-		if o := f.Show(f.pick(func(n *Node) bool { return n.IsUp })); o != nil && o.Refusal == schema.RefusalKind_REFUSAL_NONE {
-			return f.settled()
+		if o := f.Show(f.pickNode(func(n *Node) bool { return n.IsUp })); o != nil && o.Refusal == schema.RefusalKind_REFUSAL_NONE {
+			return f.expectConverged()
 		}
 		f.RunFor(time.Second)
 	}
--- a/internal/sim/scenarios_disks.go
+++ b/internal/sim/scenarios_disks.go
@@ -7,20 +7,20 @@
 
 func playWiped(f *Fleet) error {
 	for range 4 {
-		n := f.pick(func(n *Node) bool { return n.HasDisk && n.IsUp })
+		n := f.pickNode(func(n *Node) bool { return n.HasDisk && n.IsUp })
 		f.Kill(n)
 		f.Wipe(n)
 		f.RunFor(time.Duration(f.random.Intn(3000)) * time.Millisecond)
 		f.Start(n)
 		f.RunFor(12 * time.Second)
 	}
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playSlowDisk(f *Fleet) error {
 	for i, pause := range []time.Duration{100, 3000, 400, 900, 3000, 5000} {
-		leader := f.leader()
-		slow := []*Node{f.pick(func(n *Node) bool { return n.HasDisk && n != leader })}
+		leader := f.awaitLeader()
+		slow := []*Node{f.pickNode(func(n *Node) bool { return n.HasDisk && n != leader })}
 		if i%2 == 0 {
 			slow = append(slow, leader)
 		}
@@ -28,7 +28,7 @@
 			f.SlowDisk(n, pause*time.Millisecond)
 		}
 		f.RunFor(2 * time.Second)
-		f.change()
+		f.putAgain()
 		f.RunFor(4 * time.Second)
 		for _, n := range slow {
 			f.SlowDisk(n, 0)
@@ -36,18 +36,18 @@
 		f.RunFor(2 * time.Second)
 	}
 	f.RunFor(4 * time.Second)
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playFailingDisk(f *Fleet) error {
 	for i, kind := range []string{"ring", "image", ""} {
-		n := f.leader()
+		n := f.awaitLeader()
 		if i == 1 {
-			n = f.pick(func(n *Node) bool { return n.HasDisk && n.IsUp })
+			n = f.pickNode(func(n *Node) bool { return n.HasDisk && n.IsUp })
 		}
 		n.disk.Fault, n.disk.Only = fmt.Errorf("no room"), kind
 		for range 3 {
-			f.change()
+			f.putAgain()
 			f.RunFor(time.Second)
 		}
 		if n.IsUp && kind != "image" {
@@ -56,44 +56,44 @@
 		if n.IsUp {
 			f.Kill(n)
 		}
-		if f.Mend(n); i == 2 {
+		if f.RepairDisk(n); i == 2 {
 			f.Wipe(n)
 		}
 		f.Start(n)
 		f.RunFor(6 * time.Second)
 	}
-	return f.reads()
+	return f.expectReadBack()
 }
 
 func playPower(f *Fleet) error {
 	for step := range 8 {
-		n := f.leader()
+		n := f.awaitLeader()
 		if f.random.Intn(3) == 0 {
-			n = f.pick(func(n *Node) bool { return n.HasDisk && n.IsUp })
+			n = f.pickNode(func(n *Node) bool { return n.HasDisk && n.IsUp })
 		}
 		n.disk.CutAfter(step)
-		f.change()
+		f.putAgain()
 		f.RunFor(time.Second)
 		if n.IsUp {
 			f.Kill(n)
 		}
-		f.Mend(n)
+		f.RepairDisk(n)
 		f.Start(n)
 		f.RunFor(3 * time.Second)
-		if err := f.reads(); err != nil {
+		if err := f.expectReadBack(); err != nil {
 			return err
 		}
 	}
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playWipedAfterYes(f *Fleet) error {
 	for range 3 {
-		leader := f.leader()
-		other := f.pick(func(n *Node) bool { return n.HasDisk && n.IsUp && n != leader })
-		before := f.accepted
-		f.change()
-		for i := 0; f.accepted == before && i < 300; i++ {
+		leader := f.awaitLeader()
+		other := f.pickNode(func(n *Node) bool { return n.HasDisk && n.IsUp && n != leader })
+		before := f.acceptedVersion
+		f.putAgain()
+		for i := 0; f.acceptedVersion == before && i < 300; i++ {
 			f.RunFor(10 * time.Millisecond)
 		}
 		lost := []*Node{leader, other}
@@ -106,10 +106,10 @@
 			f.Start(n)
 		}
 		f.RunFor(6 * time.Second)
-		if err := f.reads(); err != nil {
+		if err := f.expectReadBack(); err != nil {
 			return err
 		}
 		f.RunFor(8 * time.Second)
 	}
-	return f.settled()
+	return f.expectConverged()
 }
--- a/internal/sim/scenarios_machines.go
+++ b/internal/sim/scenarios_machines.go
@@ -14,7 +14,7 @@
 		}
 		f.RunFor(4 * time.Second)
 	}
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playLeaderFrozen(f *Fleet) error {
@@ -24,22 +24,22 @@
 		}
 		f.RunFor(span + 5*time.Second)
 	}
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playProxyFrozen(f *Fleet) error {
 	for range 4 {
-		f.Freeze(f.pick(func(n *Node) bool { return n.IsUp }), time.Duration(500+f.random.Intn(9000))*time.Millisecond)
+		f.Freeze(f.pickNode(func(n *Node) bool { return n.IsUp }), time.Duration(500+f.random.Intn(9000))*time.Millisecond)
 		f.RunFor(5 * time.Second)
 	}
 	f.RunFor(10 * time.Second)
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playHerd(f *Fleet) error {
 	for range 2 {
 		for range 5 {
-			if n := f.pick(func(n *Node) bool { return n.IsUp }); n.IsUp {
+			if n := f.pickNode(func(n *Node) bool { return n.IsUp }); n.IsUp {
 				f.Kill(n)
 			}
 		}
@@ -47,46 +47,46 @@
 		f.startAll()
 		f.RunFor(15 * time.Second)
 	}
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playDistrictLost(f *Fleet) error {
 	f.RunFor(3 * time.Second)
-	lost := f.owner("service1", "/pay").Zone
+	lost := f.ownerOf("service1", "/pay").Zone
 	f.killAll(isIn(lost))
-	if err := f.serves("the loss of "+lost, finalLoss); err != nil {
+	if err := f.expectServed("the loss of "+lost, recoveryBound); err != nil {
 		return err
 	}
 	f.RunFor(10 * time.Second)
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playRegionLost(f *Fleet) error {
 	f.RunFor(3 * time.Second)
-	lost := f.owner("service1", "/pay").Region
+	lost := f.ownerOf("service1", "/pay").Region
 	f.killAll(isInRegion(lost))
 	for _, b := range f.Backends {
 		if regionOf(b.Zone) == lost {
 			f.Crash(b)
 		}
 	}
-	if err := f.serves("the loss of "+lost, finalLoss); err != nil {
+	if err := f.expectServed("the loss of "+lost, recoveryBound); err != nil {
 		return err
 	}
 	f.RunFor(5 * time.Second)
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playAllKilled(f *Fleet) error {
-	before := f.accepted
+	before := f.acceptedVersion
 	f.killAll(func(*Node) bool { return true })
 	f.RunFor(2 * time.Second)
 	f.startAll()
-	if err := f.serves("the restart", finalLoss); err != nil {
+	if err := f.expectServed("the restart", recoveryBound); err != nil {
 		return err
 	}
 	f.RunFor(8 * time.Second)
-	if err := f.settled(); err != nil {
+	if err := f.expectConverged(); err != nil {
 		return err
 	}
 	if o := f.Show(f.Leader()); o.GetVersion() < before {
@@ -108,14 +108,14 @@
 		f.Start(n)
 		f.RunFor(1500 * time.Millisecond)
 	}
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playFrozenLeg(f *Fleet) error {
 	for range 3 {
-		f.freezeAttempt = time.Duration(3+f.random.Intn(18)) * time.Second
+		f.freezeBeforeSend = time.Duration(3+f.random.Intn(18)) * time.Second
 		f.RunFor(9 * time.Second)
 	}
 	f.RunFor(14 * time.Second)
-	return f.settled()
+	return f.expectConverged()
 }
--- a/internal/sim/scenarios_network.go
+++ b/internal/sim/scenarios_network.go
@@ -11,7 +11,7 @@
 		f.Split(isInRegion(region), false)
 		f.RunFor(6 * time.Second)
 	}
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playCoreSplit(f *Fleet) error {
@@ -24,12 +24,12 @@
 		}
 	}
 	f.RunFor(8 * time.Second)
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playOneWay(f *Fleet) error {
 	for range 4 {
-		a, b := f.pick(func(n *Node) bool { return n.HasDisk }), f.pick(func(n *Node) bool { return true })
+		a, b := f.pickNode(func(n *Node) bool { return n.HasDisk }), f.pickNode(func(n *Node) bool { return true })
 		if leader := f.Leader(); leader != nil && f.random.Intn(2) == 0 {
 			a = leader
 		}
@@ -38,16 +38,16 @@
 		f.Cut(a, b, false)
 		f.RunFor(2 * time.Second)
 	}
-	return f.settled()
+	return f.expectConverged()
 }
 
 func playIsolated(f *Fleet) error {
 	for range 3 {
-		n := f.pick(func(n *Node) bool { return n.IsUp })
+		n := f.pickNode(func(n *Node) bool { return n.IsUp })
 		f.Split(func(o *Node) bool { return o == n }, true)
 		f.RunFor(8 * time.Second)
 		f.Split(func(o *Node) bool { return o == n }, false)
 		f.RunFor(5 * time.Second)
 	}
-	return f.settled()
+	return f.expectConverged()
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -80,13 +80,13 @@
 			for seed := int64(1); seed <= 8; seed++ {
 				f, _ := Play(*Find(b.Scenario), seed, b.Name)
 				for _, text := range f.Violations {
-					if strings.Contains(text, b.Caught) {
+					if strings.Contains(text, b.Violation) {
 						return
 					}
 				}
 				seen = append(seen, f.Violations...)
 			}
-			t.Fatalf("with %s, %q was not told; seen: %.3000q", b.About, b.Caught, seen)
+			t.Fatalf("with %s, %q was not told; seen: %.3000q", b.Description, b.Violation, seen)
 		})
 	}
 }
@@ -144,7 +144,7 @@
 		f.RunFor(10 * time.Second)
 		systems := map[string]bool{}
 		for _, n := range f.Nodes {
-			systems[n.core.Local().System] = true
+			systems[n.machine.Local().System] = true
 		}
 		if len(systems) != 1 {
 			t.Errorf("seed %d: systems %v", seed, systems)
