--- a/cmd/testfleet/failover.go
+++ b/cmd/testfleet/failover.go
@@ -17,10 +17,13 @@
 type failoverCommand struct{ seeds string }
 
 func (*failoverCommand) Name() string { return "failover" }
+
 func (*failoverCommand) Synopsis() string {
 	return "measure in the simulator how long the loss of an active group is felt"
 }
+
 func (*failoverCommand) Usage() string { return "failover [-seeds FIRST-LAST]\n" }
+
 func (c *failoverCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.seeds, "seeds", "1-20", "first and last seed, or one seed")
 }
--- a/cmd/testfleet/routed.go
+++ b/cmd/testfleet/routed.go
@@ -2,228 +2,21 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"flag"
 	"fmt"
-	"io"
 	"math/rand"
-	"net"
 	"net/http"
 	"net/url"
 	"os"
 	"os/signal"
 	"path/filepath"
-	"strconv"
 	"strings"
-	"sync"
 	"syscall"
 	"time"
 
 	"github.com/google/subcommands"
 )
 
-// routedBackend is a stand-in back end of a fleet that carries routes, speaking the product's own interface.
-type routedBackend struct {
-	platform *routedPlatform
-	service  string
-	instance string
-	zone     string
-	address  string
-	isKeyed  bool
-	work     chan bool
-	server   *http.Server
-}
-
-type keyLease struct {
-	instance    string
-	first, last uint32
-	fence       uint64
-	until       time.Time
-}
-
-// routedWorld is the list, its back ends and what was seen of them.
-type routedPlatform struct {
-	lock          sync.Mutex
-	backends      []*routedBackend
-	server        *http.Server
-	leases        []keyLease
-	runs          map[string]int
-	notRepeatable map[string]bool
-	lastRequest   map[string]time.Time
-	handover      int
-	random        *rand.Rand
-	violations    []string
-}
-
-func newRoutedPlatform(seed int64) *routedPlatform {
-	return &routedPlatform{runs: map[string]int{}, notRepeatable: map[string]bool{}, lastRequest: map[string]time.Time{}, random: rand.New(rand.NewSource(seed))}
-}
-
-func (w *routedPlatform) addViolation(form string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf(form, args...))
-}
-
-func listenAndServe(address string, handler http.Handler) (*http.Server, error) {
-	listener, err := net.Listen("tcp", address)
-	if err != nil {
-		return nil, err
-	}
-	server := &http.Server{Handler: handler}
-	go server.Serve(listener)
-	return server, nil
-}
-
-func (w *routedPlatform) add(service, zone string, isKeyed bool) error {
-	number := len(w.backends) + 1
-	b := &routedBackend{platform: w, service: service, instance: fmt.Sprintf("%s-%d", service, number), zone: zone, address: fmt.Sprintf("127.41.0.%d:8000", number), isKeyed: isKeyed, work: make(chan bool, 6)}
-	server, err := listenAndServe(b.address, b)
-	if err != nil {
-		return err
-	}
-	b.server = server
-	w.backends = append(w.backends, b)
-	return nil
-}
-
-func (w *routedPlatform) close() error {
-	var faults []error
-	if w.server != nil {
-		faults = append(faults, w.server.Close())
-	}
-	for _, b := range w.backends {
-		faults = append(faults, b.server.Close())
-	}
-	return errors.Join(faults...)
-}
-
-func (w *routedPlatform) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	page, err := strconv.Atoi(r.URL.Query().Get("page"))
-	if err != nil || page < 0 {
-		http.Error(rw, "page", http.StatusBadRequest)
-		return
-	}
-	const size = 10
-	items := []map[string]any{}
-	for i := page * size; i < min(len(w.backends), (page+1)*size); i++ {
-		b := w.backends[i]
-		items = append(items, map[string]any{"service": b.service, "instance": b.instance, "address": b.address, "district": b.zone, "state": "ready", "slots": cap(b.work), "cold_left_ms": 0})
-	}
-	json.NewEncoder(rw).Encode(map[string]any{"page": page, "pages": (len(w.backends) + size - 1) / size, "total": len(w.backends), "revision": 1, "backends": items})
-}
-
-type leaseCall struct {
-	Service     string
-	First, Last uint32
-	Number      uint64
-	HoldMS      int64 `json:"hold_ms"`
-	Handover    string
-}
-
-func (b *routedBackend) serveLease(rw http.ResponseWriter, r *http.Request) {
-	var call leaseCall
-	if err := json.NewDecoder(r.Body).Decode(&call); err != nil || call.First > call.Last {
-		http.Error(rw, "span", http.StatusBadRequest)
-		return
-	}
-	w, now := b.platform, time.Now()
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	kept := w.leases[:0]
-	for _, hold := range w.leases {
-		isOverlap := hold.first <= call.Last && call.First <= hold.last
-		switch {
-		case hold.until.Before(now):
-		case !isOverlap || hold.instance != b.instance:
-			if isOverlap && r.URL.Path == "/keys/grant" {
-				w.addViolation("keys %d to %d of %s were granted to %s while %s held %d to %d", call.First, call.Last, call.Service, b.instance, hold.instance, hold.first, hold.last)
-			}
-			kept = append(kept, hold)
-		case hold.fence > call.Number && r.URL.Path == "/keys/grant":
-			http.Error(rw, "a higher number was seen", http.StatusConflict)
-			return
-		default:
-			if hold.first < call.First {
-				kept = append(kept, keyLease{hold.instance, hold.first, call.First - 1, hold.fence, hold.until})
-			}
-			if hold.last > call.Last {
-				kept = append(kept, keyLease{hold.instance, call.Last + 1, hold.last, hold.fence, hold.until})
-			}
-		}
-	}
-	w.leases = kept
-	if r.URL.Path == "/keys/grant" {
-		w.leases = append(w.leases, keyLease{b.instance, call.First, call.Last, call.Number, now.Add(time.Duration(call.HoldMS) * time.Millisecond)})
-		return
-	}
-	w.handover++
-	rw.Header().Set("Topazshed-Handover", fmt.Sprintf("handover-%d", w.handover))
-}
-
-func (w *routedPlatform) isLeased(instance string, key uint32) bool {
-	for _, hold := range w.leases {
-		if hold.instance == instance && hold.first <= key && key <= hold.last && time.Now().Before(hold.until) {
-			return true
-		}
-	}
-	return false
-}
-
-func (b *routedBackend) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	if r.Header.Get("Topazshed-Instance") != b.instance {
-		rw.Header().Set("Topazshed-Not-Run", "1")
-		http.Error(rw, "not me", http.StatusMisdirectedRequest)
-		return
-	}
-	if strings.HasPrefix(r.URL.Path, "/keys/") {
-		b.serveLease(rw, r)
-		return
-	}
-	id := r.Header.Get("Topazshed-Attempt")
-	rw.Header().Set("Topazshed-Attempt", id)
-	refusal := func(status int) {
-		rw.Header().Set("Topazshed-Not-Run", "1")
-		rw.WriteHeader(status)
-	}
-	key, err := strconv.ParseUint(r.Header.Get("Topazshed-Key"), 10, 16)
-	w := b.platform
-	w.lock.Lock()
-	isMine := !b.isKeyed || err == nil && w.isLeased(b.instance, uint32(key))
-	pause := time.Duration(5+w.random.Intn(20)) * time.Millisecond
-	if isMine {
-		w.lastRequest[b.zone] = time.Now()
-	}
-	w.lock.Unlock()
-	if !isMine {
-		refusal(http.StatusMisdirectedRequest)
-		return
-	}
-	select {
-	case b.work <- true:
-		defer func() { <-b.work }()
-	default:
-		refusal(http.StatusServiceUnavailable)
-		return
-	}
-	w.lock.Lock()
-	w.runs[id]++
-	if w.notRepeatable[id] && w.runs[id] > 1 {
-		w.addViolation("%s, which must not be repeated, ran %d times", id, w.runs[id])
-	}
-	w.lock.Unlock()
-	time.Sleep(pause)
-	text := []byte(b.instance + " " + r.URL.Path + " " + id)
-	rw.Header().Set("Content-Digest", seal(text))
-	rw.Write(text)
-}
-
-const routedDocument = `{"routes": [
-  {"name": "balances", "host": "ledger.example", "prefix": "/balances/", "repeatable": true, "timeout_ms": 2000, "target_ms": 500, "max_attempts": 3, "targets": [{"service": "ledger", "weight": 1}]},
-  {"name": "accounts", "host": "ledger.example", "prefix": "/accounts/", "repeatable": true, "timeout_ms": 2000, "target_ms": 500, "max_attempts": 3, "targets": [{"service": "accounts", "weight": 1}]},
-  {"name": "pay", "host": "ledger.example", "prefix": "/pay/", "timeout_ms": 2500, "target_ms": 800, "max_attempts": 2, "home_regions": ["north", "south"], "targets": [{"service": "payments", "weight": 1}]}],
- "services": [{"service": "ledger", "cold_rate": 17}, {"service": "accounts", "cold_rate": 17, "keyed": true}, {"service": "payments", "cold_rate": 17}]}
-`
-
 type routedCommand struct {
 	program, folder, level string
 	seconds, rate          int
@@ -232,12 +25,15 @@
 }
 
 func (*routedCommand) Name() string { return "routed" }
+
 func (*routedCommand) Synopsis() string {
 	return "run a fleet that carries routes over the product's own interface, with troubles, and judge it"
 }
+
 func (*routedCommand) Usage() string {
 	return "routed [-program FILE] [-seconds N] [-rate N] [-seed N] [-demo]; a zone is emptied and given back, then the leader is killed and started again\n"
 }
+
 func (c *routedCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.program, "program", "bin/topazshed", "the program to run")
 	flags.StringVar(&c.folder, "folder", "", "folder for data and logs (default: a new temporary one)")
@@ -282,111 +78,6 @@
 	return subcommands.ExitSuccess
 }
 
-type routedRun struct {
-	fleet    *Fleet
-	platform *routedPlatform
-	client   *http.Client
-	lock     sync.Mutex
-	serial   int
-	ends     map[string]int
-	slowest  time.Duration
-}
-
-func (r *routedRun) status() (map[string]any, error) {
-	for _, m := range r.fleet.machines {
-		status, _, text, err := r.fleet.adminCall(m, http.MethodGet, "/v1/status", nil, nil)
-		if err == nil && status == http.StatusOK {
-			var s map[string]any
-			return s, json.Unmarshal(text, &s)
-		}
-	}
-	return nil, errors.New("no door answers a status query")
-}
-
-func (r *routedRun) request(kind int, proxy string, key int) {
-	r.lock.Lock()
-	r.serial++
-	id := fmt.Sprintf("routed-%08d", r.serial)
-	r.lock.Unlock()
-	method, path := http.MethodGet, "/balances/7"
-	switch kind {
-	case 1:
-		path = "/accounts/7"
-	case 2:
-		method, path = http.MethodPost, "/pay/7"
-		r.platform.lock.Lock()
-		r.platform.notRepeatable[id] = true
-		r.platform.lock.Unlock()
-	}
-	request, err := http.NewRequest(method, "http://"+proxy+path, nil)
-	if err != nil {
-		return
-	}
-	request.Host = "ledger.example"
-	request.Header.Set("Topazshed-Attempt", id)
-	request.Header.Set("Topazshed-Wait", "2000")
-	request.Header.Set("Topazshed-Key", strconv.Itoa(key))
-	begun := time.Now()
-	end := "unreached"
-	response, err := r.client.Do(request)
-	if err == nil {
-		text, err := io.ReadAll(response.Body)
-		response.Body.Close()
-		end = strconv.Itoa(response.StatusCode)
-		isWhole := err == nil && strings.HasSuffix(string(text), " "+path+" "+id) && response.Header.Get("Content-Digest") == seal(text)
-		if response.StatusCode == http.StatusOK && !isWhole {
-			r.platform.lock.Lock()
-			r.platform.addViolation("%s got an answer that is not its own or not whole: %q, %v", id, text, err)
-			r.platform.lock.Unlock()
-		}
-		if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Retry-After") == "" {
-			r.platform.lock.Lock()
-			r.platform.addViolation("%s was refused without Retry-After", id)
-			r.platform.lock.Unlock()
-		}
-	}
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	r.ends[end]++
-	if end == "200" {
-		r.slowest = max(r.slowest, time.Since(begun))
-	}
-}
-
-func (r *routedRun) load(ctx context.Context, rate int, random *rand.Rand) {
-	ticker := time.NewTicker(time.Second / time.Duration(rate))
-	defer ticker.Stop()
-	var group sync.WaitGroup
-	defer group.Wait()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-ticker.C:
-			m := r.fleet.machines[random.Intn(len(r.fleet.machines))]
-			kind, key := random.Intn(3), random.Intn(1<<16)
-			group.Go(func() { r.request(kind, m.publicAddress(7002), key) })
-		}
-	}
-}
-
-// order puts an operator's call to the doors in turn until one takes it.
-func (r *routedRun) operate(method, path string, query url.Values, body string) error {
-	last := ""
-	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
-		for _, m := range r.fleet.machines {
-			status, _, text, err := r.fleet.adminCall(m, method, path, query, []byte(body))
-			if err == nil && status == http.StatusOK {
-				return nil
-			}
-			if last = fmt.Sprintf("status %d, %s, %v", status, text, err); status == http.StatusUnprocessableEntity {
-				return errors.New(last)
-			}
-		}
-	}
-	return fmt.Errorf("%s %s was not taken within 20 s: %s", method, path, last)
-}
-
 func (c *routedCommand) run(ctx context.Context) ([]string, error) {
 	program, err := filepath.Abs(c.program)
 	if err != nil {
@@ -547,3 +238,10 @@
 	}
 	return r.platform.violations, nil
 }
+
+const routedDocument = `{"routes": [
+  {"name": "balances", "host": "ledger.example", "prefix": "/balances/", "repeatable": true, "timeout_ms": 2000, "target_ms": 500, "max_attempts": 3, "targets": [{"service": "ledger", "weight": 1}]},
+  {"name": "accounts", "host": "ledger.example", "prefix": "/accounts/", "repeatable": true, "timeout_ms": 2000, "target_ms": 500, "max_attempts": 3, "targets": [{"service": "accounts", "weight": 1}]},
+  {"name": "pay", "host": "ledger.example", "prefix": "/pay/", "timeout_ms": 2500, "target_ms": 800, "max_attempts": 2, "home_regions": ["north", "south"], "targets": [{"service": "payments", "weight": 1}]}],
+ "services": [{"service": "ledger", "cold_rate": 17}, {"service": "accounts", "cold_rate": 17, "keyed": true}, {"service": "payments", "cold_rate": 17}]}
+`
--- a/cmd/testfleet/simulate.go
+++ b/cmd/testfleet/simulate.go
@@ -24,11 +24,14 @@
 	isVerbose                      bool
 }
 
-func (*simCommand) Name() string     { return "sim" }
+func (*simCommand) Name() string { return "sim" }
+
 func (*simCommand) Synopsis() string { return "run simulated scenarios over many seeds" }
+
 func (*simCommand) Usage() string {
 	return "sim [-scenario NAME|all|list] [-seeds FIRST-LAST] [-breach NAME]\n"
 }
+
 func (c *simCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.scenario, "scenario", "all", "scenario's name, all, or list")
 	flags.StringVar(&c.seeds, "seeds", "1-20", "first and last seed, or one seed")
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -1,4 +1,3 @@
-// Package checker holds the outside history of a run and judges it against what must never happen; fleet runs and simulated runs feed it alike.
 package checker
 
 import (
