--- a/cmd/testfleet/callers.go
+++ b/cmd/testfleet/callers.go
@@ -2,290 +2,234 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"io"
 	"math/rand"
 	"net"
 	"net/http"
-	"net/url"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
 	"topazshed/internal/checker"
 )
 
-type match struct {
-	Proxies []struct {
-		Address string
-		Zone    string `json:"district"`
-		Region  string
-	} `json:"proxies"`
-	Origin  string `json:"origin"`
-	Version uint64 `json:"version"`
-	LiveMs  int64  `json:"live_ms"`
-	at      time.Time
+// Headers of the product's wire.
+const (
+	headerAttempt  = "Topazshed-Attempt"
+	headerWait     = "Topazshed-Wait"
+	headerOrigin   = "Topazshed-Origin"
+	headerAge      = "Topazshed-Age"
+	headerKey      = "Topazshed-Key"
+	headerService  = "Topazshed-Service"
+	headerInstance = "Topazshed-Instance"
+	headerSlot     = "Topazshed-Slot"
+	headerVersion  = "Topazshed-Version"
+	headerNotRun   = "Topazshed-Not-Run"
+	headerHandover = "Topazshed-Handover"
+	headerDigest   = "Content-Digest"
+	// headerSend names one sending, so that the checker can tell copies of it; the product passes it on.
+	headerSend = "X-Send"
+)
+
+const (
+	// callWait is how long a caller waits in all, safeLimit how long for one answer to a safe request.
+	callWait  = 5 * time.Second
+	safeLimit = 2 * time.Second
+	// maxSends bounds how often a caller sends one attempt id.
+	maxSends = 40
+	// matchTries is how many directories a caller asks at once in turn, matchTimeout how long it waits for each, and
+	// unmatchedPause how long it waits when none answered.
+	matchTries     = 4
+	matchTimeout   = time.Second
+	unmatchedPause = 300 * time.Millisecond
+	// A caller pauses for backoffLeast to backoffLeast+backoffStep*n milliseconds, n the sends so far, at most backoffMost.
+	backoffLeast, backoffStep, backoffMost = 100, 100, 6
+	// retryAfterSpread spreads callers that were told the same Retry-After, in milliseconds.
+	retryAfterSpread = 200
+	// pathTails is the number of different paths of a kind with tails.
+	pathTails = 5000
+	// hotShare of ten keyed calls are for hotKey while a key is hot.
+	hotShare = 6
+	hotKey   = "terminal-hot"
+	// farShare is how seldom a caller asks a directory of any region instead of its own: one time in farShare.
+	farShare = 4
+)
+
+// callRequest is what a caller wants. The zone, by index, is where the caller is.
+type callRequest struct {
+	kind    CallKind
+	path    string
+	key     string
+	attempt string
+	zone    int
+	wait    time.Duration
 }
 
-// Callers make the load.
+// matchKey names the directory answers that the request can use.
+func (r *callRequest) matchKey() string {
+	return fmt.Sprintf("%d/%s%s", r.zone, r.kind.Service, r.kind.Path)
+}
+
+// Callers make the load. They are safe for concurrent use.
 type Callers struct {
 	history    *checker.History
 	fleet      *Fleet
 	deployment Deployment
-	clients    []*http.Client
-	lock       sync.Mutex
-	matches    map[string]*match
-	random     *rand.Rand
-	serial     int
-	hotKey     bool
-	group      sync.WaitGroup
+	// clients are one HTTP client for each zone.
+	clients []*http.Client
+	group   sync.WaitGroup
+
+	// lock guards what follows.
+	lock     sync.Mutex
+	matches  map[string]*match
+	random   *rand.Rand
+	serial   int
+	isKeyHot bool
 }
 
 func newCallers(h *checker.History, f *Fleet, d Deployment, seed int64) *Callers {
-	c := &Callers{history: h, fleet: f, deployment: d, matches: map[string]*match{}, random: rand.New(rand.NewSource(seed))}
+	c := &Callers{
+		history:    h,
+		fleet:      f,
+		deployment: d,
+		matches:    map[string]*match{},
+		random:     rand.New(rand.NewSource(seed)),
+	}
 	for zone := range zonePlaces {
-		dialer := &net.Dialer{Timeout: 700 * time.Millisecond, LocalAddr: &net.TCPAddr{IP: net.ParseIP(fmt.Sprintf("127.30.%d.1", zone))}}
-		c.clients = append(c.clients, &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64, IdleConnTimeout: 3 * time.Second}})
+		c.clients = append(c.clients, newCallerClient(zone))
 	}
 	return c
 }
 
+// newCallerClient makes the HTTP client of a zone's callers, whose address tells relays where they are.
+func newCallerClient(zone int) *http.Client {
+	local := net.ParseIP(fmt.Sprintf("127.%d.%d.1", callerNet, zone))
+	dialer := &net.Dialer{Timeout: 700 * time.Millisecond, LocalAddr: &net.TCPAddr{IP: local}}
+	return &http.Client{Transport: &http.Transport{
+		DialContext:         dialer.DialContext,
+		MaxIdleConnsPerHost: 64,
+		IdleConnTimeout:     3 * time.Second,
+	}}
+}
+
+// draw draws a number below n.
 func (c *Callers) draw(n int) int {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return c.random.Intn(n)
 }
 
+// setKeyHot makes one key draw most of the keyed calls, or ends that.
+func (c *Callers) setKeyHot(isHot bool) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.isKeyHot = isHot
+}
+
+// run makes calls at a rate, in calls a second, until the context ends, and waits for the last ones.
 func (c *Callers) run(ctx context.Context, rate int) {
 	pause := time.Second / time.Duration(rate)
 	next := time.Now()
 	for ctx.Err() == nil {
-		if wait := time.Until(next); wait > 0 {
-			time.Sleep(wait)
-		}
+		time.Sleep(time.Until(next))
 		next = next.Add(pause)
-		c.group.Go(c.call)
+		c.group.Go(func() { c.Do(c.drawCall()) })
 	}
 	c.group.Wait()
 }
 
-func (c *Callers) call() {
-	pick := c.draw(100)
+// drawCall draws one call of the deployment's mix.
+func (c *Callers) drawCall() callRequest {
+	share := c.draw(100)
 	var kind CallKind
 	for _, kind = range c.deployment.Kinds {
-		if pick -= kind.Share; pick < 0 {
+		if share -= kind.Share; share < 0 {
 			break
 		}
 	}
-	c.lock.Lock()
-	c.serial++
-	attempt := fmt.Sprintf("caller-%08d", c.serial)
-	c.lock.Unlock()
-	path := kind.Path
-	if kind.Tail {
-		path += fmt.Sprintf("/%d", c.draw(5000))
+	request := callRequest{kind: kind, path: kind.Path, attempt: c.nextAttempt(), wait: callWait}
+	if kind.HasTail {
+		request.path += fmt.Sprintf("/%d", c.draw(pathTails))
 	}
-	key := ""
 	if kind.Keys > 0 {
-		key = fmt.Sprintf("terminal-%d", c.draw(kind.Keys))
-		if c.hotKey && c.draw(10) < 6 {
-			key = "terminal-hot"
-		}
+		request.key = c.drawKey(kind.Keys)
 	}
-	c.Do(kind, path, key, attempt, c.draw(len(c.clients)), 5*time.Second)
+	request.zone = c.draw(len(c.clients))
+	return request
 }
 
-// Do carries one attempt to its end as an honest caller would.
-func (c *Callers) Do(kind CallKind, path, key, attempt string, zone int, wait time.Duration) *checker.Call {
-	h := c.history
-	call := &checker.Call{At: h.Now(), Service: kind.Service, Path: path, Attempt: attempt, IsUnsafe: kind.Method != "GET"}
-	until := time.Now().Add(wait)
-	isDoubtful := false
-	var origin string
-	for call.Sends < 40 {
-		left := time.Until(until)
+func (c *Callers) nextAttempt() string {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.serial++
+	return fmt.Sprintf("caller-%08d", c.serial)
+}
+
+func (c *Callers) drawKey(keys int) string {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	key := fmt.Sprintf("terminal-%d", c.random.Intn(keys))
+	if c.isKeyHot && c.random.Intn(10) < hotShare {
+		key = hotKey
+	}
+	return key
+}
+
+// Do carries one attempt id to its end as an honest caller would, and notes the call in the history.
+func (c *Callers) Do(request callRequest) *checker.Call {
+	call := &checker.Call{
+		At:       c.history.Now(),
+		Service:  request.kind.Service,
+		Path:     request.path,
+		Attempt:  request.attempt,
+		IsUnsafe: request.kind.isUnsafe(),
+	}
+	call.Result = c.sendUntilFinal(request, call)
+	call.End = c.history.Now()
+	checker.Record(c.history, &c.history.Calls, call)
+	return call
+}
+
+// sendUntilFinal sends a request until a result is final or the caller's time is over. A refusal says nothing about an
+// earlier sending that may have run.
+func (c *Callers) sendUntilFinal(request callRequest, call *checker.Call) string {
+	deadline := time.Now().Add(request.wait)
+	isAmbiguous := false
+	for call.Sends < maxSends {
+		left := time.Until(deadline)
 		if left <= 0 {
 			break
 		}
-		m, later := c.match(kind, zone, left)
-		if m == nil {
-			if time.Until(until) < later {
+		found, retryAfter := c.match(request, left)
+		if found == nil {
+			if time.Until(deadline) < retryAfter {
 				break
 			}
-			time.Sleep(later)
+			time.Sleep(retryAfter)
 			continue
 		}
-		_ = origin
-		origin = m.Origin
 		call.Sends++
-		age := time.Duration(0)
-		if isDoubtful && call.IsUnsafe {
-			age = h.Now() - call.At
+		s := sending{request: request, match: found, left: left, serial: call.Sends}
+		if isAmbiguous && call.IsUnsafe {
+			s.age = c.history.Now() - call.At
 		}
-		reply := c.send(kind, path, key, attempt, zone, m, left, age, call.Sends)
-		checker.Record(h, &h.Replies, reply)
+		reply := c.send(s)
+		checker.Record(c.history, &c.history.Replies, reply)
 		call.LastReason = reply.Kind + " " + reply.Broken
-		switch {
-		case reply.Result == "sealed":
-			call.Result = "sealed"
-		case reply.Result == "declined":
-			if reply.Status < 500 && reply.Status != 409 {
-				call.Result = "declined"
-				break
-			}
-			c.forget(kind, zone)
-			if time.Until(until) > reply.RetryAfter+50*time.Millisecond {
-				time.Sleep(reply.RetryAfter + time.Duration(c.draw(200))*time.Millisecond)
-				continue
-			}
-			call.Result = "declined"
-		default:
-			c.forget(kind, zone)
-			isDoubtful = true
-			if call.IsUnsafe && reply.Result == "doubtful" {
-				call.Result = "doubtful"
-				break
-			}
-			time.Sleep(time.Duration(100+c.draw(100)*min(call.Sends, 6)) * time.Millisecond)
-			continue
+		if reply.Result != checker.ResultSealed {
+			c.forget(request)
 		}
-		break
-	}
-	if call.Result == "" {
-		call.Result = "none"
-	}
-	if isDoubtful && call.Result == "declined" {
-		call.Result = "doubtful"
-	}
-	call.End = h.Now()
-	checker.Record(h, &h.Calls, call)
-	return call
-}
-
-func (c *Callers) forget(kind CallKind, zone int) {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	delete(c.matches, fmt.Sprintf("%d/%s%s", zone, kind.Service, kind.Path))
-}
-
-func (c *Callers) match(kind CallKind, zone int, left time.Duration) (*match, time.Duration) {
-	name := fmt.Sprintf("%d/%s%s", zone, kind.Service, kind.Path)
-	c.lock.Lock()
-	if m := c.matches[name]; m != nil && time.Since(m.at) < time.Duration(m.LiveMs)*time.Millisecond {
-		c.lock.Unlock()
-		return m, 0
-	}
-	c.lock.Unlock()
-	for range 4 {
-		at := c.history.Now()
-		var options []*Machine
-		for _, m := range c.fleet.machines {
-			if m.place.region == zonePlaces[zone].region {
-				options = append(options, m)
+		switch checker.NextStep(reply, time.Until(deadline)) {
+		case checker.StepEnd:
+			if reply.Result == checker.ResultDeclined && isAmbiguous {
+				return checker.ResultDoubtful
 			}
+			return reply.Result
+		case checker.StepWait:
+			time.Sleep(reply.RetryAfter + time.Duration(c.draw(retryAfterSpread))*time.Millisecond)
+		case checker.StepBackOff:
+			isAmbiguous = true
+			time.Sleep(time.Duration(backoffLeast+c.draw(backoffStep)*min(call.Sends, backoffMost)) * time.Millisecond)
 		}
-		machine := options[c.draw(len(options))]
-		if c.draw(4) == 0 {
-			machine = c.fleet.machines[c.draw(len(c.fleet.machines))]
-		}
-		ctx, cancel := context.WithTimeout(context.Background(), min(left, time.Second))
-		address := "http://" + machine.publicAddress(7003) + "/v1/match?" + url.Values{"service": {kind.Service}, "path": {kind.Path}, "region": {zonePlaces[zone].region}}.Encode()
-		request, _ := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
-		response, err := c.clients[zone].Do(request)
-		if err != nil {
-			cancel()
-			continue
-		}
-		text, err := io.ReadAll(response.Body)
-		response.Body.Close()
-		cancel()
-		if err != nil {
-			continue
-		}
-		m := &match{at: time.Now()}
-		seen := checker.MatchSeen{At: at, Admin: machine.name, Service: kind.Service, Path: kind.Path, Status: response.StatusCode, Boot: machine.boot}
-		if response.StatusCode == http.StatusOK && json.Unmarshal(text, m) == nil && len(m.Proxies) > 0 {
-			seen.Version, seen.Zone = m.Version, m.Proxies[0].Zone
-			checker.Record(c.history, &c.history.Matches, seen)
-			c.lock.Lock()
-			c.matches[name] = m
-			c.lock.Unlock()
-			return m, 0
-		}
-		checker.Record(c.history, &c.history.Matches, seen)
-		if later, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
-			return nil, time.Duration(later) * time.Second
-		}
-	}
-	return nil, 300 * time.Millisecond
-}
-
-func (c *Callers) send(kind CallKind, path, key, attempt string, zone int, m *match, left, age time.Duration, serial int) *checker.Reply {
-	proxy := m.Proxies[c.draw(len(m.Proxies))]
-	r := &checker.Reply{At: c.history.Now(), Service: kind.Service, Path: path, Method: kind.Method, Attempt: attempt, Send: fmt.Sprintf("%s/%d", attempt, serial), Zone: proxy.Zone, Proxy: proxy.Address, IsUnsafe: kind.Method != "GET", IsProper: true}
-	limit := left
-	if !r.IsUnsafe {
-		limit = min(left, 2*time.Second)
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
-	defer cancel()
-	var body io.Reader
-	if kind.Method == "POST" {
-		body = strings.NewReader(fmt.Sprintf(`{"attempt":%q,"amount":%d}`, attempt, len(attempt)))
-	}
-	request, err := http.NewRequestWithContext(ctx, kind.Method, "http://"+proxy.Address+"/"+kind.Service+path, body)
-	if err != nil {
-		r.Broken = err.Error()
-		return r
-	}
-	request.Header.Set("Topazshed-Attempt", attempt)
-	request.Header.Set("Topazshed-Wait", strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	request.Header.Set("Topazshed-Origin", m.Origin)
-	request.Header.Set("X-Send", r.Send)
-	if age > 0 {
-		request.Header.Set("Topazshed-Age", strconv.FormatInt(age.Milliseconds()+1, 10))
-	}
-	if key != "" {
-		request.Header.Set("Topazshed-Key", key)
-	}
-	response, err := c.clients[zone].Do(request)
-	if err != nil {
-		var op *net.OpError
-		r.Broken = "lost"
-		if errors.As(err, &op) && op.Op == "dial" {
-			r.Broken = "dial"
-		}
-		if ctx.Err() != nil {
-			r.Broken = "late"
-		}
-		r.End = c.history.Now()
-		return r
-	}
-	defer response.Body.Close()
-	text, err := io.ReadAll(response.Body)
-	r.End = c.history.Now()
-	if err != nil {
-		r.Broken = "cut"
-		return r
-	}
-	r.Status = response.StatusCode
-	r.Result = response.Header.Get("Topazshed-Outcome")
-	if r.Result == "sealed" {
-		r.Digest = seal(text)
-		var told struct{ Attempt string }
-		if response.Header.Get("Topazshed-Attempt") != attempt || response.StatusCode == 200 && (json.Unmarshal(text, &told) != nil || told.Attempt != attempt) {
-			r.Digest = "not for this attempt"
-		}
-	} else {
-		var told struct{ Kind string }
-		json.Unmarshal(text, &told)
-		r.Kind = told.Kind
-	}
-	if later, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
-		r.RetryAfter = time.Duration(later) * time.Second
 	}
-	return r
+	return checker.ResultNone
 }
--- a/cmd/testfleet/failover.go
+++ b/cmd/testfleet/failover.go
@@ -29,27 +29,29 @@
 }
 
 func (c *failoverCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	first, last, err := readSeeds(c.seeds)
+	seeds, err := readSeeds(c.seeds)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitUsageError
 	}
-	var number, read, unsafe []time.Duration
-	for seed := first; seed <= last; seed++ {
-		f, err := sim.Failover(seed)
+	var newNumber, read, unsafe []time.Duration
+	for seed := seeds.first; seed <= seeds.last; seed++ {
+		times, err := sim.Failover(seed)
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "seed %d: %v\n", seed, err)
 			return subcommands.ExitFailure
 		}
-		number, read, unsafe = append(number, f.NewNumber), append(read, f.Read), append(unsafe, f.Unsafe)
-	}
-	for _, row := range []struct {
-		name  string
-		times []time.Duration
-	}{{"new number", number}, {"read served", read}, {"unsafe served", unsafe}} {
-		slices.Sort(row.times)
-		n := len(row.times)
-		fmt.Printf("%-14s min %v median %v max %v of %d\n", row.name, row.times[0], row.times[n/2], row.times[n-1], n)
+		newNumber = append(newNumber, times.NewNumber)
+		read = append(read, times.Read)
+		unsafe = append(unsafe, times.Unsafe)
 	}
+	printTimes("new number", newNumber)
+	printTimes("read served", read)
+	printTimes("unsafe served", unsafe)
 	return subcommands.ExitSuccess
 }
+
+func printTimes(name string, times []time.Duration) {
+	slices.Sort(times)
+	fmt.Printf("%-14s min %v median %v max %v of %d\n", name, times[0], median(times), slices.Max(times), len(times))
+}
--- a/cmd/testfleet/faulty_disk.go
+++ b/cmd/testfleet/faulty_disk.go
@@ -10,16 +10,19 @@
 	"topazshed/internal/journal"
 )
 
+// faultyFolder is a journal folder whose files fail as a file of faults says at the moment.
 type faultyFolder struct {
 	*journal.Folder
 	faults string
 }
 
+// faultyArea is one file of a faultyFolder.
 type faultyArea struct {
 	journal.Area
 	folder *faultyFolder
 }
 
+// fault gives the present fault of a write or sync; a sync that is slow by fault sleeps here.
 func (f *faultyFolder) fault(isSync bool) error {
 	text, err := os.ReadFile(f.faults)
 	if err != nil {
--- a/cmd/testfleet/machine.go
+++ b/cmd/testfleet/machine.go
@@ -16,6 +16,7 @@
 	"topazshed/internal/settings"
 )
 
+// machineCommand runs one node of the product in this program, with a disk that can be made faulty.
 type machineCommand struct {
 	read   func() (*settings.Settings, error)
 	faults string
@@ -35,7 +36,7 @@
 }
 
 func (c *machineCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	s, err := c.read()
+	nodeSettings, err := c.read()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitUsageError
@@ -43,7 +44,7 @@
 	ctx, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	log := slog.New(slog.NewJSONHandler(os.Stderr, nil))
-	n, err := node.Start(s, log, func(path string) (node.Folder, error) {
+	n, err := node.Start(nodeSettings, log, func(path string) (node.Folder, error) {
 		folder, err := journal.OpenFolder(path)
 		return &faultyFolder{folder, c.faults}, err
 	})
@@ -51,7 +52,7 @@
 		err = n.Wait(ctx)
 	}
 	if err != nil {
-		log.Error("ended with a fault", "reason", err.Error())
+		log.Error("ended with an error", "reason", err.Error())
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
--- a/cmd/testfleet/platform_list.go
+++ b/cmd/testfleet/platform_list.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"maps"
 	"math/rand"
 	"net"
 	"net/http"
@@ -15,203 +16,309 @@
 	"topazshed/internal/checker"
 )
 
-// World is the platform with its back ends.
+const (
+	// listLag is how long after a change the list shows it.
+	listLag = 300 * time.Millisecond
+	// listPageSize is the number of back ends on a page.
+	listPageSize = 10
+	// listCallLimit is the number of calls that the list answers in any second.
+	listCallLimit = 20
+)
+
+// listFault is a way in which the list can be wrong.
+type listFault string
+
+// The faults of the list: no back end, half a page, the first page in place of each.
+const (
+	listGood   listFault = ""
+	listEmpty  listFault = "empty"
+	listShort  listFault = "short"
+	listRepeat listFault = "repeat"
+)
+
+// Platform is the stand-in for the platform: its list, with the back ends on it. It is safe for concurrent use.
 type Platform struct {
-	history      *checker.History
-	lock         sync.Mutex
-	backends     []*Backend
+	history *checker.History
+	server  *http.Server
+
+	lock     sync.Mutex
+	random   *rand.Rand
+	serial   int
+	backends []*Backend
+	// listed and listedStates are what the list shows at present.
 	listed       []*Backend
 	listedStates map[string]string
-	recorded     map[string]string
 	revision     uint64
-	lag          time.Duration
-	pageSize     int
-	calls        []time.Time
-	limit        int
-	server       *http.Server
-	address      string
-	slotOwners   map[string]slotOwner
-	random       *rand.Rand
-	serial       int
-	fault        string
-	addIP        int
+	// calls are the times of the calls in the last second.
+	calls []time.Time
+	fault listFault
+	// slotOwners are the newest owners of keyed services' slots that back ends were told, by service and slot.
+	slotOwners map[string]slotOwner
+	addresses  int
 }
 
+// slotOwner is an owner of a slot under a fence.
 type slotOwner struct {
-	number   uint64
+	fence    uint64
 	instance string
 }
 
+// newPlatform serves an empty list at an address.
 func newPlatform(h *checker.History, seed int64, address string) (*Platform, error) {
-	w := &Platform{history: h, listedStates: map[string]string{}, recorded: map[string]string{}, lag: 300 * time.Millisecond, pageSize: 10, limit: 20, address: address,
-		slotOwners: map[string]slotOwner{}, random: rand.New(rand.NewSource(seed))}
+	p := &Platform{
+		history:      h,
+		random:       rand.New(rand.NewSource(seed)),
+		listedStates: map[string]string{},
+		slotOwners:   map[string]slotOwner{},
+	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	w.server = &http.Server{Handler: w}
-	go w.server.Serve(listener)
-	return w, nil
+	p.server = &http.Server{Handler: p}
+	go p.server.Serve(listener)
+	return p, nil
+}
+
+// addDeployment starts the back ends of a deployment's services, spread over the zones.
+func (p *Platform) addDeployment(deployment Deployment) error {
+	for _, service := range slices.Sorted(maps.Keys(deployment.Services)) {
+		for i := range deployment.Services[service] {
+			options := backendOptions{
+				service: service,
+				zone:    zonePlaces[i%len(zonePlaces)].zone,
+				isKeyed: deployment.Keyed[service],
+			}
+			if _, err := p.add(options); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
 }
 
-func (w *Platform) draw(n int) int {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	return w.random.Intn(n)
+// draw draws a number below n.
+func (p *Platform) draw(n int) int {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	return p.random.Intn(n)
 }
 
-func (w *Platform) admitSlot(service, slot string, number uint64, instance string) bool {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	was := w.slotOwners[service+"/"+slot]
-	if number < was.number || number == was.number && was.instance != instance && was.instance != "" {
+// admitSlot tells whether a back end may serve a slot under a fence: not if a higher fence, or another owner under the
+// same one, was seen.
+func (p *Platform) admitSlot(service, slot string, fence uint64, instance string) bool {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	newest, isKnown := p.slotOwners[service+"/"+slot]
+	if fence < newest.fence || isKnown && fence == newest.fence && newest.instance != instance {
 		return false
 	}
-	w.slotOwners[service+"/"+slot] = slotOwner{number, instance}
+	p.slotOwners[service+"/"+slot] = slotOwner{fence: fence, instance: instance}
 	return true
 }
 
-func (w *Platform) add(service, zone, address string, keyed, isCold bool) (*Backend, error) {
-	w.lock.Lock()
-	w.serial++
-	if address == "" {
-		w.addIP++
-		address = fmt.Sprintf("127.40.%d.%d:8000", w.addIP/200, w.addIP%200+1)
-	}
-	b := &Backend{platform: w, service: service, instance: fmt.Sprintf("%s-%d", service, w.serial), zone: zone, address: address, state: "ready", keyed: keyed, isCold: isCold, slots: map[string]uint64{}}
-	w.lock.Unlock()
+// backendOptions shape a new back end. Without an address it gets a new one.
+type backendOptions struct {
+	service, zone, address string
+	isKeyed, isCold        bool
+}
+
+// add starts a back end and puts it on the list.
+func (p *Platform) add(options backendOptions) (*Backend, error) {
+	b := p.newBackend(options)
 	if err := b.start(); err != nil {
 		return nil, err
 	}
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	w.backends = append(w.backends, b)
-	w.revision++
-	w.history.Lock()
-	w.history.Zones[b.instance] = zone
-	if isCold {
-		w.history.ColdStarts[b.instance] = append(w.history.ColdStarts[b.instance], w.history.Now())
-	}
-	w.history.Unlock()
-	w.refresh()
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.backends = append(p.backends, b)
+	p.history.Lock()
+	p.history.Zones[b.instance] = b.zone
+	if b.isCold {
+		p.history.ColdStarts[b.instance] = append(p.history.ColdStarts[b.instance], p.history.Now())
+	}
+	p.history.Unlock()
+	p.change()
 	return b, nil
 }
 
-func (w *Platform) refresh() {
-	list := slices.Clone(w.backends)
+func (p *Platform) newBackend(options backendOptions) *Backend {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.serial++
+	address := options.address
+	if address == "" {
+		p.addresses++
+		address = fmt.Sprintf("127.40.%d.%d:8000", p.addresses/200, p.addresses%200+1)
+	}
+	return &Backend{
+		platform: p,
+		service:  options.service,
+		instance: fmt.Sprintf("%s-%d", options.service, p.serial),
+		zone:     options.zone,
+		address:  address,
+		state:    checker.BackendReady,
+		isKeyed:  options.isKeyed,
+		isCold:   options.isCold,
+	}
+}
+
+// change has the list show the present back ends after its lag, unless they change once more. The caller holds the lock.
+func (p *Platform) change() {
+	p.revision++
+	backends := slices.Clone(p.backends)
 	states := map[string]string{}
-	for _, b := range list {
+	for _, b := range backends {
 		states[b.instance] = b.state
 	}
-	revision := w.revision
-	time.AfterFunc(w.lag, func() {
-		w.lock.Lock()
-		defer w.lock.Unlock()
-		if revision == w.revision {
-			w.listed, w.listedStates = list, states
+	revision := p.revision
+	time.AfterFunc(listLag, func() {
+		p.lock.Lock()
+		defer p.lock.Unlock()
+		if revision == p.revision {
+			p.listed, p.listedStates = backends, states
 		}
 	})
 }
 
-func (w *Platform) drain(b *Backend) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	b.state = "draining"
-	w.revision++
-	w.refresh()
+// drain marks a back end as draining.
+func (p *Platform) drain(b *Backend) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	b.state = checker.BackendDraining
+	p.change()
 }
 
-func (w *Platform) remove(b *Backend) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	w.backends = slices.DeleteFunc(w.backends, func(other *Backend) bool { return other == b })
-	w.revision++
-	w.refresh()
+// remove takes a back end off the list.
+func (p *Platform) remove(b *Backend) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.backends = slices.DeleteFunc(p.backends, func(other *Backend) bool { return other == b })
+	p.change()
 }
 
-func (w *Platform) readyBackends(service string) []*Backend {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	var list []*Backend
-	for _, b := range w.backends {
-		if b.service == service && b.state == "ready" {
-			list = append(list, b)
+// setFault makes the list wrong, or right again.
+func (p *Platform) setFault(fault listFault) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.fault = fault
+}
+
+// readyBackends gives the back ends of a service that neither drain nor have ended.
+func (p *Platform) readyBackends(service string) []*Backend {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	var ready []*Backend
+	for _, b := range p.backends {
+		if b.service == service && b.state == checker.BackendReady {
+			ready = append(ready, b)
 		}
 	}
-	return list
+	return ready
+}
+
+// listItem is a back end as the list shows it.
+type listItem struct {
+	Service  string `json:"service"`
+	Instance string `json:"instance"`
+	Address  string `json:"address"`
+	Zone     string `json:"district"`
+	State    string `json:"state"`
 }
 
-func (w *Platform) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	page, err := strconv.Atoi(r.URL.Query().Get("page"))
-	if err != nil || page < 0 {
-		http.Error(rw, "page", http.StatusBadRequest)
+// listPage is one page of the list.
+type listPage struct {
+	Page     int        `json:"page"`
+	Pages    int        `json:"pages"`
+	Total    int        `json:"total"`
+	Revision uint64     `json:"revision"`
+	Backends []listItem `json:"backends"`
+}
+
+// ServeHTTP answers with a page of the list, or refuses calls above the limit.
+func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	number, err := strconv.Atoi(r.URL.Query().Get("page"))
+	if err != nil || number < 0 {
+		http.Error(w, "page", http.StatusBadRequest)
 		return
 	}
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	now := time.Now()
-	w.calls = slices.DeleteFunc(w.calls, func(at time.Time) bool { return now.Sub(at) > time.Second })
-	if len(w.calls) >= w.limit {
-		rw.Header().Set("Retry-After", "1")
-		http.Error(rw, "slow down", http.StatusTooManyRequests)
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if !p.admitCall(time.Now()) {
+		w.Header().Set("Retry-After", "1")
+		http.Error(w, "slow down", http.StatusTooManyRequests)
 		return
 	}
-	w.calls = append(w.calls, now)
-	list := w.listed
-	total := len(list)
-	pages := max(1, (total+w.pageSize-1)/w.pageSize)
-	type item struct {
-		Service  string `json:"service"`
-		Instance string `json:"instance"`
-		Address  string `json:"address"`
-		Zone     string `json:"district"`
-		State    string `json:"state"`
-	}
-	items := []item{}
-	for i := page * w.pageSize; i < min(total, (page+1)*w.pageSize); i++ {
-		b := list[i]
-		state := w.listedStates[b.instance]
-		items = append(items, item{b.service, b.instance, b.address, b.zone, state})
-	}
-	switch w.fault {
-	case "empty":
-		items, total, pages = nil, 0, 1
-	case "short":
-		items = items[:len(items)/2]
-	case "repeat":
-		page = 0
-	}
-	seen := map[string]string{}
-	for _, b := range list {
-		seen[b.instance] = w.listedStates[b.instance]
-	}
-	if w.fault == "" && page == pages-1 {
-		for instance, state := range seen {
-			if w.recorded[instance] != state {
-				checker.Record(w.history, &w.history.Platform, checker.PlatformEvent{At: w.history.Now(), Instance: instance, What: state})
-			}
-		}
-		for instance := range w.recorded {
-			if _, isThere := seen[instance]; !isThere {
-				checker.Record(w.history, &w.history.Platform, checker.PlatformEvent{At: w.history.Now(), Instance: instance, What: "gone"})
-			}
-		}
-		w.recorded = seen
+	page := p.page(number)
+	if p.fault == listGood && page.Page == page.Pages-1 {
+		p.history.RecordList(p.shownStates())
+	}
+	w.Header().Set("Content-Type", "application/json")
+	json.NewEncoder(w).Encode(page)
+}
+
+// admitCall counts a call, if the limit allows it. The caller holds the lock.
+func (p *Platform) admitCall(now time.Time) bool {
+	p.calls = slices.DeleteFunc(p.calls, func(at time.Time) bool { return now.Sub(at) > time.Second })
+	if len(p.calls) >= listCallLimit {
+		return false
+	}
+	p.calls = append(p.calls, now)
+	return true
+}
+
+// page makes a page of the list with the present fault. The caller holds the lock.
+func (p *Platform) page(number int) listPage {
+	total := len(p.listed)
+	page := listPage{
+		Page:     number,
+		Pages:    max(1, (total+listPageSize-1)/listPageSize),
+		Total:    total,
+		Revision: p.revision,
+		Backends: []listItem{},
+	}
+	for i := number * listPageSize; i < min(total, (number+1)*listPageSize); i++ {
+		b := p.listed[i]
+		page.Backends = append(page.Backends, listItem{
+			Service:  b.service,
+			Instance: b.instance,
+			Address:  b.address,
+			Zone:     b.zone,
+			State:    p.listedStates[b.instance],
+		})
+	}
+	switch p.fault {
+	case listEmpty:
+		page.Backends, page.Total, page.Pages = nil, 0, 1
+	case listShort:
+		page.Backends = page.Backends[:len(page.Backends)/2]
+	case listRepeat:
+		page.Page = 0
+	}
+	return page
+}
+
+// shownStates gives the states of the back ends on the list. The caller holds the lock.
+func (p *Platform) shownStates() map[string]string {
+	states := map[string]string{}
+	for _, b := range p.listed {
+		states[b.instance] = p.listedStates[b.instance]
 	}
-	rw.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(rw).Encode(map[string]any{"page": page, "pages": pages, "total": total, "revision": w.revision, "backends": items})
+	return states
 }
 
-func (w *Platform) close() error {
-	w.lock.Lock()
-	list := slices.Clone(w.backends)
-	w.lock.Unlock()
-	for _, b := range list {
+// close ends the list and its back ends.
+func (p *Platform) close() error {
+	p.lock.Lock()
+	backends := slices.Clone(p.backends)
+	p.lock.Unlock()
+	for _, b := range backends {
 		b.crash()
 	}
-	return errors.Join(w.server.Close())
+	return errors.Join(p.server.Close())
 }
 
+// newHistory makes an empty history on a clock that begins now.
 func newHistory() *checker.History {
 	begun := time.Now()
 	return checker.NewHistory(func() time.Duration { return time.Since(begun) }, regionOf)
--- a/cmd/testfleet/routed_test.go
+++ b/cmd/testfleet/routed_test.go
@@ -49,14 +49,14 @@
 		{"granted and renewed", []step{{0, "/keys/grant", 0, 9, 1, 4000, 200}, {0, "/keys/grant", 0, 9, 1, 4000, 200}}, map[int][]uint32{0: {0, 9}}, 0},
 		{"a lower number is declined", []step{{0, "/keys/grant", 0, 9, 5, 4000, 200}, {0, "/keys/grant", 0, 9, 4, 4000, 409}}, map[int][]uint32{0: {0, 9}}, 0},
 		{"released in part, then another's", []step{{0, "/keys/grant", 0, 9, 1, 4000, 200}, {0, "/keys/release", 5, 9, 1, 0, 200}, {1, "/keys/grant", 5, 9, 2, 4000, 200}}, map[int][]uint32{0: {0, 4}, 1: {5, 9}}, 0},
-		{"two holders of one key are a breach", []step{{0, "/keys/grant", 0, 9, 1, 4000, 200}, {1, "/keys/grant", 9, 12, 2, 4000, 200}}, nil, 1},
+		{"two owners of one key are a violation", []step{{0, "/keys/grant", 0, 9, 1, 4000, 200}, {1, "/keys/grant", 9, 12, 2, 4000, 200}}, nil, 1},
 		{"another's hold that has lapsed is none", []step{{0, "/keys/grant", 0, 9, 1, -1, 200}, {1, "/keys/grant", 0, 9, 2, 4000, 200}}, map[int][]uint32{1: {0, 9}}, 0},
 		{"a span that ends before it begins", []step{{0, "/keys/grant", 9, 0, 1, 4000, 400}}, nil, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newRoutedPlatform(1)
 			for i := range 2 {
-				w.backends = append(w.backends, &routedBackend{platform: w, instance: fmt.Sprintf("i-%d", i), isKeyed: true, work: make(chan bool, 1)})
+				w.backends = append(w.backends, &routedBackend{platform: w, instance: fmt.Sprintf("i-%d", i), isKeyed: true, workers: make(chan struct{}, 1)})
 			}
 			for i, s := range c.steps {
 				body := fmt.Sprintf(`{"service":"s","first":%d,"last":%d,"number":%d,"hold_ms":%d}`, s.first, s.last, s.number, s.hold)
@@ -93,14 +93,14 @@
 	}{
 		{"its own", "i-0", "7", false, 1, 200, 0},
 		{"another's", "i-1", "7", false, 1, 421, 0},
-		{"a key that it does not hold", "i-0", "70", false, 1, 421, 0},
+		{"a key that it does not own", "i-0", "70", false, 1, 421, 0},
 		{"no key", "i-0", "", false, 1, 421, 0},
 		{"a repeat that is allowed", "i-0", "7", false, 2, 200, 0},
-		{"a repeat that is a breach", "i-0", "7", true, 2, 200, 1},
+		{"a repeat that is a violation", "i-0", "7", true, 2, 200, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newRoutedPlatform(1)
-			b := &routedBackend{platform: w, instance: "i-0", isKeyed: true, work: make(chan bool, 1)}
+			b := &routedBackend{platform: w, instance: "i-0", isKeyed: true, workers: make(chan struct{}, 1)}
 			lease := httptest.NewRequest("POST", "/keys/grant", strings.NewReader(`{"first":0,"last":9,"number":1,"hold_ms":60000}`))
 			lease.Header.Set("Topazshed-Instance", "i-0")
 			b.ServeHTTP(httptest.NewRecorder(), lease)
--- a/cmd/testfleet/scenario_test.go
+++ b/cmd/testfleet/scenario_test.go
@@ -14,7 +14,7 @@
 		{"1s explode", `line 1: step "explode" is unknown`},
 		{"1s kill", `line 1: step "kill" takes 1 words, not 0`},
 		{"1s kill moon-1", `line 1: machine "moon-1" is unknown`},
-		{"1s empty moon", `line 1: district "moon" is unknown`},
+		{"1s empty moon", `line 1: zone "moon" is unknown`},
 		{"1s disk north-a-1 800ms\n2s disk north-a-1 full", ""},
 		{"1s disk north-a-1 wet", `line 1: disk fault "wet" is unknown; use one of [good fail full]`},
 		{"1s disk moon-1 full", `line 1: machine "moon-1" has no disk`},
@@ -29,7 +29,7 @@
 		}
 	}
 	for _, text := range []string{"x", "5-2", "1-", ""} {
-		if _, _, err := readSeeds(text); err == nil {
+		if _, err := readSeeds(text); err == nil {
 			t.Errorf("seeds %q were taken", text)
 		}
 	}
--- a/internal/checker/backends.go
+++ b/internal/checker/backends.go
@@ -1,82 +1,98 @@
 package checker
 
 import (
+	"math"
 	"slices"
 	"time"
 )
 
+// checkGone: a back end gets no request drainBound after the list showed that it drains or is gone.
 func checkGone(h *History) *Verdict {
 	v := &Verdict{Rule: "gone", Bound: drainBound}
-	gone := map[string]time.Duration{}
+	goneAt := map[string]time.Duration{}
 	for _, e := range h.Platform {
-		if _, isKnown := gone[e.Instance]; !isKnown && (e.What == "draining" || e.What == "gone") {
-			gone[e.Instance] = e.At
+		_, isKnown := goneAt[e.Instance]
+		if !isKnown && (e.What == BackendDraining || e.What == BackendGone) {
+			goneAt[e.Instance] = e.At
 		}
 	}
-	v.Count = len(gone)
+	v.Count = len(goneAt)
 	for _, a := range h.Arrivals {
-		if at, isGone := gone[a.Instance]; isGone && a.At > at && !a.IsCutOff {
-			v.observe(a.At - at)
-			if a.At > at+drainBound {
-				v.addViolation("%s got a request %v after it was known to go", a.Instance, a.At-at)
-			}
+		at, isGone := goneAt[a.Instance]
+		if !isGone || a.At <= at || a.IsCutOff {
+			continue
+		}
+		v.observe(a.At - at)
+		if a.At > at+drainBound {
+			v.addViolation("%s got a request %v after it was known to go", a.Instance, a.At-at)
 		}
 	}
 	return v
 }
 
+// checkCold: in any coldWindow a cold back end gets at most coldLimit requests.
 func checkCold(h *History) *Verdict {
 	v := &Verdict{Rule: "cold"}
 	recent := map[string][]time.Duration{}
 	for _, a := range h.Arrivals {
-		isCold := slices.ContainsFunc(h.ColdStarts[a.Instance], func(born time.Duration) bool { return a.At >= born && a.At-born <= 8*time.Second })
+		isCold := slices.ContainsFunc(h.ColdStarts[a.Instance], func(start time.Duration) bool {
+			return a.At >= start && a.At-start <= coldPeriod
+		})
 		if !isCold {
 			continue
 		}
-		list := append(recent[a.Instance], a.At)
-		for a.At-list[0] > time.Second {
-			list = list[1:]
+		window := append(recent[a.Instance], a.At)
+		for a.At-window[0] > coldWindow {
+			window = window[1:]
 		}
-		recent[a.Instance] = list
-		v.Count = max(v.Count, len(list))
-		if len(list) > coldLimit {
-			v.addViolation("cold %s got %d requests in the second before %v", a.Instance, len(list), a.At)
+		recent[a.Instance] = window
+		v.Count = max(v.Count, len(window))
+		if len(window) > coldLimit {
+			v.addViolation("cold %s got %d requests in the %v before %v", a.Instance, len(window), coldWindow, a.At)
 		}
 	}
 	return v
 }
 
+// checkEmptied: an emptied zone gets no request emptyBound after the operator was told that it is accepted.
 func checkEmptied(h *History) *Verdict {
 	v := &Verdict{Rule: "emptied", Bound: emptyBound}
-	for i, o := range h.Operators {
-		if o.What != "empty" || o.Status != 200 {
+	for i, empty := range h.Operators {
+		if !empty.isAccepted(OperatorEmpty) {
 			continue
 		}
 		v.Count++
-		until := time.Duration(1<<62 - 1)
-		for _, later := range h.Operators[i+1:] {
-			if later.What == "restore" && later.Zone == o.Zone {
-				until = later.At
-				break
-			}
-		}
+		restoredAt := firstRestore(h.Operators[i+1:], empty.Zone)
 		for _, a := range h.Arrivals {
-			if h.Zones[a.Instance] == o.Zone && a.At > o.End && a.At < until && !a.IsCutOff {
-				v.observe(a.At - o.End)
-				if a.At > o.End+emptyBound {
-					v.addViolation("%s in emptied %s got a request %v after acceptance", a.Instance, o.Zone, a.At-o.End)
-				}
+			isInZone := h.Zones[a.Instance] == empty.Zone
+			if !isInZone || a.At <= empty.End || a.At >= restoredAt || a.IsCutOff {
+				continue
+			}
+			v.observe(a.At - empty.End)
+			if a.At > empty.End+emptyBound {
+				v.addViolation("%s in emptied %s got a request %v after acceptance", a.Instance, empty.Zone, a.At-empty.End)
 			}
 		}
 		for _, r := range h.Replies {
-			if r.Zone == o.Zone && r.At > o.End+emptyBound && r.At < until && !r.IsCutOff {
-				v.addViolation("a caller was sent to a proxy in emptied %s %v after acceptance", o.Zone, r.At-o.End)
+			if r.Zone == empty.Zone && r.At > empty.End+emptyBound && r.At < restoredAt && !r.IsCutOff {
+				v.addViolation("a caller was sent to a proxy in emptied %s %v after acceptance", empty.Zone, r.At-empty.End)
 			}
 		}
 	}
 	return v
 }
 
+// firstRestore tells when an operator first asked to restore a zone, accepted or not.
+func firstRestore(later []OperatorEvent, zone string) time.Duration {
+	for _, o := range later {
+		if o.What == OperatorRestore && o.Zone == zone {
+			return o.At
+		}
+	}
+	return math.MaxInt64
+}
+
+// checkKeys: no two back ends work on requests for one key at the same time.
 func checkKeys(h *History) *Verdict {
 	v := &Verdict{Rule: "keys"}
 	last := map[string]*Arrival{}
@@ -85,10 +101,11 @@
 			continue
 		}
 		v.Count++
-		if was := last[a.Service+a.Key]; was != nil && was.Instance != a.Instance && a.At < was.End {
-			v.addViolation("key %s was served by %s and %s at once at %v", a.Key, was.Instance, a.Instance, a.At)
+		before := last[a.Service+a.Key]
+		if before != nil && before.Instance != a.Instance && a.At < before.End {
+			v.addViolation("key %s was served by %s and %s at once at %v", a.Key, before.Instance, a.Instance, a.At)
 		}
-		if was := last[a.Service+a.Key]; was == nil || a.End > was.End {
+		if before == nil || a.End > before.End {
 			last[a.Service+a.Key] = a
 		}
 	}
--- a/internal/sim/backend_work.go
+++ b/internal/sim/backend_work.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"net/http"
 	"strconv"
 	"strings"
@@ -11,119 +12,195 @@
 	"topazshed/internal/proxy"
 )
 
+const (
+	// headerSend names one sending of a caller, so that the checker can tell copies of it.
+	headerSend = "X-Send"
+	// otherAttempt is the attempt id of an answer that belongs to another request.
+	otherAttempt = "someone-elses"
+	// A request takes workLeast to workLeast+workSpread milliseconds, one keyed request in longWorkOneIn
+	// longWorkLeast to longWorkLeast+longWorkSpread.
+	workLeast, workSpread         = 8, 15
+	longWorkOneIn                 = 30
+	longWorkLeast, longWorkSpread = 500, 5000
+)
+
+// noDeadline is later than every virtual time.
+const noDeadline = time.Duration(math.MaxInt64 / 2)
+
+// backendRequest is one request at a back end.
+type backendRequest struct {
+	fleet   *Fleet
+	backend *Backend
+	from    *Node
+	id      uint64
+	arrival *checker.Arrival
+	// deadline is when a keyed request must no longer run.
+	deadline time.Duration
+	finish   func(proxy.Event)
+}
+
+// receiveRequest hands a request to a back end; finish gets the answer or the error that ends the connection.
 func (f *Fleet) receiveRequest(b *Backend, from *Node, order proxy.Order, method string, finish func(proxy.Event)) {
-	h := order.Header
-	a := &checker.Arrival{At: f.Now, End: f.Now, Service: b.Service, Instance: b.Instance, Path: order.Path, Method: method, Attempt: h.Get(proxy.HeaderAttempt), Send: h.Get("X-Send"),
-		Key: h.Get(proxy.HeaderKey), Proxy: from.Name, IsUnsafe: method != http.MethodGet, IsCutOff: f.isOutOfReach(from)}
-	f.History.Arrivals = append(f.History.Arrivals, a)
+	header := order.Header
+	arrival := &checker.Arrival{
+		At:       f.Now,
+		End:      f.Now,
+		Service:  b.Service,
+		Instance: b.Instance,
+		Path:     order.Path,
+		Method:   method,
+		Attempt:  header.Get(proxy.HeaderAttempt),
+		Send:     header.Get(headerSend),
+		Key:      header.Get(proxy.HeaderKey),
+		Proxy:    from.Name,
+		IsUnsafe: method != http.MethodGet,
+		IsCutOff: f.isOutOfReach(from),
+	}
+	f.History.Arrivals = append(f.History.Arrivals, arrival)
 	f.eventCount++
-	id := f.eventCount
-	b.openRequests[id] = func(err error) { finish(proxy.Event{Kind: proxy.EventAnswered, Err: err, IsTouched: true}) }
-	answer := func(status int, text string, mode Mode) {
-		take := b.openRequests[id]
-		delete(b.openRequests, id)
-		if take == nil {
-			return
-		}
-		o := &proxy.Result{Status: status, Body: []byte(text), Header: http.Header{}}
-		a.Digest = proxy.Seal(o.Body)
-		o.Header.Set(proxy.HeaderAttempt, a.Attempt)
-		o.Header.Set(proxy.HeaderService, b.Service)
-		o.Header.Set(proxy.HeaderInstance, b.Instance)
-		o.Header.Set(proxy.HeaderDigest, a.Digest)
-		e := proxy.Event{Kind: proxy.EventAnswered, Result: o, IsTouched: true}
-		switch mode {
-		case ModeLose:
-			e = proxy.Event{Kind: proxy.EventAnswered, Err: fmt.Errorf("connection reset"), IsTouched: true}
-		case ModeCut:
-			e = proxy.Event{Kind: proxy.EventAnswered, Err: fmt.Errorf("outcome cut short"), IsTouched: true}
-			if f.Options.Fault == "seal" {
-				e = proxy.Event{Kind: proxy.EventAnswered, Result: o, IsTouched: true}
-				o.Body = o.Body[:len(o.Body)/2]
-			}
-		case ModeGarbage:
-			o.Body = []byte(strings.Repeat("?#", 60))
-		case ModeForeign:
-			o.Body = []byte(strings.ReplaceAll(text, a.Attempt, "someone-elses"))
-			o.Header.Set(proxy.HeaderAttempt, "someone-elses")
-			o.Header.Set(proxy.HeaderDigest, proxy.Seal(o.Body))
-		}
-		if f.Options.Fault == "seal" && e.Result != nil {
-			o.Header.Set(proxy.HeaderAttempt, a.Attempt)
-			o.Header.Set(proxy.HeaderDigest, proxy.Seal(o.Body))
-		}
-		f.after(500*time.Microsecond, func() {
-			if !f.cuts[[2]string{b.Instance, from.Name}] {
-				finish(e)
-			}
-		})
+	r := &backendRequest{
+		fleet:    f,
+		backend:  b,
+		from:     from,
+		id:       f.eventCount,
+		arrival:  arrival,
+		deadline: noDeadline,
+		finish:   finish,
 	}
-	if h.Get(proxy.HeaderService) != b.Service || h.Get(proxy.HeaderInstance) != b.Instance {
-		answer(http.StatusMisdirectedRequest, "not me", ModeGood)
+	b.openRequests[r.id] = func(err error) { finish(failedEvent(err)) }
+	if header.Get(proxy.HeaderService) != b.Service || header.Get(proxy.HeaderInstance) != b.Instance {
+		r.answer(http.StatusMisdirectedRequest, "not me", ModeGood)
 		return
 	}
-	holds := time.Duration(1<<62 - 1)
-	if a.Key != "" {
-		left, err := strconv.Atoi(h.Get(proxy.HeaderWait))
+	if arrival.Key != "" {
+		left, err := strconv.Atoi(header.Get(proxy.HeaderWait))
 		if err != nil {
-			f.addViolation("a keyed leg told %s no wait", b.Instance)
+			f.addViolation("a keyed attempt told %s no wait", b.Instance)
 		}
-		holds = f.Now + time.Duration(left)*time.Millisecond
-	}
-	work := func() {
-		if f.Now >= holds {
-			b.done()
-			answer(http.StatusConflict, "no longer held", ModeGood)
-			return
-		}
-		a.IsRun = true
-		b.running[a] = true
-		span := time.Duration(8+f.random.Intn(15)) * time.Millisecond
-		if a.Key != "" && f.random.Intn(30) == 0 {
-			span = time.Duration(500+f.random.Intn(5000)) * time.Millisecond
-		}
-		if f.Now < b.coldUntil {
-			span *= coldSlowdown
-		}
-		if b.Mode == ModeSlow {
-			span *= 20
-		}
-		span += max(0, b.frozenUntil-f.Now)
-		span = min(span, holds-f.Now)
-		a.End = f.Now + span
-		mode := b.Mode
-		f.after(span, func() { f.finishWork(b, a, mode, answer) })
+		r.deadline = f.Now + time.Duration(left)*time.Millisecond
 	}
 	if b.working >= backendWorkers {
-		b.queue = append(b.queue, work)
+		b.queue = append(b.queue, r.work)
 		return
 	}
 	b.working++
-	work()
+	r.work()
 }
 
-func (f *Fleet) finishWork(b *Backend, a *checker.Arrival, mode Mode, answer func(int, string, Mode)) {
-	if !b.running[a] {
+// failedEvent tells a request state machine that an attempt broke after it was written.
+func failedEvent(err error) proxy.Event {
+	return proxy.Event{Kind: proxy.EventAnswered, Err: err, IsTouched: true}
+}
+
+// work occupies a worker for the time that the request takes.
+func (r *backendRequest) work() {
+	f, b, arrival := r.fleet, r.backend, r.arrival
+	if f.Now >= r.deadline {
+		b.releaseWorker()
+		r.answer(http.StatusConflict, "no longer held", ModeGood)
+		return
+	}
+	arrival.IsRun = true
+	b.running[arrival] = true
+	span := min(r.drawSpan(), r.deadline-f.Now)
+	arrival.End = f.Now + span
+	mode := b.Mode
+	f.after(span, func() { r.finishWork(mode) })
+}
+
+// drawSpan draws how long the back end works on the request.
+func (r *backendRequest) drawSpan() time.Duration {
+	f, b := r.fleet, r.backend
+	span := time.Duration(workLeast+f.random.Intn(workSpread)) * time.Millisecond
+	if r.arrival.Key != "" && f.random.Intn(longWorkOneIn) == 0 {
+		span = time.Duration(longWorkLeast+f.random.Intn(longWorkSpread)) * time.Millisecond
+	}
+	if f.Now < b.coldUntil {
+		span *= coldSlowdown
+	}
+	if b.Mode == ModeSlow {
+		span *= slowSlowdown
+	}
+	return span + max(0, b.frozenUntil-f.Now)
+}
+
+// finishWork answers the request, after the thaw if the back end is frozen, and not at all if it has crashed since.
+func (r *backendRequest) finishWork(mode Mode) {
+	f, b, arrival := r.fleet, r.backend, r.arrival
+	if !b.running[arrival] {
 		return
 	}
 	if f.Now < b.frozenUntil {
-		if a.Key == "" {
-			a.End = b.frozenUntil
+		if arrival.Key == "" {
+			arrival.End = b.frozenUntil
 		}
-		f.after(b.frozenUntil-f.Now, func() { f.finishWork(b, a, mode, answer) })
+		f.after(b.frozenUntil-f.Now, func() { r.finishWork(mode) })
+		return
+	}
+	delete(b.running, arrival)
+	r.answer(http.StatusOK, fmt.Sprintf(`{"service":%q,"path":%q,"attempt":%q}`, b.Service, arrival.Path, arrival.Attempt), mode)
+	b.releaseWorker()
+}
+
+// releaseWorker gives a worker to the next request in the queue.
+func (b *Backend) releaseWorker() {
+	if len(b.queue) == 0 {
+		b.working--
 		return
 	}
-	delete(b.running, a)
-	answer(http.StatusOK, fmt.Sprintf(`{"service":%q,"path":%q,"attempt":%q}`, b.Service, a.Path, a.Attempt), mode)
-	b.done()
+	next := b.queue[0]
+	b.queue = b.queue[1:]
+	next()
 }
 
-func (b *Backend) done() {
-	if len(b.queue) > 0 {
-		next := b.queue[0]
-		b.queue = b.queue[1:]
-		next()
+// answer sends an answer back, spoilt as the mode says, unless the connection has ended.
+func (r *backendRequest) answer(status int, text string, mode Mode) {
+	f, b := r.fleet, r.backend
+	if b.openRequests[r.id] == nil {
 		return
 	}
-	b.working--
+	delete(b.openRequests, r.id)
+	event := r.spoil(r.result(status, text), mode)
+	f.after(backendDelay, func() {
+		if !f.links.isCut(b.Instance, r.from.Name) {
+			r.finish(event)
+		}
+	})
+}
+
+// result makes a whole answer with its digest and notes the digest in the history.
+func (r *backendRequest) result(status int, text string) *proxy.Result {
+	result := &proxy.Result{Status: status, Body: []byte(text), Header: http.Header{}}
+	r.arrival.Digest = proxy.Seal(result.Body)
+	result.Header.Set(proxy.HeaderAttempt, r.arrival.Attempt)
+	result.Header.Set(proxy.HeaderService, r.backend.Service)
+	result.Header.Set(proxy.HeaderInstance, r.backend.Instance)
+	result.Header.Set(proxy.HeaderDigest, r.arrival.Digest)
+	return result
+}
+
+// spoil gives what arrives of an answer under a mode. FaultSeal makes the digest fit whatever that is.
+func (r *backendRequest) spoil(result *proxy.Result, mode Mode) proxy.Event {
+	isSealForged := r.fleet.Options.Fault == FaultSeal
+	event := proxy.Event{Kind: proxy.EventAnswered, Result: result, IsTouched: true}
+	switch mode {
+	case ModeLose:
+		return failedEvent(fmt.Errorf("connection reset"))
+	case ModeCut:
+		if !isSealForged {
+			return failedEvent(fmt.Errorf("answer cut short"))
+		}
+		result.Body = result.Body[:len(result.Body)/2]
+	case ModeGarbage:
+		result.Body = []byte(strings.Repeat("?#", 60))
+	case ModeForeign:
+		result.Body = []byte(strings.ReplaceAll(string(result.Body), r.arrival.Attempt, otherAttempt))
+		result.Header.Set(proxy.HeaderAttempt, otherAttempt)
+		result.Header.Set(proxy.HeaderDigest, proxy.Seal(result.Body))
+	}
+	if isSealForged {
+		result.Header.Set(proxy.HeaderAttempt, r.arrival.Attempt)
+		result.Header.Set(proxy.HeaderDigest, proxy.Seal(result.Body))
+	}
+	return event
 }
--- a/internal/sim/caller.go
+++ b/internal/sim/caller.go
@@ -9,46 +9,67 @@
 	"time"
 
 	"topazshed/internal/checker"
-	"topazshed/internal/constants"
-	"topazshed/internal/directory"
 	"topazshed/internal/proxy"
 )
 
-type cachedMatch struct {
-	match    *directory.Match
-	until    time.Duration
-	isCutOff bool
-}
+const (
+	// maxSends bounds how often a caller sends one attempt id.
+	maxSends = 40
+	// safeLimit is how long a caller waits for one answer to a safe request.
+	safeLimit = 2 * time.Second
+	// unmatchedPause is how long a caller waits when no directory answered.
+	unmatchedPause = 300 * time.Millisecond
+	// A caller pauses for backoffLeast to backoffLeast+backoffStep*n milliseconds, n the sends so far, at most backoffMost.
+	backoffLeast, backoffStep, backoffMost = 100, 100, 6
+	// retryAfterSpread spreads callers that were told the same Retry-After, in milliseconds.
+	retryAfterSpread = 200
+)
 
-// Ask is what a simulated caller wants.
+// CallerRequest is what a simulated caller wants.
 type CallerRequest struct {
 	Attempt, Method, Service, Path, Region, Key string
-	Wait                                        time.Duration
-	IsSentTwice                                 bool
-	Age                                         time.Duration
+	// Wait is how long the caller waits in all.
+	Wait time.Duration
+	// IsSentTwice tells that another caller sends the same attempt id.
+	IsSentTwice bool
+	// Age is the age of the attempt id that the caller tells, or 0.
+	Age time.Duration
 }
 
-func (a CallerRequest) isUnsafe() bool { return a.Method != http.MethodGet }
+func (r CallerRequest) isUnsafe() bool { return r.Method != http.MethodGet }
 
-// Request is one simulated sending; done is told its response: sealed, refused, doubtful, unreached, broken or late.
-func (f *Fleet) Request(attempt, method, service, path string, region string, wait time.Duration, done func(result string)) {
-	f.send(CallerRequest{Attempt: attempt, Method: method, Service: service, Path: path, Region: region, Wait: wait}, 1, func(r *checker.Reply) {
+// matchKey names the directory answer that the request can use.
+func (r CallerRequest) matchKey() string { return r.Region + "/" + r.Service + r.Path }
+
+// sending is one sending of a request, from the directory to the proxy's answer.
+type sending struct {
+	fleet    *Fleet
+	request  CallerRequest
+	serial   int
+	deadline time.Duration
+	// done gets the reply, or nil if no directory answered.
+	done func(*checker.Reply)
+}
+
+// Request sends one request once; done is told its result: sealed, declined, doubtful, unreached, lost, dial or late.
+func (f *Fleet) Request(request CallerRequest, done func(result string)) {
+	f.send(request, 1, func(reply *checker.Reply) {
 		switch {
-		case r == nil:
+		case reply == nil:
 			done("unreached")
-		case r.Result != "":
-			done(r.Result)
+		case reply.Result != "":
+			done(reply.Result)
 		default:
-			done(r.Broken)
+			done(reply.Broken)
 		}
 	})
 }
 
-func (f *Fleet) send(a CallerRequest, serial int, done func(*checker.Reply)) {
-	name := a.Region + "/" + a.Service + a.Path
-	until := f.Now + a.Wait
-	if m := f.cachedMatches[name]; m != nil && f.Now < m.until {
-		f.post(a, serial, m, until, done)
+// send sends a request once, to a proxy that the caller knows or asks a directory for.
+func (f *Fleet) send(request CallerRequest, serial int, done func(*checker.Reply)) {
+	s := &sending{fleet: f, request: request, serial: serial, deadline: f.Now + request.Wait, done: done}
+	if cached := f.cachedMatches[request.matchKey()]; cached != nil && f.Now < cached.until {
+		s.post(cached)
 		return
 	}
 	var options []*Node
@@ -62,191 +83,175 @@
 		return
 	}
 	n := options[f.random.Intn(len(options))]
-	f.after(f.callerDelay(a.Region, n), func() { f.match(n, n.Boot, a, serial, until, 0, done) })
+	f.after(f.callerDelay(request.Region, n), func() { s.askDirectory(n) })
 }
 
-func (f *Fleet) callerDelay(region string, n *Node) time.Duration {
-	if region == n.Region {
-		return 500 * time.Microsecond
+// post sends the request to one of the proxies that a directory named.
+func (s *sending) post(cached *cachedMatch) {
+	f, request := s.fleet, s.request
+	chosen := cached.match.Proxies[f.random.Intn(len(cached.match.Proxies))]
+	n := f.Node(strings.TrimSuffix(chosen.Address, proxySuffix))
+	left := s.deadline - f.Now
+	reply := &checker.Reply{
+		At:       f.Now,
+		Service:  request.Service,
+		Path:     request.Path,
+		Method:   request.Method,
+		Attempt:  request.Attempt,
+		Send:     fmt.Sprintf("%s/%d", request.Attempt, s.serial),
+		Zone:     chosen.Zone,
+		Proxy:    chosen.Address,
+		IsUnsafe: request.isUnsafe(),
+		IsProper: true,
+		IsCutOff: cached.isCutOff || f.isOutOfReach(n),
+	}
+	limit := left
+	if !reply.IsUnsafe {
+		limit = min(limit, safeLimit)
 	}
-	return regionDelay(region, n.Region)
-}
-
-func (f *Fleet) match(n *Node, boot int, a CallerRequest, serial int, until, parked time.Duration, done func(*checker.Reply)) {
 	isOver := false
-	f.after(min(time.Second, max(until-f.Now, 0)), func() {
+	finish := func(result *proxy.Result, broken string) {
 		if !isOver {
 			isOver = true
-			done(nil)
+			s.finish(reply, result, broken)
 		}
-	})
-	var try func()
-	try = func() {
-		f.on(n, boot, func() {
-			if isOver {
-				return
-			}
-			match, fault, wanted := directory.Decide(f.clock(n), f.faultyLocal(n), a.Region, a.Service, a.Path, parked, n.random.Int63n)
-			if wanted != "" {
-				n.machine.Want(f.clock(n), wanted)
-				f.perform(n)
-			}
-			if match == nil && fault == nil {
-				parked += constants.ParkStep
-				f.after(constants.ParkStep, try)
-				return
-			}
-			isOver = true
-			seen := checker.MatchSeen{At: f.Now, Admin: n.Name, Service: a.Service, Path: a.Path, Status: http.StatusOK, Boot: boot, IsCutOff: f.isOutOfReach(n)}
-			f.after(f.callerDelay(a.Region, n), func() {
-				if fault != nil {
-					seen.Status = fault.Status
-					f.History.Matches = append(f.History.Matches, seen)
-					done(&checker.Reply{At: f.Now, End: f.Now, Attempt: a.Attempt, Service: a.Service, Path: a.Path, Result: proxy.ResultRefused, Kind: fault.Kind, Status: fault.Status, RetryAfter: fault.RetryAfter, IsCutOff: seen.IsCutOff})
-					return
-				}
-				seen.Version, seen.Zone = match.Version, match.Proxies[0].Zone
-				f.History.Matches = append(f.History.Matches, seen)
-				m := &cachedMatch{match, f.Now + time.Duration(match.LiveMilli)*time.Millisecond, seen.IsCutOff}
-				f.cachedMatches[a.Region+"/"+a.Service+a.Path] = m
-				f.post(a, serial, m, until, done)
-			})
+	}
+	f.after(limit, func() { finish(nil, checker.BrokenLate) })
+	httpRequest, err := request.httpRequest(n.Name, cached.match.Origin, reply.Send, left)
+	if err != nil {
+		f.addViolation("a caller has path %q", request.Path)
+		return
+	}
+	delay := f.callerDelay(request.Region, n)
+	f.after(delay, func() {
+		if !n.IsUp && n.isUnresponsive {
+			return
+		}
+		f.startRequest(n, httpRequest, func(result *proxy.Result, broken string) {
+			f.after(delay, func() { finish(result, broken) })
 		})
+	})
+}
+
+// httpRequest makes the request as a proxy reads it.
+func (r CallerRequest) httpRequest(host, origin, send string, left time.Duration) (*http.Request, error) {
+	target, err := url.Parse("http://" + host + "/" + r.Service + r.Path)
+	if err != nil {
+		return nil, err
+	}
+	header := http.Header{}
+	header.Set(proxy.HeaderAttempt, r.Attempt)
+	header.Set(proxy.HeaderWait, strconv.FormatInt(max(1, left.Milliseconds()), 10))
+	header.Set(proxy.HeaderOrigin, origin)
+	header.Set(headerSend, send)
+	if r.Age > 0 {
+		header.Set(proxy.HeaderAge, strconv.FormatInt(r.Age.Milliseconds()+1, 10))
 	}
-	try()
+	if r.Key != "" {
+		header.Set(proxy.HeaderKey, r.Key)
+	}
+	return &http.Request{Method: r.Method, URL: target, Header: header}, nil
 }
 
-func (f *Fleet) post(a CallerRequest, serial int, m *cachedMatch, until time.Duration, done func(*checker.Reply)) {
-	match := m.match
-	chosen := match.Proxies[f.random.Intn(len(match.Proxies))]
-	n := f.Node(strings.TrimSuffix(chosen.Address, ":p"))
-	left := until - f.Now
-	r := &checker.Reply{At: f.Now, Service: a.Service, Path: a.Path, Method: a.Method, Attempt: a.Attempt, Send: fmt.Sprintf("%s/%d", a.Attempt, serial), Zone: chosen.Zone, Proxy: chosen.Address,
-		IsUnsafe: a.isUnsafe(), IsProper: true, IsCutOff: m.isCutOff || f.isOutOfReach(n)}
-	limit := left
-	if !r.IsUnsafe {
-		limit = min(limit, 2*time.Second)
+// finish notes the reply in the history and hands it on.
+func (s *sending) finish(reply *checker.Reply, result *proxy.Result, broken string) {
+	reply.End, reply.Broken = s.fleet.Now, broken
+	if result != nil {
+		reply.ReadAnswer(result.Status, result.Header, result.Body)
 	}
-	isOver := false
-	end := func(o *proxy.Result, broken string) {
-		if isOver {
-			return
-		}
-		isOver = true
-		r.End, r.Broken = f.Now, broken
-		if o != nil {
-			r.Status, r.Result = o.Status, o.Header.Get(proxy.HeaderOutcome)
-			if r.Result == proxy.ResultSealed {
-				if r.Digest = proxy.Seal(o.Body); o.Header.Get(proxy.HeaderAttempt) != a.Attempt || o.Status == http.StatusOK && !strings.Contains(string(o.Body), `"attempt":"`+a.Attempt+`"`) {
-					r.Digest = "not for this attempt"
-				}
-			} else if _, text, isCut := strings.Cut(string(o.Body), `"kind":"`); isCut {
-				r.Kind, _, _ = strings.Cut(text, `"`)
-			}
-			if seconds, err := strconv.Atoi(o.Header.Get("Retry-After")); err == nil {
-				r.RetryAfter = time.Duration(seconds) * time.Second
-			}
-		}
-		f.History.Replies = append(f.History.Replies, r)
-		done(r)
+	s.fleet.History.Replies = append(s.fleet.History.Replies, reply)
+	s.done(reply)
+}
+
+// attempt is a caller's whole undertaking: one attempt id, sent until a result is final or the wait is over.
+type attempt struct {
+	fleet    *Fleet
+	request  CallerRequest
+	call     *checker.Call
+	deadline time.Duration
+	// isAmbiguous tells that an earlier sending, or another caller's, may have run.
+	isAmbiguous bool
+	// last is the result if the wait is over now.
+	last string
+}
+
+// Attempt carries one attempt id to its end as an honest caller would.
+func (f *Fleet) Attempt(request CallerRequest) {
+	call := &checker.Call{
+		At:       f.Now,
+		Service:  request.Service,
+		Path:     request.Path,
+		Attempt:  request.Attempt,
+		IsUnsafe: request.isUnsafe(),
 	}
-	f.after(limit, func() { end(nil, "late") })
-	target, err := url.Parse("http://" + n.Name + "/" + a.Service + a.Path)
-	if err != nil {
-		f.addViolation("a caller has path %q", a.Path)
+	a := &attempt{
+		fleet:       f,
+		request:     request,
+		call:        call,
+		deadline:    f.Now + request.Wait,
+		isAmbiguous: request.IsSentTwice,
+		last:        checker.ResultNone,
+	}
+	a.send()
+}
+
+// send sends the attempt id once more, if there is time.
+func (a *attempt) send() {
+	f := a.fleet
+	left := a.deadline - f.Now
+	if left <= 0 || a.call.Sends >= maxSends {
+		a.end(a.last)
 		return
 	}
-	request := &http.Request{Method: a.Method, URL: target, Header: http.Header{}}
-	request.Header.Set(proxy.HeaderAttempt, a.Attempt)
-	request.Header.Set(proxy.HeaderWait, strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	request.Header.Set(proxy.HeaderOrigin, match.Origin)
-	request.Header.Set("X-Send", r.Send)
-	if a.Age > 0 {
-		request.Header.Set(proxy.HeaderAge, strconv.FormatInt(a.Age.Milliseconds()+1, 10))
+	a.call.Sends++
+	request := a.request
+	request.Wait = left
+	if a.isAmbiguous && a.call.IsUnsafe {
+		request.Age = f.Now - a.call.At
 	}
-	if a.Key != "" {
-		request.Header.Set(proxy.HeaderKey, a.Key)
+	f.send(request, a.call.Sends, a.receive)
+}
+
+// receive ends the attempt with a reply, or waits and sends it again.
+func (a *attempt) receive(reply *checker.Reply) {
+	f := a.fleet
+	backoff := time.Duration(backoffLeast+f.random.Intn(backoffStep)*min(a.call.Sends, backoffMost)) * time.Millisecond
+	if reply == nil {
+		f.after(unmatchedPause, a.send)
+		return
+	}
+	a.call.LastReason = strings.TrimSpace(reply.Kind + " " + reply.Broken)
+	if reply.Result != checker.ResultSealed {
+		delete(f.cachedMatches, a.request.matchKey())
+	}
+	switch step := checker.NextStep(reply, a.deadline-f.Now); step {
+	case checker.StepEnd:
+		a.end(reply.Result)
+	case checker.StepWait:
+		a.last = checker.ResultDeclined
+		spread := time.Duration(f.random.Intn(retryAfterSpread)) * time.Millisecond
+		f.after(reply.RetryAfter+spread, a.send)
+	case checker.StepBackOff:
+		a.last = checker.ResultNone
+		a.isAmbiguous = true
+		f.after(backoff, a.send)
 	}
-	span := f.callerDelay(a.Region, n)
-	f.after(span, func() {
-		if !n.IsUp && n.isUnresponsive {
-			return
-		}
-		f.startRequest(n, request, func(o *proxy.Result, broken string) {
-			f.after(span, func() { end(o, broken) })
-		})
-	})
 }
 
-// Attempt carries one attempt to its end as an honest caller would.
-func (f *Fleet) Attempt(a CallerRequest) {
-	call := &checker.Call{At: f.Now, Service: a.Service, Path: a.Path, Attempt: a.Attempt, IsUnsafe: a.isUnsafe()}
-	until := f.Now + a.Wait
+// end notes how the attempt ended; a refusal says nothing about an earlier sending that may have run.
+func (a *attempt) end(result string) {
+	f, call := a.fleet, a.call
+	if result == checker.ResultDeclined && a.isAmbiguous {
+		result = checker.ResultDoubtful
+	}
+	call.Result, call.End = result, f.Now
+	f.History.Calls = append(f.History.Calls, call)
 	kind := "safe "
 	if call.IsUnsafe {
 		kind = "unsafe "
 	}
-	isDoubtful := a.IsSentTwice
-	end := func(result string) {
-		if result == "declined" && isDoubtful {
-			result = "doubtful"
-		}
-		call.Result, call.End = result, f.Now
-		f.History.Calls = append(f.History.Calls, call)
-		f.Counts[kind+result]++
-		if result != "sealed" {
-			f.Unserved[kind+result+" "+call.LastReason]++
-		}
-	}
-	last := "none"
-	var try func()
-	try = func() {
-		left := until - f.Now
-		if left <= 0 || call.Sends >= 40 {
-			end(last)
-			return
-		}
-		call.Sends++
-		ask := a
-		ask.Wait = left
-		if isDoubtful && call.IsUnsafe {
-			ask.Age = f.Now - call.At
-		}
-		f.send(ask, call.Sends, func(r *checker.Reply) {
-			pause := time.Duration(100+f.random.Intn(100)*min(call.Sends, 6)) * time.Millisecond
-			if r == nil {
-				f.after(300*time.Millisecond, try)
-				return
-			}
-			call.LastReason = strings.TrimSpace(r.Kind + " " + r.Broken)
-			if r.Result != proxy.ResultSealed {
-				delete(f.cachedMatches, a.Region+"/"+a.Service+a.Path)
-			}
-			switch r.Result {
-			case proxy.ResultSealed:
-				end("sealed")
-				return
-			case proxy.ResultRefused:
-				last = "declined"
-				if r.Status < 500 && r.Status != http.StatusConflict {
-					end("declined")
-					return
-				}
-				if until-f.Now <= r.RetryAfter+50*time.Millisecond {
-					end("declined")
-					return
-				}
-				pause = r.RetryAfter + time.Duration(f.random.Intn(200))*time.Millisecond
-			default:
-				last = "none"
-				isDoubtful = true
-				if call.IsUnsafe && r.Result == proxy.ResultAmbiguous {
-					end("doubtful")
-					return
-				}
-			}
-			f.after(pause, try)
-		})
+	f.Counts[kind+result]++
+	if result != checker.ResultSealed {
+		f.Unserved[kind+result+" "+call.LastReason]++
 	}
-	try()
 }
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -1,34 +1,53 @@
 package sim
 
 import (
-	"fmt"
+	"errors"
 	"math/rand"
 	"strings"
 
 	"topazshed/internal/journal"
 )
 
+// Prefixes of the names of the journal's files.
+const (
+	ringFiles     = "ring"
+	snapshotFiles = "image"
+)
+
+// flippedBit is the bit that Flip damages.
+const flippedBit = 0x40
+
+// errPowerLost is what a disk returns once its power is lost.
+var errPowerLost = errors.New("power lost")
+
+// Disk is a simulated disk that loses what was not synced. It is a journal.Disk in memory.
+type Disk struct {
+	// Syncs counts the syncs that succeeded.
+	Syncs int
+	// Fault, where it is set, fails every write and sync.
+	Fault error
+	// Only, where it is set, restricts Fault to files whose names begin so: ring or image.
+	Only string
+
+	areas map[string]*area
+	// isSyncDeferred makes syncs return before anything is durable; Flush makes it so.
+	isSyncDeferred bool
+	// writesLeft counts down to a loss of power, if it isn't 0.
+	writesLeft int
+}
+
+// write is one write that was not synced yet.
 type write struct {
 	at   int64
 	data []byte
 }
 
+// area is one file: written is what reads see, synced what a loss of power leaves.
 type area struct {
 	name            string
+	disk            *Disk
 	written, synced []byte
 	pending         []write
-	disk            *Disk
-}
-
-// Disk is a simulated disk that loses what was not synced.
-type Disk struct {
-	areas map[string]*area
-	Syncs int
-	Fault error
-	// Only, where it is set, is the one kind of file that Fault strikes: ring or snapshot.
-	Only           string
-	isSyncDeferred bool
-	writesLeft     int
 }
 
 // NewDisk makes an empty disk.
@@ -72,7 +91,7 @@
 func (a *area) fault() error {
 	if a.disk.writesLeft > 0 {
 		if a.disk.writesLeft--; a.disk.writesLeft == 0 {
-			a.disk.Fault, a.disk.Only = fmt.Errorf("power lost"), ""
+			a.disk.Fault, a.disk.Only = errPowerLost, ""
 		}
 	}
 	if a.disk.Fault != nil && strings.HasPrefix(a.name, a.disk.Only) {
@@ -122,15 +141,15 @@
 // Flip damages one byte of a file.
 func (d *Disk) Flip(name string, at int64) {
 	a := d.areas[name]
-	a.written[at] ^= 0x40
-	a.synced[at] ^= 0x40
+	a.written[at] ^= flippedBit
+	a.synced[at] ^= flippedBit
 }
 
 // FlipLast damages the last byte of a file that is not zero.
 func (d *Disk) FlipLast(name string) {
-	live := d.areas[name].written
-	for at := len(live) - 1; at >= 0; at-- {
-		if live[at] != 0 {
+	written := d.areas[name].written
+	for at := len(written) - 1; at >= 0; at-- {
+		if written[at] != 0 {
 			d.Flip(name, int64(at))
 			return
 		}
--- a/internal/sim/event_loop.go
+++ b/internal/sim/event_loop.go
@@ -5,72 +5,76 @@
 	"time"
 )
 
+// thawDelay is how long after the end of a freeze a machine handles what it missed.
+const thawDelay = time.Microsecond
+
+// event is a function that is due at a virtual time; events of one time run in the order of their scheduling.
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at     time.Duration
+	number uint64
+	run    func()
 }
 
-type events []*event
+// eventQueue is a heap of events, the next one first.
+type eventQueue []*event
 
-func (e events) Len() int { return len(e) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (e events) Less(a, b int) bool {
-	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].order < e[b].order
+func (q eventQueue) Less(a, b int) bool {
+	return q[a].at < q[b].at || q[a].at == q[b].at && q[a].number < q[b].number
 }
 
-func (e events) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
+func (q eventQueue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
 
-func (e *events) Push(x any) { *e = append(*e, x.(*event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(*event)) }
 
-func (e *events) Pop() any {
-	old := *e
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*e = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
-func (f *Fleet) after(d time.Duration, do func()) {
+// after schedules a function for the time after a delay.
+func (f *Fleet) after(delay time.Duration, run func()) {
 	f.eventCount++
-	heap.Push(&f.queue, &event{f.Now + d, f.eventCount, do})
+	heap.Push(&f.queue, &event{at: f.Now + delay, number: f.eventCount, run: run})
 }
 
-// Run works until a virtual time.
+// Run handles the events that are due until a virtual time and sets the clock to it.
 func (f *Fleet) Run(until time.Duration) {
 	for len(f.queue) > 0 && f.queue[0].at <= until {
-		e := heap.Pop(&f.queue).(*event)
-		f.Now = e.at
-		e.do()
+		next := heap.Pop(&f.queue).(*event)
+		f.Now = next.at
+		next.run()
 	}
 	f.Now = until
 }
 
-// RunFor works for a span of virtual time.
-func (f *Fleet) RunFor(d time.Duration) { f.Run(f.Now + d) }
+// RunFor runs the fleet for a span of virtual time.
+func (f *Fleet) RunFor(span time.Duration) { f.Run(f.Now + span) }
 
+// clock gives a machine's monotonic clock, which has an offset and a rate of its own.
 func (f *Fleet) clock(n *Node) time.Duration {
 	return n.clockOffset + time.Duration(float64(f.Now)*n.clockRate)
 }
 
-func (f *Fleet) on(n *Node, boot int, do func()) {
-	if !n.IsUp || n.Boot != boot {
-		return
-	}
-	if f.Now < n.frozenUntil {
-		f.after(n.frozenUntil-f.Now+time.Microsecond, func() { f.on(n, boot, do) })
-		return
-	}
-	do()
-	f.checkNode(n)
+// onNode runs a function on a machine's process and checks the machine's invariants after it.
+func (f *Fleet) onNode(n *Node, boot int, run func()) {
+	f.whenAwake(n, boot, func() {
+		run()
+		f.checkNode(n)
+	})
 }
 
-func (f *Fleet) onWire(n *Node, boot int, do func()) {
+// whenAwake runs a function once the machine isn't frozen. It is dropped if the process of that boot has ended.
+func (f *Fleet) whenAwake(n *Node, boot int, run func()) {
 	if !n.IsUp || n.Boot != boot {
 		return
 	}
 	if f.Now < n.frozenUntil {
-		f.after(n.frozenUntil-f.Now+time.Microsecond, func() { f.onWire(n, boot, do) })
+		f.after(n.frozenUntil-f.Now+thawDelay, func() { f.whenAwake(n, boot, run) })
 		return
 	}
-	do()
+	run()
 }
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -8,58 +8,108 @@
 	"topazshed/internal/store"
 )
 
-// Fault is a protection that can be switched off, the scenario that then shows it, and the rule or invariant whose check must fail.
-type Fault struct{ Name, Description, Scenario, Violation string }
+// FaultName names a protection that can be switched off; empty means that all are on. The names are those of the
+// command line (testfleet sim -fault NAME).
+type FaultName string
 
-// Faults are the deliberate ones, at least one for each rule.
+// The faults that can be injected.
+const (
+	FaultReservations FaultName = "claims"
+	FaultLeases       FaultName = "grants"
+	FaultTouched      FaultName = "touched"
+	FaultSeal         FaultName = "seal"
+	FaultIdentity     FaultName = "identity"
+	FaultStale        FaultName = "stale"
+	FaultReadBack     FaultName = "read-back"
+	FaultRace         FaultName = "race"
+	FaultUnsynced     FaultName = "unsynced"
+	FaultStop         FaultName = "stop"
+	FaultBudget       FaultName = "budget"
+	FaultCold         FaultName = "cold"
+	FaultHome         FaultName = "home"
+	FaultKeys         FaultName = "keys"
+)
+
+// staleAge is how old the state is that machines decide on under FaultStale.
+const staleAge = 12 * time.Second
+
+// Fault is an injected fault, a scenario that shows it, and part of the violation that must then be found.
+type Fault struct {
+	Name        FaultName
+	Description string
+	Scenario    string
+	Violation   string
+}
+
+// Faults are the injected faults, at least one for each rule of the checker.
 var Faults = []Fault{
-	{"claims", "keepers take every claim", "calm", "rule once"},
-	{"grants", "proxies act as if they always held a grant", "region-cut", "began under"},
-	{"grants", "proxies act as if they always held a grant", "region-cut", "rule once"},
-	{"touched", "a proxy forgets that a leg was written", "bad-outcomes", "rule once"},
-	{"seal", "seals are made to fit whatever came", "bad-outcomes", "rule sealed"},
-	{"identity", "connections are used without proof", "reuse", "rule allowed"},
-	{"stale", "nodes decide on an image that is 12 s old", "release", "rule gone"},
-	{"stale", "nodes decide on an image that is 12 s old", "puts", "rule effect"},
-	{"stale", "nodes decide on an image that is 12 s old", "emptied", "rule emptied"},
-	{"read-back", "the door tells an older version", "puts", "rule read-back"},
-	{"race", "a put's base is forged", "puts", "rule read-back"},
-	{"unsynced", "disks tell of syncs that were none", "all-killed", "two leaders in term"},
-	{"stop", "a planned stop does not wait", "rolling", "rule dropped"},
-	{"budget", "the repeat budget counts first legs twenty times", "bad-outcomes", "rule repeats"},
-	{"cold", "proxies see neither the cold mark nor that a back end refused them", "all-cold", "rule cold"},
-	{"home", "proxies take every back end as near", "calm", "rule home"},
-	{"keys", "nodes do not tell of their running keyed legs", "release", "rule keys"},
+	{FaultReservations, "replicas accept every reservation", "calm", "rule once"},
+	{FaultLeases, "proxies act as if they always held a lease", "region-cut", "began under"},
+	{FaultLeases, "proxies act as if they always held a lease", "region-cut", "rule once"},
+	{FaultTouched, "a proxy forgets that an attempt was written", "bad-outcomes", "rule once"},
+	{FaultSeal, "digests are made to fit whatever came", "bad-outcomes", "rule sealed"},
+	{FaultIdentity, "connections are used without proof of identity", "reuse", "rule allowed"},
+	{FaultStale, "nodes decide on a snapshot that is 12 s old", "release", "rule gone"},
+	{FaultStale, "nodes decide on a snapshot that is 12 s old", "puts", "rule effect"},
+	{FaultStale, "nodes decide on a snapshot that is 12 s old", "emptied", "rule emptied"},
+	{FaultReadBack, "the admin API gives an older version", "puts", "rule read-back"},
+	{FaultRace, "a put's base is forged", "puts", "rule read-back"},
+	{FaultUnsynced, "disks report syncs that didn't happen", "all-killed", "two leaders in term"},
+	{FaultStop, "a planned stop does not wait", "rolling", "rule dropped"},
+	{FaultBudget, "the retry budget counts first attempts twenty times", "bad-outcomes", "rule repeats"},
+	{FaultCold, "proxies see neither the cold mark nor that a back end refused them", "all-cold", "rule cold"},
+	{FaultHome, "proxies take every back end as near", "calm", "rule home"},
+	{FaultKeys, "nodes do not report their running keyed attempts", "release", "rule keys"},
 }
 
+// faultyLocal gives the state on which a machine's proxy and directory decide, with the fault that is injected into it.
 func (f *Fleet) faultyLocal(n *Node) *controlplane.Local {
 	local := n.machine.Local()
 	switch f.Options.Fault {
-	case "grants":
+	case FaultLeases:
 		local.LeaseUntil = f.clock(n) + time.Hour
-	case "stale":
-		old := f.stale[n.Name]
-		if old == nil || f.staleFrom == 0 || f.clock(n)-old.TickAt > 12*time.Second || old.View.Head.Version == 0 {
-			copied := *local
-			f.stale[n.Name], old = &copied, &copied
-		}
-		local.View = old.View
-	case "cold", "home":
-		view := *local.View
-		view.Services = map[string]*store.Service{}
-		for name, service := range local.View.Services {
-			copied := *service
-			copied.Backends = nil
-			for _, b := range service.Backends {
-				row := &schema.Backend{Service: b.Service, Instance: b.Instance, Address: b.Address, Zone: b.Zone, State: b.State, Failing: b.Failing, Cold: b.Cold && f.Options.Fault != "cold"}
-				if f.Options.Fault == "home" {
-					row.Zone = n.Zone
-				}
-				copied.Backends = append(copied.Backends, row)
+	case FaultStale:
+		local.View = f.staleView(n, local)
+	case FaultCold, FaultHome:
+		local.View = misreadBackends(local.View, n.Zone, f.Options.Fault)
+	}
+	return local
+}
+
+// staleView gives a view that is up to staleAge old, once the load has begun.
+func (f *Fleet) staleView(n *Node, local *controlplane.Local) *store.View {
+	old := f.staleLocals[n.Name]
+	if old == nil || f.staleFrom == 0 || f.clock(n)-old.TickAt > staleAge || old.View.Head.Version == 0 {
+		copied := *local
+		old = &copied
+		f.staleLocals[n.Name] = old
+	}
+	return old.View
+}
+
+// misreadBackends gives a view whose back ends are never cold (FaultCold) or all in one zone (FaultHome).
+func misreadBackends(view *store.View, zone string, fault FaultName) *store.View {
+	misread := *view
+	misread.Services = map[string]*store.Service{}
+	for name, service := range view.Services {
+		copied := *service
+		copied.Backends = nil
+		for _, b := range service.Backends {
+			row := &schema.Backend{
+				Service:  b.Service,
+				Instance: b.Instance,
+				Address:  b.Address,
+				Zone:     b.Zone,
+				State:    b.State,
+				Failing:  b.Failing,
+				Cold:     b.Cold && fault != FaultCold,
+			}
+			if fault == FaultHome {
+				row.Zone = zone
 			}
-			view.Services[name] = &copied
+			copied.Backends = append(copied.Backends, row)
 		}
-		local.View = &view
+		misread.Services[name] = &copied
 	}
-	return local
+	return &misread
 }
--- a/internal/sim/helpers_test.go
+++ b/internal/sim/helpers_test.go
@@ -7,16 +7,6 @@
 	"slices"
 )
 
-// Find gives the scenario of that name, or nil.
-func Find(name string) *Scenario {
-	for i := range Scenarios {
-		if Scenarios[i].Name == name {
-			return &Scenarios[i]
-		}
-	}
-	return nil
-}
-
 // Digest sums up the history so that two runs of one seed can be compared.
 func (f *Fleet) Digest() string {
 	sum := sha256.New()
@@ -33,7 +23,7 @@
 	return fmt.Sprintf("%x", sum.Sum(nil)[:8])
 }
 
-// Holds tells whether every running machine has the rows of a service's entries and of the newest configuration.
+// Holds tells whether a machine has an entry of a service.
 func (f *Fleet) Holds(n *Node, service, path string) bool {
 	view := n.machine.Local().View
 	return view.Services[service] != nil && view.Services[service].Entry(path) != nil
--- a/internal/sim/operator.go
+++ b/internal/sim/operator.go
@@ -1,6 +1,7 @@
 package sim
 
 import (
+	"net/http"
 	"strings"
 	"time"
 
@@ -12,128 +13,158 @@
 	"topazshed/internal/schema"
 )
 
-func (f *Fleet) answer(n *Node, o controlplane.LocalResponse) {
-	if take := n.pendingCalls[o.Ticket]; take != nil {
-		delete(n.pendingCalls, o.Ticket)
-		take(&schema.Frame{Body: &schema.Frame_OperatorResponse{OperatorResponse: o.Response}})
-	}
+const (
+	// operatorPoll is how often an operator looks for an answer, operatorWait how long it waits for a configuration's
+	// and zoneWait for a zone's.
+	operatorPoll = 10 * time.Millisecond
+	operatorWait = 7 * time.Second
+	zoneWait     = time.Second
+	// zoneTries and zonePause bound how often emptying or restoring a zone is tried.
+	zoneTries = 60
+	zonePause = 200 * time.Millisecond
+	// forgedDelay bounds how late a put goes out under FaultRace.
+	forgedDelay = 1500
+	// refusedStatus is the status under which a refusal is noted, plus its kind.
+	refusedStatus = 400
+)
+
+// operatorCall is an operator's request under way.
+type operatorCall struct {
+	node    *Node
+	begun   time.Duration
+	base    uint64
+	request *schema.OperatorRequest
 }
 
-// Operate sends an operator's request to a machine and keeps what was told.
+// answer hands the control machine's answer to the operator that waits for it.
+func (f *Fleet) answer(n *Node, local controlplane.LocalResponse) {
+	n.resolve(local.Ticket, &schema.Frame{Body: &schema.Frame_OperatorResponse{OperatorResponse: local.Response}})
+}
+
+// Operate sends an operator's request to a machine and notes what was answered.
 func (f *Fleet) Operate(n *Node, request *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
-	at := f.Now
-	if f.Options.Fault == "race" && request.Kind == schema.OperatorKind_OPERATOR_PUT {
-		request = proto.Clone(request).(*schema.OperatorRequest)
-		f.after(time.Duration(f.random.Intn(1500))*time.Millisecond, func() { f.operate(n, at, request, take) })
+	call := operatorCall{node: n, begun: f.Now, base: request.Base, request: request}
+	if f.Options.Fault == FaultRace && request.Kind == schema.OperatorKind_OPERATOR_PUT {
+		call.request = proto.Clone(request).(*schema.OperatorRequest)
+		delay := time.Duration(f.random.Intn(forgedDelay)) * time.Millisecond
+		f.after(delay, func() { f.operate(call, take) })
 		return
 	}
-	f.operate(n, at, request, take)
+	f.operate(call, take)
 }
 
-func (f *Fleet) operate(n *Node, at time.Duration, request *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
-	base := request.Base
-	if f.Options.Fault == "race" {
+func (f *Fleet) operate(call operatorCall, take func(*schema.OperatorResponse)) {
+	n, request := call.node, call.request
+	if f.Options.Fault == FaultRace {
 		request.Base = n.machine.Local().View.Head.Version
-		at = f.Now
+		call.begun = f.Now
 	}
-	f.on(n, n.Boot, func() {
+	f.onNode(n, n.Boot, func() {
 		n.serial++
 		n.pendingCalls[n.serial] = func(frame *schema.Frame) {
-			o := frame.GetOperatorResponse()
-			if f.Options.Fault == "read-back" && o.Version > 1 && request.Kind == schema.OperatorKind_OPERATOR_SHOW {
-				o.Version--
+			response := frame.GetOperatorResponse()
+			isShow := request.Kind == schema.OperatorKind_OPERATOR_SHOW
+			if f.Options.Fault == FaultReadBack && isShow && response.Version > 1 {
+				response.Version--
 			}
-			f.recordOperator(n, at, base, request, o)
-			take(o)
+			f.recordOperator(call, response)
+			take(response)
 		}
 		n.machine.Operate(f.clock(n), n.serial, request)
 		f.perform(n)
 	})
 }
 
-func (f *Fleet) recordOperator(n *Node, at time.Duration, base uint64, request *schema.OperatorRequest, o *schema.OperatorResponse) {
-	e := checker.OperatorEvent{At: at, End: f.Now, Zone: request.Zone, Version: o.Version, Base: base, Status: 200, Node: n.Name}
-	switch request.Kind {
+// recordOperator notes an operator's request and its answer in the history.
+func (f *Fleet) recordOperator(call operatorCall, response *schema.OperatorResponse) {
+	seen := checker.OperatorEvent{
+		At:      call.begun,
+		End:     f.Now,
+		Zone:    call.request.Zone,
+		Version: response.Version,
+		Base:    call.base,
+		Status:  http.StatusOK,
+		Node:    call.node.Name,
+	}
+	switch call.request.Kind {
 	case schema.OperatorKind_OPERATOR_PUT:
-		e.What = "put"
-		var document catalog.Document
-		if document.UnmarshalJSON(request.Document) != nil || strings.Contains(string(request.Document), "nobody") {
-			e.What = "bad-put"
-		}
-		for _, entry := range document.Entries {
-			e.Entries = append(e.Entries, checker.EntrySeen{Service: entry.Service, Path: entry.Path, Methods: entry.Methods, Safe: entry.RepeatSafe, Homes: entry.HomeRegions})
-		}
+		seen.What, seen.Entries = readPut(call.request.Document)
 	case schema.OperatorKind_OPERATOR_SHOW:
-		e.What = "show"
+		seen.What = checker.OperatorShow
 	case schema.OperatorKind_OPERATOR_EMPTY:
-		e.What = "empty"
+		seen.What = checker.OperatorEmpty
 	case schema.OperatorKind_OPERATOR_RESTORE:
-		e.What = "restore"
+		seen.What = checker.OperatorRestore
 	default:
 		return
 	}
-	f.unconfirmed = o.Unconfirmed
-	if o.Refusal != schema.RefusalKind_REFUSAL_NONE {
-		e.Status = 400 + int(o.Refusal)
-	} else if e.What == "put" {
-		f.acceptedVersion = max(f.acceptedVersion, o.Version)
-		f.acceptedAt[o.Version] = f.Now
+	f.unconfirmed = response.Unconfirmed
+	if response.Refusal != schema.RefusalKind_REFUSAL_NONE {
+		seen.Status = refusedStatus + int(response.Refusal)
+	} else if seen.What == checker.OperatorPut {
+		f.acceptedVersion = max(f.acceptedVersion, response.Version)
+		f.acceptedAt[response.Version] = f.Now
 	}
-	f.History.Operators = append(f.History.Operators, e)
+	f.History.Operators = append(f.History.Operators, seen)
 }
 
-// Put puts a configuration through a machine until it is accepted, refused for good, or a time is over.
-func (f *Fleet) Put(n *Node, document string, base uint64) *schema.OperatorResponse {
-	var result *schema.OperatorResponse
-	f.Operate(n, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(document), Base: base}, func(o *schema.OperatorResponse) {
-		result = o
-	})
-	for range 700 {
-		if result != nil {
-			break
-		}
-		f.RunFor(10 * time.Millisecond)
+// readPut tells whether a configuration is one that must be refused, and its entries.
+func readPut(text []byte) (checker.OperatorAction, []checker.EntrySeen) {
+	action := checker.OperatorPut
+	var document catalog.Document
+	if document.UnmarshalJSON(text) != nil || strings.Contains(string(text), "nobody") {
+		action = checker.OperatorBadPut
 	}
-	return result
+	var entries []checker.EntrySeen
+	for _, entry := range document.Entries {
+		entries = append(entries, checker.EntrySeen{
+			Service: entry.Service,
+			Path:    entry.Path,
+			Methods: entry.Methods,
+			Safe:    entry.RepeatSafe,
+			Homes:   entry.HomeRegions,
+		})
+	}
+	return action, entries
 }
 
-// Show reads the configuration back through a machine.
-func (f *Fleet) Show(n *Node) *schema.OperatorResponse {
+// await sends an operator's request and runs the fleet until it is answered or a wait is over, which gives nil.
+func (f *Fleet) await(n *Node, request *schema.OperatorRequest, wait time.Duration) *schema.OperatorResponse {
 	var result *schema.OperatorResponse
-	f.Operate(n, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW}, func(o *schema.OperatorResponse) {
-		result = o
-	})
-	for range 700 {
-		if result != nil {
-			break
-		}
-		f.RunFor(10 * time.Millisecond)
+	f.Operate(n, request, func(response *schema.OperatorResponse) { result = response })
+	for waited := time.Duration(0); result == nil && waited < wait; waited += operatorPoll {
+		f.RunFor(operatorPoll)
 	}
 	return result
 }
 
-// Move empties or restores a zone through any machine, trying until it is accepted.
-func (f *Fleet) SetZoneEmptied(zone string, isEmpty bool) bool {
+// Put puts a configuration through a machine; nil means that there was no answer.
+func (f *Fleet) Put(n *Node, document string, base uint64) *schema.OperatorResponse {
+	request := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(document), Base: base}
+	return f.await(n, request, operatorWait)
+}
+
+// Show reads the configuration back through a machine; nil means that there was no answer.
+func (f *Fleet) Show(n *Node) *schema.OperatorResponse {
+	return f.await(n, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW}, operatorWait)
+}
+
+// SetZoneEmptied empties or restores a zone through any machine, trying until it is accepted; false means that it never was.
+func (f *Fleet) SetZoneEmptied(zone string, isEmptied bool) bool {
 	kind := schema.OperatorKind_OPERATOR_RESTORE
-	if isEmpty {
+	if isEmptied {
 		kind = schema.OperatorKind_OPERATOR_EMPTY
 	}
-	for range 60 {
+	for range zoneTries {
 		n := f.Nodes[f.random.Intn(len(f.Nodes))]
 		if !n.IsUp {
 			continue
 		}
-		isDone, isAccepted := false, false
-		f.Operate(n, &schema.OperatorRequest{Kind: kind, Zone: zone, Reason: "sim"}, func(o *schema.OperatorResponse) {
-			isDone, isAccepted = true, o.Refusal == schema.RefusalKind_REFUSAL_NONE
-		})
-		for i := 0; i < 100 && !isDone; i++ {
-			f.RunFor(10 * time.Millisecond)
-		}
-		if isAccepted {
+		response := f.await(n, &schema.OperatorRequest{Kind: kind, Zone: zone, Reason: "sim"}, zoneWait)
+		if response != nil && response.Refusal == schema.RefusalKind_REFUSAL_NONE {
 			return true
 		}
-		f.RunFor(200 * time.Millisecond)
+		f.RunFor(zonePause)
 	}
 	return false
 }
--- a/internal/sim/scenario_steps.go
+++ b/internal/sim/scenario_steps.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"time"
 
 	"topazshed/internal/checker"
@@ -9,6 +10,61 @@
 	"topazshed/internal/schema"
 )
 
+const (
+	// recoveryBound is how soon every kind of request must be served after a heavy loss.
+	recoveryBound = 15 * time.Second
+	// maxLag is how many log records a machine with a disk may be behind at the end.
+	maxLag = 50
+	// drainTime is how long a back end drains before its process ends.
+	drainTime = 4 * time.Second
+	// askPause and askTries bound how often operators ask until they get an answer.
+	askPause = 250 * time.Millisecond
+	askTries = 40
+)
+
+func isUp(n *Node) bool { return n.IsUp }
+
+func hasDisk(n *Node) bool { return n.HasDisk }
+
+func hasDiskAndIsUp(n *Node) bool { return n.HasDisk && n.IsUp }
+
+func isAny(*Node) bool { return true }
+
+func isIn(zone string) func(*Node) bool {
+	return func(n *Node) bool { return n.Zone == zone }
+}
+
+func isInRegion(region string) func(*Node) bool {
+	return func(n *Node) bool { return n.Region == region }
+}
+
+func isOnly(node *Node) func(*Node) bool {
+	return func(n *Node) bool { return n == node }
+}
+
+// pickNode draws one of the machines that fit; the first machine if none does.
+func (f *Fleet) pickNode(isFit func(*Node) bool) *Node {
+	var options []*Node
+	for _, n := range f.Nodes {
+		if isFit(n) {
+			options = append(options, n)
+		}
+	}
+	if len(options) == 0 {
+		return f.Nodes[0]
+	}
+	return options[f.random.Intn(len(options))]
+}
+
+// drawMillis draws a span of less than that many milliseconds.
+func (f *Fleet) drawMillis(below int) time.Duration {
+	return time.Duration(f.random.Intn(below)) * time.Millisecond
+}
+
+// drawBackend draws one of all back ends.
+func (f *Fleet) drawBackend() *Backend { return f.Backends[f.random.Intn(len(f.Backends))] }
+
+// awaitLeader gives the leader, or after 10 s a machine with a disk.
 func (f *Fleet) awaitLeader() *Node {
 	for range 100 {
 		if leader := f.Leader(); leader != nil {
@@ -16,138 +72,158 @@
 		}
 		f.RunFor(100 * time.Millisecond)
 	}
-	return f.pickNode(func(n *Node) bool { return n.HasDisk })
+	return f.pickNode(hasDisk)
 }
 
-func (f *Fleet) putAgain() {
-	n := f.pickNode(func(n *Node) bool { return n.IsUp })
-	f.Operate(n, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(DefaultDocument), Base: f.acceptedVersion}, func(*schema.OperatorResponse) {})
-}
-
-func (f *Fleet) unconfirmedZones() []string {
-	var lacking []string
-	for i := 0; i < 40 && lacking == nil; i++ {
-		f.Operate(f.pickNode(func(n *Node) bool { return n.IsUp }), &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}, func(o *schema.OperatorResponse) {
-			if o.Refusal == schema.RefusalKind_REFUSAL_NONE {
-				lacking = append([]string{}, o.Unconfirmed...)
-			}
-		})
-		f.RunFor(250 * time.Millisecond)
+// killLeaderFor kills the leader, if there is one, and starts it again after a while.
+func (f *Fleet) killLeaderFor(span time.Duration) {
+	if leader := f.Leader(); leader != nil {
+		f.Kill(leader)
+		f.after(span, func() { f.Start(leader) })
 	}
-	return lacking
 }
 
-func (f *Fleet) expectReadBack() error {
-	for range 40 {
-		if o := f.Show(f.pickNode(func(n *Node) bool { return n.IsUp })); o != nil && o.Refusal == schema.RefusalKind_REFUSAL_NONE {
-			return nil
+func (f *Fleet) killAll(isFit func(*Node) bool) {
+	for _, n := range f.Nodes {
+		if isFit(n) && n.IsUp {
+			f.Kill(n)
 		}
-		f.RunFor(250 * time.Millisecond)
 	}
-	return fmt.Errorf("no read-back within 10 s at %v", f.Now)
 }
 
-func (f *Fleet) ownerOf(service, path string) failover.Owner {
+func (f *Fleet) startAll() {
 	for _, n := range f.Nodes {
-		view := f.View(n)
-		if known := view.Services[service]; n.IsUp && known != nil && known.Entry(path) != nil {
-			if owner, err := failover.Resolve(view, known.Entry(path), failover.Origin{Service: service, Path: path}); err == nil {
-				return owner
+		f.Start(n)
+	}
+}
+
+// putAgain puts the configuration once more through any machine, without waiting for the answer.
+func (f *Fleet) putAgain() {
+	request := &schema.OperatorRequest{
+		Kind:     schema.OperatorKind_OPERATOR_PUT,
+		Document: []byte(DefaultDocument),
+		Base:     f.acceptedVersion,
+	}
+	f.Operate(f.pickNode(isUp), request, func(*schema.OperatorResponse) {})
+}
+
+// unconfirmedZones asks for the status until it is answered, and gives the zones that haven't confirmed the newest
+// change; nil means that there was no answer.
+func (f *Fleet) unconfirmedZones() []string {
+	var zones []string
+	for i := 0; i < askTries && zones == nil; i++ {
+		request := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}
+		f.Operate(f.pickNode(isUp), request, func(response *schema.OperatorResponse) {
+			if response.Refusal == schema.RefusalKind_REFUSAL_NONE {
+				zones = append([]string{}, response.Unconfirmed...)
 			}
-		}
+		})
+		f.RunFor(askPause)
 	}
-	return failover.Owner{Region: "r0", Zone: "r0-d0"}
+	return zones
 }
 
-func (f *Fleet) pickNode(isFit func(*Node) bool) *Node {
-	var options []*Node
-	for _, n := range f.Nodes {
-		if isFit(n) {
-			options = append(options, n)
+// tryReadBack reads the configuration back through any machine, up to that often.
+func (f *Fleet) tryReadBack(tries int, pause time.Duration) bool {
+	for range tries {
+		response := f.Show(f.pickNode(isUp))
+		if response != nil && response.Refusal == schema.RefusalKind_REFUSAL_NONE {
+			return true
 		}
+		f.RunFor(pause)
 	}
-	if len(options) == 0 {
-		return f.Nodes[0]
+	return false
+}
+
+// expectReadBack fails if the configuration can't be read back.
+func (f *Fleet) expectReadBack() error {
+	if !f.tryReadBack(askTries, askPause) {
+		return fmt.Errorf("no read-back within 10 s at %v", f.Now)
 	}
-	return options[f.random.Intn(len(options))]
+	return nil
 }
 
+// expectConverged fails if there is no leader or a machine with a disk is far behind it.
 func (f *Fleet) expectConverged() error {
 	leader := f.Leader()
 	if leader == nil {
 		return fmt.Errorf("no leader at %v", f.Now)
 	}
+	newest := f.View(leader).Version
 	for _, n := range f.Nodes {
-		if n.IsUp && n.HasDisk && f.View(n).Version+50 < f.View(leader).Version {
-			return fmt.Errorf("%s is at index %d, the leader at %d", n.Name, f.View(n).Version, f.View(leader).Version)
+		if n.IsUp && n.HasDisk && f.View(n).Version+maxLag < newest {
+			return fmt.Errorf("%s is at index %d, the leader at %d", n.Name, f.View(n).Version, newest)
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) expectServed(what string, within time.Duration) error {
-	at := f.Now
+// expectServed fails if not every kind of request is served within recoveryBound of now. It notes how long each took.
+func (f *Fleet) expectServed(loss string) error {
+	begun := f.Now
 	isServed := map[string]bool{}
-	kinds := []CallerRequest{{Method: "GET", Service: "service0", Path: "/read/x"}, {Method: "POST", Service: "service1", Path: "/pay"}, {Method: "GET", Service: "service2", Path: "/home/x"}, {Method: "POST", Service: "service3", Path: "/book", Key: "x"}}
-	for i := 0; len(isServed) < len(kinds) && f.Now < at+within; i++ {
-		for _, a := range kinds {
-			if isServed[a.Service] {
+	probes := []CallerRequest{
+		{Method: http.MethodGet, Service: "service0", Path: "/read/x"},
+		{Method: http.MethodPost, Service: "service1", Path: "/pay"},
+		{Method: http.MethodGet, Service: "service2", Path: "/home/x"},
+		{Method: http.MethodPost, Service: "service3", Path: "/book", Key: "x"},
+	}
+	for round := 0; len(isServed) < len(probes) && f.Now < begun+recoveryBound; round++ {
+		for _, probe := range probes {
+			if isServed[probe.Service] {
 				continue
 			}
-			a.Attempt, a.Region, a.Wait = fmt.Sprintf("probe-%d-%s-%d", at.Milliseconds(), a.Service, i), "r0", 2*time.Second
-			f.send(a, 1, func(r *checker.Reply) {
-				if r != nil && r.Result == "sealed" && !isServed[a.Service] {
-					isServed[a.Service] = true
-					f.RecoveryTimes[a.Service] = max(f.RecoveryTimes[a.Service], f.Now-at)
+			probe.Attempt = fmt.Sprintf("probe-%d-%s-%d", begun.Milliseconds(), probe.Service, round)
+			probe.Region, probe.Wait = firstRegion, probeWait
+			f.send(probe, 1, func(reply *checker.Reply) {
+				if reply != nil && reply.Result == checker.ResultSealed && !isServed[probe.Service] {
+					isServed[probe.Service] = true
+					f.RecoveryTimes[probe.Service] = max(f.RecoveryTimes[probe.Service], f.Now-begun)
 				}
 			})
 		}
 		f.RunFor(200 * time.Millisecond)
 	}
-	for _, a := range kinds {
-		if !isServed[a.Service] {
-			return fmt.Errorf("%s is not served within %v after %s", a.Service, within, what)
+	for _, probe := range probes {
+		if !isServed[probe.Service] {
+			return fmt.Errorf("%s is not served within %v after %s", probe.Service, recoveryBound, loss)
 		}
 	}
 	return nil
 }
 
+// ownerOf gives the owner of an entry by the first machine that knows one.
+func (f *Fleet) ownerOf(service, path string) failover.Owner {
+	for _, n := range f.Nodes {
+		view := f.View(n)
+		known := view.Services[service]
+		if !n.IsUp || known == nil || known.Entry(path) == nil {
+			continue
+		}
+		owner, err := failover.Resolve(view, known.Entry(path), failover.Origin{Service: service, Path: path})
+		if err == nil {
+			return owner
+		}
+	}
+	return failover.Owner{Region: firstRegion, Zone: "r0-d0"}
+}
+
+// drainBackend marks a back end as draining and ends it after drainTime.
 func (f *Fleet) drainBackend(b *Backend) {
-	b.State = "draining"
-	f.after(4*time.Second, func() {
+	b.State = checker.BackendDraining
+	f.after(drainTime, func() {
 		f.Crash(b)
-		b.State = "gone"
+		b.State = checker.BackendGone
 	})
 }
 
+// readyBackends gives the running, ready back ends of a service.
 func (f *Fleet) readyBackends(service string) []*Backend {
-	var list []*Backend
+	var ready []*Backend
 	for _, b := range f.Backends {
-		if b.Service == service && b.IsUp && b.State == "ready" {
-			list = append(list, b)
+		if b.Service == service && b.IsUp && b.State == checker.BackendReady {
+			ready = append(ready, b)
 		}
 	}
-	return list
-}
-
-func isIn(zone string) func(*Node) bool {
-	return func(n *Node) bool { return n.Zone == zone }
-}
-
-func isInRegion(region string) func(*Node) bool {
-	return func(n *Node) bool { return n.Region == region }
-}
-
-func (f *Fleet) killAll(isFit func(*Node) bool) {
-	for _, n := range f.Nodes {
-		if isFit(n) && n.IsUp {
-			f.Kill(n)
-		}
-	}
-}
-
-func (f *Fleet) startAll() {
-	for _, n := range f.Nodes {
-		f.Start(n)
-	}
+	return ready
 }
--- a/internal/sim/scenarios_backends.go
+++ b/internal/sim/scenarios_backends.go
@@ -5,11 +5,13 @@
 	"maps"
 	"slices"
 	"time"
+
+	"topazshed/internal/checker"
 )
 
 func playBackends(f *Fleet) error {
 	for range 8 {
-		b := f.Backends[f.random.Intn(len(f.Backends))]
+		b := f.drawBackend()
 		switch f.random.Intn(3) {
 		case 0:
 			f.Crash(b)
@@ -54,23 +56,17 @@
 
 func playReuse(f *Fleet) error {
 	for i := range 6 {
-		list := f.readyBackends(fmt.Sprintf("service%d", i%4))
-		f.Reuse(list[f.random.Intn(len(list))], fmt.Sprintf("service%d", (i+1)%4))
+		ready := f.readyBackends(fmt.Sprintf("service%d", i%4))
+		f.Reuse(ready[f.random.Intn(len(ready))], fmt.Sprintf("service%d", (i+1)%4))
 		f.RunFor(3 * time.Second)
 	}
 	return f.expectConverged()
 }
 
-func playBadOutcomes(f *Fleet) error {
+func playBadAnswers(f *Fleet) error {
 	for _, mode := range []Mode{ModeLose, ModeGarbage, ModeForeign, ModeCut, ModeSlow} {
 		for _, count := range []int{2, 12} {
-			for s := range 4 {
-				for i, b := range f.readyBackends(fmt.Sprintf("service%d", s)) {
-					if b.Mode = ModeGood; i < count {
-						b.Mode = mode
-					}
-				}
-			}
+			f.setModes(mode, count)
 			f.RunFor(3 * time.Second)
 		}
 	}
@@ -80,9 +76,21 @@
 	return nil
 }
 
+// setModes gives a mode to that many back ends of each service, and the good one to the others.
+func (f *Fleet) setModes(mode Mode, count int) {
+	for service := range f.Options.Services {
+		for i, b := range f.readyBackends(fmt.Sprintf("service%d", service)) {
+			b.Mode = ModeGood
+			if i < count {
+				b.Mode = mode
+			}
+		}
+	}
+}
+
 func playBackendFrozen(f *Fleet) error {
 	for range 5 {
-		b := f.Backends[f.random.Intn(len(f.Backends))]
+		b := f.drawBackend()
 		b.frozenUntil = f.Now + time.Duration(1+f.random.Intn(12))*time.Second
 		f.RunFor(4 * time.Second)
 	}
@@ -92,62 +100,81 @@
 func playHotKey(f *Fleet) error {
 	f.hotKey = true
 	f.RunFor(8 * time.Second)
-	busiest, most := f.readyBackends("service3")[0], 0
-	counts := map[string]int{}
-	for _, a := range f.History.Arrivals {
-		if counts[a.Instance]++; a.Service == "service3" && counts[a.Instance] > most {
-			busiest, most = f.findBackend(a.Instance), counts[a.Instance]
-		}
-	}
+	busiest := f.busiestBackend("service3")
 	f.AddBackend("service3", busiest.Zone)
 	f.drainBackend(busiest)
 	f.RunFor(15 * time.Second)
 	return f.expectConverged()
 }
 
+// busiestBackend gives the back end of a service that got the most requests.
+func (f *Fleet) busiestBackend(service string) *Backend {
+	busiest, most := f.readyBackends(service)[0], 0
+	counts := map[string]int{}
+	for _, arrival := range f.History.Arrivals {
+		counts[arrival.Instance]++
+		if arrival.Service == service && counts[arrival.Instance] > most {
+			busiest, most = f.findBackend(arrival.Instance), counts[arrival.Instance]
+		}
+	}
+	return busiest
+}
+
 func playBackendCut(f *Fleet) error {
 	for range 5 {
-		list := f.readyBackends("service3")
-		b := list[f.random.Intn(len(list))]
+		ready := f.readyBackends("service3")
+		b := ready[f.random.Intn(len(ready))]
 		b.Mode = ModeSlow
 		f.RunFor(time.Second)
-		for _, n := range f.Nodes {
-			f.cuts[[2]string{b.Instance, n.Name}] = true
-			f.cuts[[2]string{n.Name, b.Instance}] = f.random.Intn(2) == 0
-		}
-		for _, id := range slices.Sorted(maps.Keys(b.openRequests)) {
-			b.openRequests[id](fmt.Errorf("connection reset on the way"))
-		}
-		b.State = "draining"
+		f.cutBackend(b)
+		b.State = checker.BackendDraining
 		f.RunFor(5 * time.Second)
-		for _, n := range f.Nodes {
-			delete(f.cuts, [2]string{b.Instance, n.Name})
-			delete(f.cuts, [2]string{n.Name, b.Instance})
-		}
+		f.healBackend(b)
 	}
 	return f.expectConverged()
 }
 
-func playBadList(f *Fleet) error {
-	count := func(n *Node) int {
-		total := 0
-		for _, service := range f.View(n).Services {
-			total += len(service.Backends)
-		}
-		return total
+// cutBackend cuts the links from a back end to all machines, some also the other way, and resets its connections. The
+// back end works on.
+func (f *Fleet) cutBackend(b *Backend) {
+	for _, n := range f.Nodes {
+		f.links.cuts[link{b.Instance, n.Name}] = true
+		f.links.cuts[link{n.Name, b.Instance}] = f.random.Intn(2) == 0
+	}
+	for _, id := range slices.Sorted(maps.Keys(b.openRequests)) {
+		b.openRequests[id](fmt.Errorf("connection reset on the way"))
 	}
-	before := count(f.Leader())
-	for _, fault := range []string{"empty", "short", "repeated", "missing", "stale"} {
+}
+
+func (f *Fleet) healBackend(b *Backend) {
+	for _, n := range f.Nodes {
+		delete(f.links.cuts, link{b.Instance, n.Name})
+		delete(f.links.cuts, link{n.Name, b.Instance})
+	}
+}
+
+func playBadList(f *Fleet) error {
+	before := f.countBackends(f.Leader())
+	for _, fault := range []listFault{listEmpty, listShort, listRepeated, listMissing, listStale} {
 		f.listFault = fault
 		f.RunFor(4 * time.Second)
 		leader := f.Leader()
 		if leader == nil {
 			return fmt.Errorf("no leader at %v", f.Now)
 		}
-		if after := count(leader); after != before {
+		if after := f.countBackends(leader); after != before {
 			return fmt.Errorf("a list that is %s left %d of %d back ends", fault, after, before)
 		}
 	}
-	f.listFault = ""
+	f.listFault = listGood
 	return f.expectConverged()
 }
+
+// countBackends gives how many back ends a machine knows.
+func (f *Fleet) countBackends(n *Node) int {
+	total := 0
+	for _, service := range f.View(n).Services {
+		total += len(service.Backends)
+	}
+	return total
+}
--- a/internal/sim/scenarios_disks.go
+++ b/internal/sim/scenarios_disks.go
@@ -7,10 +7,10 @@
 
 func playWiped(f *Fleet) error {
 	for range 4 {
-		n := f.pickNode(func(n *Node) bool { return n.HasDisk && n.IsUp })
+		n := f.pickNode(hasDiskAndIsUp)
 		f.Kill(n)
 		f.Wipe(n)
-		f.RunFor(time.Duration(f.random.Intn(3000)) * time.Millisecond)
+		f.RunFor(f.drawMillis(3000))
 		f.Start(n)
 		f.RunFor(12 * time.Second)
 	}
@@ -18,14 +18,14 @@
 }
 
 func playSlowDisk(f *Fleet) error {
-	for i, pause := range []time.Duration{100, 3000, 400, 900, 3000, 5000} {
+	for i, milliseconds := range []time.Duration{100, 3000, 400, 900, 3000, 5000} {
 		leader := f.awaitLeader()
 		slow := []*Node{f.pickNode(func(n *Node) bool { return n.HasDisk && n != leader })}
 		if i%2 == 0 {
 			slow = append(slow, leader)
 		}
 		for _, n := range slow {
-			f.SlowDisk(n, pause*time.Millisecond)
+			f.SlowDisk(n, milliseconds*time.Millisecond)
 		}
 		f.RunFor(2 * time.Second)
 		f.putAgain()
@@ -40,23 +40,24 @@
 }
 
 func playFailingDisk(f *Fleet) error {
-	for i, kind := range []string{"ring", "image", ""} {
+	for i, kind := range []string{ringFiles, snapshotFiles, ""} {
 		n := f.awaitLeader()
 		if i == 1 {
-			n = f.pickNode(func(n *Node) bool { return n.HasDisk && n.IsUp })
+			n = f.pickNode(hasDiskAndIsUp)
 		}
 		n.disk.Fault, n.disk.Only = fmt.Errorf("no room"), kind
 		for range 3 {
 			f.putAgain()
 			f.RunFor(time.Second)
 		}
-		if n.IsUp && kind != "image" {
+		if n.IsUp && kind != snapshotFiles {
 			return fmt.Errorf("%s goes on with a disk that fails", n.Name)
 		}
 		if n.IsUp {
 			f.Kill(n)
 		}
-		if f.RepairDisk(n); i == 2 {
+		f.RepairDisk(n)
+		if i == 2 {
 			f.Wipe(n)
 		}
 		f.Start(n)
@@ -69,7 +70,7 @@
 	for step := range 8 {
 		n := f.awaitLeader()
 		if f.random.Intn(3) == 0 {
-			n = f.pickNode(func(n *Node) bool { return n.HasDisk && n.IsUp })
+			n = f.pickNode(hasDiskAndIsUp)
 		}
 		n.disk.CutAfter(step)
 		f.putAgain()
@@ -87,7 +88,7 @@
 	return f.expectConverged()
 }
 
-func playWipedAfterYes(f *Fleet) error {
+func playWipedAfterAccept(f *Fleet) error {
 	for range 3 {
 		leader := f.awaitLeader()
 		other := f.pickNode(func(n *Node) bool { return n.HasDisk && n.IsUp && n != leader })
@@ -101,7 +102,7 @@
 			f.Kill(n)
 			f.Wipe(n)
 		}
-		f.RunFor(time.Duration(f.random.Intn(3000)) * time.Millisecond)
+		f.RunFor(f.drawMillis(3000))
 		for _, n := range lost {
 			f.Start(n)
 		}
--- a/internal/sim/scenarios_machines.go
+++ b/internal/sim/scenarios_machines.go
@@ -29,17 +29,17 @@
 
 func playProxyFrozen(f *Fleet) error {
 	for range 4 {
-		f.Freeze(f.pickNode(func(n *Node) bool { return n.IsUp }), time.Duration(500+f.random.Intn(9000))*time.Millisecond)
+		f.Freeze(f.pickNode(isUp), time.Duration(500+f.random.Intn(9000))*time.Millisecond)
 		f.RunFor(5 * time.Second)
 	}
 	f.RunFor(10 * time.Second)
 	return f.expectConverged()
 }
 
-func playHerd(f *Fleet) error {
+func playManyKilled(f *Fleet) error {
 	for range 2 {
 		for range 5 {
-			if n := f.pickNode(func(n *Node) bool { return n.IsUp }); n.IsUp {
+			if n := f.pickNode(isUp); n.IsUp {
 				f.Kill(n)
 			}
 		}
@@ -50,11 +50,11 @@
 	return f.expectConverged()
 }
 
-func playDistrictLost(f *Fleet) error {
+func playZoneLost(f *Fleet) error {
 	f.RunFor(3 * time.Second)
 	lost := f.ownerOf("service1", "/pay").Zone
 	f.killAll(isIn(lost))
-	if err := f.expectServed("the loss of "+lost, recoveryBound); err != nil {
+	if err := f.expectServed("the loss of " + lost); err != nil {
 		return err
 	}
 	f.RunFor(10 * time.Second)
@@ -70,7 +70,7 @@
 			f.Crash(b)
 		}
 	}
-	if err := f.expectServed("the loss of "+lost, recoveryBound); err != nil {
+	if err := f.expectServed("the loss of " + lost); err != nil {
 		return err
 	}
 	f.RunFor(5 * time.Second)
@@ -79,18 +79,18 @@
 
 func playAllKilled(f *Fleet) error {
 	before := f.acceptedVersion
-	f.killAll(func(*Node) bool { return true })
+	f.killAll(isAny)
 	f.RunFor(2 * time.Second)
 	f.startAll()
-	if err := f.expectServed("the restart", recoveryBound); err != nil {
+	if err := f.expectServed("the restart"); err != nil {
 		return err
 	}
 	f.RunFor(8 * time.Second)
 	if err := f.expectConverged(); err != nil {
 		return err
 	}
-	if o := f.Show(f.Leader()); o.GetVersion() < before {
-		return fmt.Errorf("after the restart the configuration is %d, not %d", o.GetVersion(), before)
+	if version := f.Show(f.Leader()).GetVersion(); version < before {
+		return fmt.Errorf("after the restart the configuration is %d, not %d", version, before)
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 	for i := range 6 {
 		n := f.Nodes[(i*5+f.random.Intn(5))%len(f.Nodes)]
 		f.Stop(n)
-		for i := 0; n.IsUp && i < 200; i++ {
+		for waited := 0; n.IsUp && waited < 200; waited++ {
 			f.RunFor(100 * time.Millisecond)
 		}
 		if n.IsUp {
@@ -111,7 +111,7 @@
 	return f.expectConverged()
 }
 
-func playFrozenLeg(f *Fleet) error {
+func playFrozenAttempt(f *Fleet) error {
 	for range 3 {
 		f.freezeBeforeSend = time.Duration(3+f.random.Intn(18)) * time.Second
 		f.RunFor(9 * time.Second)
--- a/internal/sim/scenarios_network.go
+++ b/internal/sim/scenarios_network.go
@@ -14,22 +14,17 @@
 	return f.expectConverged()
 }
 
-func playCoreSplit(f *Fleet) error {
+func playDisksSplit(f *Fleet) error {
 	f.Split(func(n *Node) bool { return n.Zone == "r0-d0" || n.Zone == "r1-d0" || n.Zone == "r2-d0" }, true)
 	f.RunFor(9 * time.Second)
-	f.Split(func(*Node) bool { return false }, false)
-	for _, a := range f.Nodes {
-		for _, b := range f.Nodes {
-			f.Cut(a, b, false)
-		}
-	}
+	f.healAll()
 	f.RunFor(8 * time.Second)
 	return f.expectConverged()
 }
 
 func playOneWay(f *Fleet) error {
 	for range 4 {
-		a, b := f.pickNode(func(n *Node) bool { return n.HasDisk }), f.pickNode(func(n *Node) bool { return true })
+		a, b := f.pickNode(hasDisk), f.pickNode(isAny)
 		if leader := f.Leader(); leader != nil && f.random.Intn(2) == 0 {
 			a = leader
 		}
@@ -43,10 +38,10 @@
 
 func playIsolated(f *Fleet) error {
 	for range 3 {
-		n := f.pickNode(func(n *Node) bool { return n.IsUp })
-		f.Split(func(o *Node) bool { return o == n }, true)
+		n := f.pickNode(isUp)
+		f.Split(isOnly(n), true)
 		f.RunFor(8 * time.Second)
-		f.Split(func(o *Node) bool { return o == n }, false)
+		f.Split(isOnly(n), false)
 		f.RunFor(5 * time.Second)
 	}
 	return f.expectConverged()
--- a/internal/sim/scenarios_operators.go
+++ b/internal/sim/scenarios_operators.go
@@ -11,47 +11,46 @@
 func playPuts(f *Fleet) error {
 	base := uint64(1)
 	for i := range 12 {
-		n := f.pickNode(func(n *Node) bool { return n.IsUp })
+		n := f.pickNode(isUp)
 		if i%4 == 3 {
-			if leader := f.Leader(); leader != nil {
-				f.Kill(leader)
-				f.after(3*time.Second, func() { f.Start(leader) })
-			}
-		}
-		var results []*schema.OperatorResponse
-		for range 2 {
-			at := f.pickNode(func(n *Node) bool { return n.IsUp })
-			f.Operate(at, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT, Document: []byte(DefaultDocument), Base: base}, func(o *schema.OperatorResponse) {
-				results = append(results, o)
-			})
-		}
-		f.RunFor(2 * time.Second)
-		wins := 0
-		for _, o := range results {
-			if o.Refusal == schema.RefusalKind_REFUSAL_NONE {
-				wins++
-			}
-		}
-		if wins > 1 {
-			f.addViolation("%d racing puts on base %d were accepted", wins, base)
+			f.killLeaderFor(3 * time.Second)
 		}
+		f.racePuts(base)
 		f.RunFor(4 * time.Second)
-		if o := f.Show(n); o != nil && o.Refusal == schema.RefusalKind_REFUSAL_NONE {
-			base = o.Version
+		if shown := f.Show(n); shown != nil && shown.Refusal == schema.RefusalKind_REFUSAL_NONE {
+			base = shown.Version
 		}
 	}
 	return f.expectConverged()
 }
 
+// racePuts puts two configurations on one base; at most one may be accepted.
+func (f *Fleet) racePuts(base uint64) {
+	accepted := 0
+	for range 2 {
+		request := &schema.OperatorRequest{
+			Kind:     schema.OperatorKind_OPERATOR_PUT,
+			Document: []byte(DefaultDocument),
+			Base:     base,
+		}
+		f.Operate(f.pickNode(isUp), request, func(response *schema.OperatorResponse) {
+			if response.Refusal == schema.RefusalKind_REFUSAL_NONE {
+				accepted++
+			}
+		})
+	}
+	f.RunFor(2 * time.Second)
+	if accepted > 1 {
+		f.addViolation("%d racing puts on base %d were accepted", accepted, base)
+	}
+}
+
 func playEmptied(f *Fleet) error {
 	for _, zone := range []string{"r0-d0", "r1-d1"} {
 		if !f.SetZoneEmptied(zone, true) {
 			return fmt.Errorf("emptying %s was not accepted", zone)
 		}
-		if leader := f.Leader(); leader != nil {
-			f.Kill(leader)
-			f.after(4*time.Second, func() { f.Start(leader) })
-		}
+		f.killLeaderFor(4 * time.Second)
 		f.RunFor(9 * time.Second)
 		if !f.SetZoneEmptied(zone, false) {
 			return fmt.Errorf("restoring %s was not accepted", zone)
@@ -68,13 +67,13 @@
 		return fmt.Errorf("emptying r1-d0 was not accepted")
 	}
 	if want := []string{"r1-d0", "r1-d1"}; !slices.Equal(f.unconfirmed, want) {
-		return fmt.Errorf("the operator was told that %v lack the emptying, not %v", f.unconfirmed, want)
+		return fmt.Errorf("the answer named %v as not having confirmed the emptying, not %v", f.unconfirmed, want)
 	}
 	f.RunFor(8 * time.Second)
 	f.Split(isInRegion("r1"), false)
 	f.RunFor(8 * time.Second)
-	if lacking := f.unconfirmedZones(); lacking == nil || len(lacking) > 0 {
-		return fmt.Errorf("after the region healed status tells that %v lack the emptying", lacking)
+	if zones := f.unconfirmedZones(); zones == nil || len(zones) > 0 {
+		return fmt.Errorf("after the region healed status names %v as not having confirmed the emptying", zones)
 	}
 	f.Split(func(n *Node) bool { return n.Zone == "r0-d0" || n.Zone == "r1-d1" }, true)
 	if !f.SetZoneEmptied("r2-d0", true) {
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -74,7 +74,7 @@
 
 func TestChecksCatchInjectedFaults(t *testing.T) {
 	for _, b := range Faults {
-		t.Run(b.Name+" in "+b.Scenario, func(t *testing.T) {
+		t.Run(string(b.Name)+" in "+b.Scenario, func(t *testing.T) {
 			t.Parallel()
 			var seen []string
 			for seed := int64(1); seed <= 8; seed++ {
