--- a/cmd/topazshed/doctor_test.go
+++ b/cmd/topazshed/doctor_test.go
@@ -41,7 +41,7 @@
 		{"healthy", nil, ""},
 		{"nobody leads", func(l, _ *adminapi.Status) { l.Role = "follower" }, "no-quorum"},
 		{"too few voters", func(l, _ *adminapi.Status) {
-			l.Voters, l.LossesBorne, l.UnresponsiveVoters = []string{"a", "x", "y"}, 0, []string{"x", "y"}
+			l.Voters, l.ToleratedLosses, l.UnresponsiveVoters = []string{"a", "x", "y"}, 0, []string{"x", "y"}
 			l.Nodes = append(l.Nodes, adminapi.NodeStatus{ID: "x", State: "lost"}, adminapi.NodeStatus{ID: "y", State: "lost"})
 		}, "lost-node thin-quorum"},
 		{"an older configuration", func(_, r *adminapi.Status) { r.Configuration = 2 }, "differing-versions"},
@@ -57,11 +57,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			leader := &adminapi.Status{Node: "a", Role: "leader", Term: 3, Fit: true, Configuration: 3, Voters: []string{"a", "p", "q"}, LossesBorne: 1, Entries: []string{"ledger/balances"},
+			leader := &adminapi.Status{Node: "a", Role: "leader", Term: 3, Fit: true, Configuration: 3, Voters: []string{"a", "p", "q"}, ToleratedLosses: 1, Entries: []string{"ledger/balances"},
 				Backends: []adminapi.BackendStatus{{Service: "ledger", State: "ready"}}}
 			reader := &adminapi.Status{Node: "b", Role: "reader", Fit: true, Configuration: 3}
 			serve := func(s *adminapi.Status) string {
-				server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 					json.NewEncoder(w).Encode(s)
 				}))
 				t.Cleanup(server.Close)
@@ -72,7 +72,7 @@
 			if c.change != nil {
 				c.change(leader, reader)
 			}
-			if got := strings.Join(kinds((&doctorCommand{adminFlag: adminFlag{admin}}).examineFleet()), " "); got != c.want {
+			if got := strings.Join(kinds(examineFleet(admin, 0)), " "); got != c.want {
 				t.Fatalf("got %q, want %q", got, c.want)
 			}
 		})
@@ -94,9 +94,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
-			before := map[string]reading{"a": {ms(1000), ms(50), ms(1)}}
-			after := map[string]reading{"a": {ms(3000), ms(50 + c.theirs), ms(c.blur)}, "new": {ms(3000), ms(1), ms(1)}}
-			if got := strings.Join(kinds(judgeClocks(before, after)), " "); got != c.want {
+			before := map[string]clockReading{"a": {ms(1000), ms(50), ms(1)}}
+			after := map[string]clockReading{"a": {ms(3000), ms(50 + c.theirs), ms(c.blur)}, "new": {ms(3000), ms(1), ms(1)}}
+			if got := strings.Join(kinds(compareClocks(before, after)), " "); got != c.want {
 				t.Fatalf("got %q, want %q", got, c.want)
 			}
 		})
--- a/internal/controlplane/export_test.go
+++ b/internal/controlplane/export_test.go
@@ -9,7 +9,7 @@
 
 // Digest tells the state that this machine has applied and its index: equal indexes must mean equal states.
 func (c *Machine) Digest() (index uint64, digest string) {
-	return c.table.Version(), fmt.Sprintf("%x", c.table.Digest(store.All[0]).Digest)
+	return uint64(c.table.Version()), fmt.Sprintf("%x", c.table.Digest(store.All[0]).Digest)
 }
 
 // IsFull tells whether this machine keeps the log.
@@ -19,4 +19,4 @@
 func (c *Machine) Quorum() *raft.Node { return c.quorum }
 
 // Source is the machine that this one takes rows from, and FreshAt when a majority last confirmed its rows.
-func (c *Machine) Source() string { return c.source.address }
+func (c *Machine) Source() string { return c.subscription.Source() }
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -14,10 +14,13 @@
 	"topazshed/internal/constants"
 	"topazshed/internal/discovery"
 	"topazshed/internal/failover"
+	"topazshed/internal/inflight"
 	"topazshed/internal/membership"
+	"topazshed/internal/operations"
 	"topazshed/internal/proposals"
 	"topazshed/internal/protocolversion"
 	"topazshed/internal/raft"
+	"topazshed/internal/replication"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 	"topazshed/internal/timing"
@@ -52,12 +55,6 @@
 	Frame *schema.Frame
 }
 
-// LocalResponse answers a local operator's request.
-type LocalResponse struct {
-	Ticket   uint64
-	Response *schema.OperatorResponse
-}
-
 // Effects are what the shell performs: sync, then send and answer.
 type Effects struct {
 	Quorum    raft.Ready
@@ -97,34 +94,6 @@
 	StaleResponses uint64
 }
 
-// waiter is an order that is not answered yet.
-type pendingRequest struct {
-	// ticket names a local caller; call and to name the node that passed the order on.
-	ticket  uint64
-	call    uint64
-	to      string
-	request *schema.OperatorRequest
-	bornAt  time.Duration
-	until   time.Duration
-	// index and term are the place in the log of the record that was proposed for it, version the configuration's.
-	index   uint64
-	term    uint64
-	version uint64
-	// isConfirmed says that a majority has confirmed since the order came that this machine leads.
-	isConfirmed bool
-	// isSent says that the order is passed on; asked are the nodes that it was sent to.
-	isSent bool
-	asked  []string
-	sentAt time.Duration
-	hasWay bool
-}
-
-// asked is a question to another node, by whose number its answer is known: when it was sent, and to whom.
-type asked struct {
-	at time.Duration
-	to string
-}
-
 type nodeRecord struct {
 	until              time.Duration
 	oldestIndex        uint64
@@ -137,22 +106,6 @@
 	node               *schema.Node
 }
 
-type subscriber struct {
-	prefixes []string
-	wanted   []string
-	sent     uint64
-	serial   uint64
-	renewed  time.Duration
-	sentAt   time.Duration
-}
-
-// questionsKept (questions) of a kind are remembered until their answers come: heartbeats and subscriptions of half a minute.
-const questionsKept = 64
-
-// FirstNumberMost bounds the first number of a life's questions: two lives in hundreds of millions begin within reach of each other, and five
-// bytes hold it.
-const FirstNumberMost = 1 << 34
-
 // Machine is the machine.
 type Machine struct {
 	options            Options
@@ -172,29 +125,19 @@
 	leader             string
 	leaderAt           time.Duration
 	heartbeatAt        time.Duration
-	heartbeats         map[uint64]asked
+	heartbeats         *inflight.Requests
 	serial             uint64
 	leaseUntil         time.Duration
 	freshAt            time.Duration
-	held               map[string]bool
-	wanted             map[string]time.Duration
-	source             source
-	subSerial          uint64
-	subAt              time.Duration
-	subs               map[uint64]asked
-	digestAt           time.Duration
-	subscriber         map[string]*subscriber
+	subscription       *replication.Subscription
+	publisher          *replication.Publisher
 	nodes              map[string]*nodeRecord
 	planAt             time.Duration
 	wasLeader          bool
 	electedAt          time.Duration
 	releasedAt         map[uint64]time.Duration
-	operations         []*pendingRequest
-	confirming         []*pendingRequest
-	undecided          []*pendingRequest
+	operations         *operations.Manager
 	staleResponses     uint64
-	reads              map[uint64]*pendingRequest
-	nextRead           uint64
 	whoAt              time.Duration
 	askedSeeds         int
 	seeds              map[string]time.Duration
@@ -210,8 +153,8 @@
 	peers              map[string]time.Duration
 	proposals          *proposals.Proposer
 	verdicts           map[uint64]string
-	snapshotAt         uint64
-	knownCommit        uint64
+	snapshotAt         raft.Index
+	knownCommit        raft.Index
 	fences             map[string]time.Duration
 	behindAt           time.Duration
 	opened             map[string]time.Duration
@@ -238,14 +181,8 @@
 		table:        store.NewTable(),
 		view:         store.NewView(),
 		endpoints:    discovery.New(),
-		heartbeats:   map[uint64]asked{},
-		held:         map[string]bool{},
-		wanted:       map[string]time.Duration{},
-		subs:         map[uint64]asked{},
-		subscriber:   map[string]*subscriber{},
 		nodes:        map[string]*nodeRecord{},
 		releasedAt:   map[uint64]time.Duration{},
-		reads:        map[uint64]*pendingRequest{},
 		seeds:        map[string]time.Duration{},
 		empties:      map[string]bool{},
 		peers:        map[string]time.Duration{},
@@ -264,8 +201,9 @@
 		c.timing = timing.ForRoutes(options.Routed.Quiet)
 		c.routed = newRoutedState(options)
 	}
-	c.source.staleAt = map[string]time.Duration{}
-	c.serial, c.subSerial = c.firstNumber(), c.firstNumber()
+	c.heartbeats = inflight.New(c.firstSerial())
+	c.subscription = c.newSubscription(c.firstSerial())
+	c.publisher = replication.NewPublisher(c.table, c.timing.DeltaInterval)
 	c.peerSampler = membership.New(membership.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Pace: c.timing.Sampler})
 	if options.Self.Disk {
 		if options.Snapshot != nil {
@@ -273,6 +211,9 @@
 		}
 		c.quorum = raft.New(now, raft.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Snapshot: options.Snapshot, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.timing.Raft})
 		c.proposals = proposals.New(c.quorum, c.table)
+	}
+	c.operations = newOperations(c)
+	if c.quorum != nil {
 		c.view = store.Compile(c.table)
 		c.noteFences(c.table.Rows(store.All))
 		c.guard(c.view.Fleet)
@@ -282,8 +223,8 @@
 	return c
 }
 
-// firstNumber draws where this life of the process begins to number its questions, so that an answer to a former life's is known as such.
-func (c *Machine) firstNumber() uint64 { return uint64(c.options.Draw(FirstNumberMost)) }
+// firstSerial draws where this incarnation begins to number its requests, so that a response to a former incarnation's is known as stale.
+func (c *Machine) firstSerial() uint64 { return uint64(c.options.Draw(inflight.FirstSerialLimit)) }
 
 // Whole gives the snapshot at the applied index, for a follower or for the disk.
 func (c *Machine) Whole() *schema.Snapshot {
@@ -327,9 +268,7 @@
 	}
 	c.options.Seeds = slices.Clone(seeds)
 	c.peerSampler.SetSeeds(c.options.Seeds)
-	if c.view.System == "" {
-		c.source.address = ""
-	}
+	c.subscription.SetSeeds(c.options.Seeds)
 	c.log.Info("other seeds are asked from now on", "seeds", seeds)
 }
 
@@ -359,12 +298,9 @@
 
 // Want asks for a service's slice.
 func (c *Machine) Want(now time.Duration, service string) {
-	prefix := store.ServicePrefix(service)
-	isNew := !c.held[prefix]
-	c.wanted[prefix] = now
 	c.now = now
-	if isNew && c.quorum == nil {
-		c.subscribe()
+	if c.quorum == nil {
+		c.sendAll(c.subscription.Want(now, service))
 	}
 }
 
@@ -416,7 +352,7 @@
 		if c.quorum.LeaderID() == f.From {
 			c.leader, c.leaderAt = f.Address, now
 			if body.Raft.Kind == schema.RaftKind_RAFT_APPEND {
-				c.knownCommit, c.knownCommitAt = body.Raft.Commit, now
+				c.knownCommit, c.knownCommitAt = raft.Index(body.Raft.Commit), now
 			}
 		}
 	case *schema.Frame_DiscoverRequest:
@@ -465,25 +401,19 @@
 	case *schema.Frame_HeartbeatResponse:
 		c.takeLease(f, body.HeartbeatResponse)
 	case *schema.Frame_Subscribe:
-		c.takeSubscribe(f.Address, body.Subscribe)
+		c.sendAll(c.publisher.Subscribe(now, c.confirmation(), f.Address, body.Subscribe))
 	case *schema.Frame_Delta:
 		c.takeDelta(f.Address, body.Delta)
 	case *schema.Frame_DigestRequest:
-		if body.DigestRequest.Version == c.table.Version() {
-			c.send(f.Address, &schema.Frame{Body: &schema.Frame_DigestResponse{DigestResponse: &schema.DigestResponse{Version: body.DigestRequest.Version, Differing: c.table.Differing(body.DigestRequest.Ranges)}}})
-		}
+		c.sendAll(c.publisher.CompareDigests(f.Address, body.DigestRequest))
 	case *schema.Frame_DigestResponse:
-		if f.Address == c.source.address && len(body.DigestResponse.Differing) > 0 {
-			c.log.Warn("ranges differ from the source and are fetched again", "ranges", body.DigestResponse.Differing)
-			for _, prefix := range body.DigestResponse.Differing {
-				c.hold(prefix, false)
-			}
-			c.subscribe()
+		if c.quorum == nil {
+			c.sendAll(c.subscription.TakeDigests(now, f.Address, body.DigestResponse))
 		}
 	case *schema.Frame_OperatorRequest:
-		c.operate(&pendingRequest{call: f.Call, to: f.Address, request: body.OperatorRequest})
+		c.operations.ReceiveRequest(now, f.Address, f.Call, body.OperatorRequest)
 	case *schema.Frame_OperatorResponse:
-		c.takeResponse(f, body.OperatorResponse)
+		c.operations.ReceiveResponse(now, f.Address, operations.Ticket(f.Call), body.OperatorResponse)
 	}
 }
 
@@ -535,10 +465,13 @@
 	}
 	c.seekSystem()
 	if c.quorum == nil {
-		c.keepSource()
+		c.sendAll(c.subscription.Tick(now))
+	}
+	c.publishDeltas()
+	c.operations.Tick(now)
+	if c.quorum == nil {
+		c.perform(c.subscription.DropUnwanted(now))
 	}
-	c.spread()
-	c.expire()
 }
 
 // asked are the nodes to ask for a system now. Seeds and machines with a disk must hear all seeds to found one; the others ask one seed
@@ -593,8 +526,8 @@
 		return
 	}
 	c.heartbeatAt = c.now
-	c.serial++
-	b := &schema.Heartbeat{Node: c.spoken(c.peerSampler.Self()), Version: c.table.Version(), Health: c.healthReports, Suspects: c.peerSampler.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isReservationReady, OldestIndex: c.oldestIndex}
+	c.serial = c.heartbeats.Next()
+	b := &schema.Heartbeat{Node: c.spoken(c.peerSampler.Self()), Version: uint64(c.table.Version()), Health: c.healthReports, Suspects: c.peerSampler.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isReservationReady, OldestIndex: c.oldestIndex}
 	if c.routed != nil {
 		b.Load = c.routed.takeLoad(c.now)
 		if healthReports := c.routed.options.HealthReports; healthReports != nil {
@@ -617,37 +550,11 @@
 }
 
 func (c *Machine) noteHeartbeatSent(to string) {
-	c.heartbeats[c.serial] = asked{c.now, to}
-	delete(c.heartbeats, c.serial-questionsKept)
-}
-
-// pick draws one of the known nodes that fit, or a seed if there is none.
-func (c *Machine) pick(isFit func(*schema.Node) bool) string {
-	options := c.known(isFit)
-	if len(options) == 0 {
-		options = c.options.Seeds
-	}
-	return options[c.options.Draw(int64(len(options)))]
-}
-
-// known gives the addresses of the other nodes that fit, of the views and of the table.
-func (c *Machine) known(isFit func(*schema.Node) bool) []string {
-	var addresses []string
-	for _, node := range c.peerSampler.Known() {
-		if isFit(node) {
-			addresses = append(addresses, node.Address)
-		}
-	}
-	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
-		if node := c.view.Nodes[id]; id != c.self.Id && isFit(node) && node.State != schema.NodeState_NODE_LOST && !slices.Contains(addresses, node.Address) {
-			addresses = append(addresses, node.Address)
-		}
-	}
-	return addresses
+	c.heartbeats.Sent(c.now, to)
 }
 
 func (c *Machine) takeHeartbeat(f *schema.Frame, b *schema.Heartbeat) {
-	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: c.table.Version()}
+	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: uint64(c.table.Version())}
 	isLeader := c.IsLeading() && c.isFitNode(b.Node)
 	if isLeader {
 		response.Leader, response.Accepted = c.self.Address, true
@@ -693,13 +600,12 @@
 		return
 	}
 	c.leader, c.leaderAt = f.Address, c.now
-	heartbeat, isKnown := c.heartbeats[o.Serial]
-	if !isKnown || heartbeat.to != f.Address {
-		c.staleResponses++
+	sentAt, isKnown := c.heartbeats.Match(o.Serial, f.Address)
+	if !isKnown {
 		return
 	}
 	if o.LeaseMs > 0 {
-		c.leaseUntil = max(c.leaseUntil, heartbeat.at+time.Duration(o.LeaseMs)*time.Millisecond)
+		c.leaseUntil = max(c.leaseUntil, sentAt+time.Duration(o.LeaseMs)*time.Millisecond)
 	}
 }
 
@@ -762,11 +668,12 @@
 
 // Local gives what the hot path may rely on now.
 func (c *Machine) Local() *Local {
-	l := &Local{View: c.view, HeldPrefixes: c.held, IsFull: c.isFull(), FreshAt: c.freshAt, LeaseUntil: c.leaseUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
+	l := &Local{View: c.view, HeldPrefixes: c.subscription.Held(), IsFull: c.isFull(), FreshAt: c.rowsFreshAt(), LeaseUntil: c.leaseUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
 		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
-		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", StaleResponses: c.staleResponses}
+		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader",
+		StaleResponses: c.staleResponses + c.heartbeats.Stale() + c.subscription.StaleResponses() + c.operations.StaleResponses()}
 	if c.quorum != nil {
-		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), c.quorum.Term(), c.quorum.Commit(), c.quorum.Members(), c.quorum.First()
+		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), uint64(c.quorum.Term()), uint64(c.quorum.Commit()), c.quorum.Members(), uint64(c.quorum.First())
 		if c.quorum.Role() == raft.Leader {
 			l.FreshAt = c.quorum.Contact()
 		}
@@ -823,7 +730,7 @@
 	if c.quorum != nil {
 		c.apply()
 		c.refresh()
-		c.spread()
+		c.publishDeltas()
 	}
 	if c.refused != nil {
 		return Effects{}
@@ -867,7 +774,7 @@
 		c.view = store.Compile(c.table)
 		c.fences = map[string]time.Duration{}
 		c.noteFences(effects.Quorum.Snapshot.Rows)
-		c.snapshotAt = effects.Quorum.Snapshot.Index
+		c.snapshotAt = raft.Index(effects.Quorum.Snapshot.Index)
 		if c.guard(c.view.Fleet) != nil {
 			return
 		}
@@ -876,12 +783,12 @@
 	defer c.refresh()
 	c.apply()
 	for _, ticket := range effects.Quorum.Reads {
-		c.answerRead(ticket)
+		c.operations.ReadConfirmed(now, ticket)
 	}
 	for _, ticket := range effects.Quorum.LostReads {
-		c.loseRead(ticket)
+		c.operations.ReadLost(now, ticket)
 	}
-	c.spread()
+	c.publishDeltas()
 }
 
 func (c *Machine) refresh() {
@@ -908,12 +815,12 @@
 			return
 		}
 		before := c.numbersOf(item.Record)
-		rows, err := c.table.Apply(item.Index, item.Record, failover.Check)
+		rows, err := c.table.Apply(raft.Index(item.Index), item.Record, failover.Check)
 		if err != nil {
 			c.verdicts[item.Index] = err.Error()
 			c.log.Info("record void", "index", item.Index, "reason", err.Error())
 		}
-		if c.table.Version() < item.Index {
+		if uint64(c.table.Version()) < item.Index {
 			continue
 		}
 		changed = append(changed, rows...)
@@ -921,12 +828,15 @@
 		if item.Record.Kind == schema.RecordKind_RECORD_MEMBERS {
 			c.log.Info("members", "voters", len(item.Record.Members.Voters), "learners", len(item.Record.Members.Learners), "reason", item.Record.Reason)
 		}
-		c.settle(item)
+		_, isVoid := c.verdicts[item.Index]
+		delete(c.verdicts, item.Index)
+		if c.operations.Applied(c.now, proposals.Position{Index: raft.Index(item.Index), Term: raft.Term(item.Term)}, isVoid) {
+			c.planAt = 0
+		}
 		c.noteOwners(rows)
 	}
 	c.publish(changed)
-	c.decideAgain()
-	c.resumeDeferred()
+	c.operations.Resume(c.now)
 }
 
 // Compactable tells whether a new snapshot should be written.
@@ -938,7 +848,7 @@
 }
 
 // Compacted tells that a snapshot of that index is on disk.
-func (c *Machine) Compacted(index uint64) {
+func (c *Machine) Compacted(index raft.Index) {
 	c.snapshotAt = index
 	c.quorum.Compact(index)
 }
--- a/internal/failover/groups_test.go
+++ b/internal/failover/groups_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -26,7 +27,7 @@
 		t.Fatal(err)
 	}
 	for index := uint64(2); ; index++ {
-		records := PlanPlaces(store.Compile(table), table)
+		records := PlanRoutes(store.Compile(table), table)
 		if len(records) == 0 {
 			break
 		}
@@ -42,7 +43,7 @@
 				seen[row.Key] = true
 			}
 		}
-		if _, err := table.Apply(index, records[0], Check); err != nil {
+		if _, err := table.Apply(raft.Index(index), records[0], Check); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/node/native_seam_test.go
+++ b/internal/node/native_platform_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"topazshed/internal/discovery"
+	"topazshed/internal/leasecall"
 	"topazshed/internal/settings"
 	"topazshed/internal/sharding"
 )
@@ -37,7 +38,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			calls, turns := 0, 0
-			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				if calls < len(c.statuses) {
 					w.WriteHeader(c.statuses[calls])
 				}
@@ -65,9 +66,9 @@
 }
 
 func TestNativeKeyCalls(t *testing.T) {
-	lease := sharding.Call{ID: 7, Kind: sharding.GrantLease, Service: "nickel", Instance: "n-1", First: 5, Last: 9, Fence: 3, Hold: 4500 * time.Millisecond, Handover: "h0"}
+	lease := sharding.Call{ID: 7, Kind: sharding.GrantLease, Service: "nickel", Instance: "n-1", First: 5, Last: 9, Fence: 3, LeaseDuration: 4500 * time.Millisecond, Handover: "h0"}
 	release := lease
-	release.Kind, release.Hold, release.Handover = sharding.ReleaseLease, 0, ""
+	release.Kind, release.LeaseDuration, release.Handover = sharding.ReleaseLease, 0, ""
 	probe := lease
 	probe.Kind = sharding.Probe
 	for _, c := range []struct {
@@ -109,7 +110,7 @@
 			} else {
 				defer server.Close()
 			}
-			answer, err := newCaller("127.0.0.1:1").grantLease(context.Background(), c.call)
+			answer, err := newNativeLeases(leasecall.NewDial(localIP("127.0.0.1:1"))).grantLease(context.Background(), c.call)
 			if answer != c.want || (err != nil) != c.isDead || path != c.path || body != c.body {
 				t.Errorf("%+v %v, %s %+v", answer, err, path, body)
 			}
--- a/internal/sim/failover.go
+++ b/internal/sim/failover.go
@@ -51,7 +51,7 @@
 	view := f.View(f.Leader())
 	entry := view.Services[request.Service].Entry(entryPath)
 	origin := failover.Origin{Region: firstRegion}
-	if failover.IsBound(entry) {
+	if failover.IsEntity(entry) {
 		origin = failover.Origin{Service: entry.Service, Path: entry.Path}
 	}
 	owner, err := failover.Resolve(view, entry, origin)
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -9,6 +9,7 @@
 	"topazshed/internal/controlplane"
 	"topazshed/internal/idempotency"
 	"topazshed/internal/proxy"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
@@ -58,7 +59,7 @@
 	// isShut tells that a planned stop no longer takes connections.
 	isShut bool
 	// lastIndex and lastConfiguration are the newest that checkNode saw.
-	lastIndex         uint64
+	lastIndex         raft.Index
 	lastConfiguration uint64
 }
 
--- a/internal/sim/operator.go
+++ b/internal/sim/operator.go
@@ -10,6 +10,7 @@
 	"topazshed/internal/catalog"
 	"topazshed/internal/checker"
 	"topazshed/internal/controlplane"
+	"topazshed/internal/operations"
 	"topazshed/internal/schema"
 )
 
@@ -38,7 +39,7 @@
 
 // answer hands the control machine's answer to the operator that waits for it.
 func (f *Fleet) answer(n *Node, local controlplane.LocalResponse) {
-	n.resolve(local.Ticket, &schema.Frame{Body: &schema.Frame_OperatorResponse{OperatorResponse: local.Response}})
+	n.resolve(uint64(local.Ticket), &schema.Frame{Body: &schema.Frame_OperatorResponse{OperatorResponse: local.Response}})
 }
 
 // Operate sends an operator's request to a machine and notes what was answered.
@@ -70,7 +71,7 @@
 			f.recordOperator(call, response)
 			take(response)
 		}
-		n.machine.Operate(f.clock(n), n.serial, request)
+		n.machine.Operate(f.clock(n), operations.Ticket(n.serial), request)
 		f.perform(n)
 	})
 }
