--- a/cmd/topazshed/rollout_progress.go
+++ b/cmd/topazshed/rollout_progress.go
@@ -22,13 +22,13 @@
 
 // rollout is how far a fleet's upgrade has come, and what the next step must wait for.
 type rollout struct {
-	InUse    uint32                 `json:"in_use"`
-	Newest   uint32                 `json:"newest"`
-	MayRise  uint32                 `json:"may_rise_to"`
-	Holds    []protocolversion.Hold `json:"holds"`
-	Machines []rolloutMachine       `json:"machines"`
-	IsSafe   bool                   `json:"safe"`
-	Waits    []string               `json:"waits"`
+	InUse    protocolversion.Version   `json:"in_use"`
+	Newest   protocolversion.Version   `json:"newest"`
+	MayRise  protocolversion.Version   `json:"may_rise_to"`
+	Holds    []protocolversion.Blocker `json:"holds"`
+	Machines []rolloutMachine          `json:"machines"`
+	IsSafe   bool                      `json:"safe"`
+	Waits    []string                  `json:"waits"`
 }
 
 // wait notes a reason not to upgrade the next machine yet.
@@ -38,7 +38,7 @@
 
 // assess reads an upgrade's progress off a node's status.
 func assess(s *adminapi.Status) rollout {
-	r := rollout{InUse: s.Fleet, Newest: s.Newest, Holds: []protocolversion.Hold{}, Waits: []string{}}
+	r := rollout{InUse: s.Fleet, Newest: s.Newest, Holds: []protocolversion.Blocker{}, Waits: []string{}}
 	r.waitForLog(s)
 	readers, able := r.assessMachines(s)
 	readers = append(readers, r.assessAbsentMembers(s)...)
--- a/cmd/topazshed/rollout_test.go
+++ b/cmd/topazshed/rollout_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"topazshed/internal/adminapi"
+	"topazshed/internal/protocolversion"
 )
 
 func TestARolloutsNextStepWaits(t *testing.T) {
@@ -26,7 +27,7 @@
 		change  func(s *adminapi.Status)
 		waits   []string
 		holds   []string
-		mayRise uint32
+		mayRise protocolversion.Version
 	}{
 		{"all is well", func(*adminapi.Status) {}, nil, nil, 2},
 		{"risen before", func(s *adminapi.Status) { s.Fleet = 2 }, nil, nil, 2},
--- a/internal/adminapi/status_types.go
+++ b/internal/adminapi/status_types.go
@@ -1,5 +1,7 @@
 package adminapi
 
+import "topazshed/internal/protocolversion"
+
 // Disk is the state of a node's data folder. LastSyncMs and WorstMs are how long the last and the longest write with its
 // sync took.
 type Disk struct {
@@ -48,8 +50,8 @@
 	Disk   bool   `json:"disk"`
 	State  string `json:"state"`
 	// SpeaksLow and SpeaksHigh are the lowest and the highest protocol version that the node reported.
-	SpeaksLow  uint32 `json:"speaks_low"`
-	SpeaksHigh uint32 `json:"speaks_high"`
+	SpeaksLow  protocolversion.Version `json:"speaks_low"`
+	SpeaksHigh protocolversion.Version `json:"speaks_high"`
 	// Index, HeardMs and InForce are what the leader knows: the index of the state that the node had, how long ago it reported,
 	// and whether the newest configuration is in force there. HeardMs is -1 if the leader has not heard from it.
 	Index   uint64 `json:"index,omitempty"`
@@ -92,8 +94,8 @@
 	// Configuration is the version by which the node serves.
 	Configuration uint64 `json:"configuration"`
 	// Fleet is the protocol version that the fleet uses, Newest the highest that this node's program speaks.
-	Fleet  uint32 `json:"fleet"`
-	Newest uint32 `json:"newest"`
+	Fleet  protocolversion.Version `json:"fleet"`
+	Newest protocolversion.Version `json:"newest"`
 	// Fit says that the state is fresh enough to serve by; FreshMs is its age.
 	Fit bool `json:"fit"`
 	// ClockMs is the process's own clock, to compare clock rates.
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -165,9 +165,9 @@
 	changes            []*schema.FailoverChange
 	speaks             protocolversion.Span
 	refused            error
-	risingTo           uint32
+	risingTo           protocolversion.Version
 	risingFrom         time.Duration
-	proposed           uint32
+	proposed           protocolversion.Version
 	refusedNodes       map[string]uint64
 }
 
@@ -360,7 +360,7 @@
 		c.send(f.Address, &schema.Frame{Body: &schema.Frame_DiscoverResponse{DiscoverResponse: &schema.DiscoverResponse{System: c.system, Leader: c.leader,
 			Nodes: c.introduce(body.DiscoverRequest.Node), Founding: c.options.Restart, Disk: c.self.Disk, Founder: c.nominate(), FleetVersion: c.shownFleet()}}})
 	case *schema.Frame_DiscoverResponse:
-		if c.guard(body.DiscoverResponse.FleetVersion) != nil {
+		if c.guard(protocolversion.Version(body.DiscoverResponse.FleetVersion)) != nil {
 			return
 		}
 		c.peerSampler.Learn(body.DiscoverResponse.Nodes...)
--- a/internal/controlplane/version.go
+++ b/internal/controlplane/version.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func (c *Machine) guard(fleet uint32) error {
+func (c *Machine) guard(fleet protocolversion.Version) error {
 	if err := protocolversion.CheckFleet(c.speaks, fleet); err != nil {
 		c.refuse(err)
 	}
@@ -32,7 +32,7 @@
 	if c.view.Fleet == protocolversion.First {
 		return 0
 	}
-	return c.view.Fleet
+	return uint32(c.view.Fleet)
 }
 
 func (c *Machine) spoken(node *schema.Node) *schema.Node {
@@ -106,7 +106,7 @@
 	}
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "the fleet's version rises",
 		Guards: []*schema.Guard{{Key: store.VersionKey, Index: c.table.Get(store.VersionKey).GetIndex()}},
-		Rows:   []*schema.Row{store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: next})}}
+		Rows:   []*schema.Row{store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: uint32(next)})}}
 	if c.propose(record) {
 		c.proposed = next
 		c.log.Info("the fleet's version rises", "version", next)
--- a/internal/controlplane/version_test.go
+++ b/internal/controlplane/version_test.go
@@ -73,7 +73,7 @@
 		name         string
 		speaks       map[string]protocolversion.Span
 		unresponsive string
-		want         uint32
+		want         protocolversion.Version
 	}{
 		{"all new", nil, "", 2},
 		{"all old", map[string]protocolversion.Span{"a": old, "b": old, "c": old, "d": old, "e": old}, "", 1},
--- a/internal/failover/check.go
+++ b/internal/failover/check.go
@@ -47,7 +47,7 @@
 
 // FleetVersionError says that the fleet's protocol version would fall.
 type FleetVersionError struct {
-	Old, New uint32
+	Old, New protocolversion.Version
 }
 
 func (e *FleetVersionError) Error() string {
@@ -173,6 +173,6 @@
 	return nil
 }
 
-func versionInUse(table *store.Table) uint32 {
+func versionInUse(table *store.Table) protocolversion.Version {
 	return protocolversion.InUse(store.DecodeRow[schema.FleetVersion](table.Get(store.VersionKey)).GetVersion())
 }
--- a/internal/frame/agree.go
+++ b/internal/frame/agree.go
@@ -45,14 +45,14 @@
 // NewWriter begins the frames to a peer that is known to speak this program's newest version.
 func NewWriter(out io.Writer) *Writer {
 	w := OpenWriter(out, protocolversion.Own)
-	w.agreed.Store(protocolversion.Newest)
+	w.agreed.Store(uint32(protocolversion.Newest))
 	return w
 }
 
 // OpenWriter begins the frames to a peer that has told nothing yet: it is spoken to in the first version until Heed hears more.
 func OpenWriter(out io.Writer, own protocolversion.Span) *Writer {
 	w := &Writer{out: out, own: own, origin: &schema.Frame{}}
-	w.agreed.Store(protocolversion.First)
+	w.agreed.Store(uint32(protocolversion.First))
 	return w
 }
 
@@ -64,7 +64,7 @@
 func (w *Writer) Write(frame *schema.Frame) error {
 	announced := &schema.Frame{Call: frame.Call, Response: frame.Response, Body: frame.Body}
 	isKnown := frame.From != "" && isSameOrigin(frame, w.origin)
-	if !isKnown || !protocolversion.Has(w.agreed.Load(), protocolversion.SenderOnce) {
+	if !isKnown || !protocolversion.Has(protocolversion.Version(w.agreed.Load()), protocolversion.SenderOnce) {
 		announced.System, announced.From, announced.Address = frame.System, frame.From, frame.Address
 	}
 	if !w.isOriginSent {
@@ -92,7 +92,7 @@
 		w.isDisjoint.Store(true)
 		return err
 	}
-	w.agreed.Store(agreed)
+	w.agreed.Store(uint32(agreed))
 	if _, err := io.ReadFull(in, make([]byte, 1)); err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 	in          io.Reader
 	own         protocolversion.Span
 	origin      *schema.Frame
-	agreed      uint32
+	agreed      protocolversion.Version
 	isAnswerDue bool
 }
 
--- a/internal/frame/agree_test.go
+++ b/internal/frame/agree_test.go
@@ -34,7 +34,7 @@
 		name     string
 		own      protocolversion.Span
 		answer   []byte
-		agreed   uint32
+		agreed   protocolversion.Version
 		isRead   bool
 		disjoint bool
 	}{
@@ -57,7 +57,7 @@
 				t.Fatal(err)
 			}
 			first, err := Read(&sent)
-			if err != nil || first.From != "a" || first.SpeaksHigh != c.own.High {
+			if err != nil || first.From != "a" || first.SpeaksHigh != uint32(c.own.High) {
 				t.Fatalf("first frame %v, %v", first, err)
 			}
 			err = writer.Heed(bytes.NewReader(c.answer))
@@ -137,7 +137,7 @@
 	for _, c := range []struct {
 		name string
 		a, b protocolversion.Span
-		want uint32
+		want protocolversion.Version
 	}{
 		{"new with new", protocolversion.Own, protocolversion.Own, 2},
 		{"new with old", protocolversion.Own, old, 1},
@@ -246,7 +246,7 @@
 		if err := writer.Heed(bytes.NewReader(text)); err == nil {
 			t.Fatal("heeding ended without a reason")
 		}
-		if agreed := writer.agreed.Load(); !protocolversion.Own.Has(agreed) {
+		if agreed := writer.agreed.Load(); !protocolversion.Own.Has(protocolversion.Version(agreed)) {
 			t.Fatalf("agreed on %d", agreed)
 		}
 	})
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -194,7 +194,7 @@
 			return nil, nil, newer
 		}
 		if err == nil {
-			if err := protocolversion.CheckDisk(options.Speaks.OrOwn(), "an image", snapshot.GetVersion()); err != nil {
+			if err := protocolversion.CheckDisk(options.Speaks.OrOwn(), "a snapshot", protocolversion.Version(snapshot.GetVersion())); err != nil {
 				return nil, nil, err
 			}
 		}
@@ -214,7 +214,7 @@
 	if err := j.readRing(state); err != nil {
 		return nil, nil, err
 	}
-	if err := protocolversion.CheckDisk(options.Speaks.OrOwn(), "the journal", state.Hard.Version); err != nil {
+	if err := protocolversion.CheckDisk(options.Speaks.OrOwn(), "the journal", protocolversion.Version(state.Hard.Version)); err != nil {
 		return nil, nil, err
 	}
 	if len(state.Items) > 0 && raft.Index(state.Items[0].Index) > j.snapshotIndex+1 {
@@ -244,7 +244,7 @@
 	size := binary.BigEndian.Uint64(head[8:])
 	isPacked := binary.BigEndian.Uint32(head) == packedMagic
 	if binary.BigEndian.Uint16(head) == magicFamily && binary.BigEndian.Uint16(head[2:]) > packedMagic&0xffff {
-		return nil, 0, &protocolversion.DiskError{What: "an image", Own: protocolversion.Own}
+		return nil, 0, &protocolversion.DiskError{What: "a snapshot", Own: protocolversion.Own}
 	}
 	if !isPacked && binary.BigEndian.Uint32(head) != snapshotMagic || int64(size) > area.Size()-snapshotHead {
 		return nil, 0, &CorruptError{"image", 0}
--- a/internal/node/earlier_version_test.go
+++ b/internal/node/earlier_version_test.go
@@ -22,6 +22,7 @@
 	"topazshed/internal/controlplane"
 	"topazshed/internal/failover"
 	"topazshed/internal/journal"
+	"topazshed/internal/protocolversion"
 	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
@@ -32,36 +33,36 @@
 
 // readBack is what a data folder holds. Its JSON names belong to the golden files, not to the program: they stay when the program's names change.
 type readBack struct {
-	Term                uint64               `json:"term"`
-	Vote                string               `json:"vote"`
-	ID                  string               `json:"id"`
-	System              string               `json:"system"`
-	Commit              uint64               `json:"commit"`
-	DiskVersion         uint32               `json:"disk_version"`
-	Torn                bool                 `json:"torn"`
-	SnapshotIndex       uint64               `json:"snapshot_index"`
-	SnapshotTerm        uint64               `json:"snapshot_term"`
-	SnapshotDiskVersion uint32               `json:"snapshot_disk_version"`
-	SnapshotRows        rowsRead             `json:"snapshot_rows"`
-	LogFirstIndex       uint64               `json:"log_first_index"`
-	LogLastIndex        uint64               `json:"log_last_index"`
-	LogLastTerm         uint64               `json:"log_last_term"`
-	LogEntries          int                  `json:"log_entries"`
-	LogMemberChanges    int                  `json:"log_member_changes"`
-	LogRefused          []uint64             `json:"log_refused"`
-	RestartIndex        uint64               `json:"restart_index"`
-	RestartRows         rowsRead             `json:"restart_rows"`
-	RestartVoters       []string             `json:"restart_voters"`
-	RestartLearners     []string             `json:"restart_learners"`
-	FinalIndex          uint64               `json:"final_index"`
-	FinalRows           rowsRead             `json:"final_rows"`
-	Configuration       uint64               `json:"configuration"`
-	DocumentDigest      string               `json:"document_digest"`
-	FleetVersion        uint32               `json:"fleet_version"`
-	Zones               map[string]zoneFacts `json:"zones"`
-	Machines            map[string]bool      `json:"machines_with_disk"`
-	Services            []string             `json:"services"`
-	Routes              []string             `json:"routes"`
+	Term                uint64                  `json:"term"`
+	Vote                string                  `json:"vote"`
+	ID                  string                  `json:"id"`
+	System              string                  `json:"system"`
+	Commit              uint64                  `json:"commit"`
+	DiskVersion         uint32                  `json:"disk_version"`
+	Torn                bool                    `json:"torn"`
+	SnapshotIndex       uint64                  `json:"snapshot_index"`
+	SnapshotTerm        uint64                  `json:"snapshot_term"`
+	SnapshotDiskVersion uint32                  `json:"snapshot_disk_version"`
+	SnapshotRows        rowsRead                `json:"snapshot_rows"`
+	LogFirstIndex       uint64                  `json:"log_first_index"`
+	LogLastIndex        uint64                  `json:"log_last_index"`
+	LogLastTerm         uint64                  `json:"log_last_term"`
+	LogEntries          int                     `json:"log_entries"`
+	LogMemberChanges    int                     `json:"log_member_changes"`
+	LogRefused          []uint64                `json:"log_refused"`
+	RestartIndex        uint64                  `json:"restart_index"`
+	RestartRows         rowsRead                `json:"restart_rows"`
+	RestartVoters       []string                `json:"restart_voters"`
+	RestartLearners     []string                `json:"restart_learners"`
+	FinalIndex          uint64                  `json:"final_index"`
+	FinalRows           rowsRead                `json:"final_rows"`
+	Configuration       uint64                  `json:"configuration"`
+	DocumentDigest      string                  `json:"document_digest"`
+	FleetVersion        protocolversion.Version `json:"fleet_version"`
+	Zones               map[string]zoneFacts    `json:"zones"`
+	Machines            map[string]bool         `json:"machines_with_disk"`
+	Services            []string                `json:"services"`
+	Routes              []string                `json:"routes"`
 }
 
 // rowsRead tells rows in the order of their keys; the digest covers key, index and value of each.
--- a/internal/store/view.go
+++ b/internal/store/view.go
@@ -67,7 +67,7 @@
 	Limits      *schema.Limits
 	Defaults    map[string]*schema.FailoverAssignment
 	// Fleet is the version that the fleet uses.
-	Fleet uint32
+	Fleet protocolversion.Version
 }
 
 // Route matches a host and path to the route with the longest fitting prefix, or nil.
