--- a/internal/controlplane/founding_test.go
+++ b/internal/controlplane/founding_test.go
@@ -54,8 +54,8 @@
 							}
 						}
 					}
-					if core.system != "" {
-						founded[core.system] = name
+					if core.bootstrap.System() != "" {
+						founded[core.bootstrap.System()] = name
 					}
 				}
 			}
@@ -74,7 +74,7 @@
 				}
 			}
 			for name, core := range cores {
-				if core.system == "" || core.quorum != nil && !core.quorum.IsVoter(core.self.Id) {
+				if core.bootstrap.System() == "" || core.quorum != nil && !core.quorum.IsVoter(core.self.Id) {
 					t.Errorf("%s did not join", name)
 				}
 			}
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -107,22 +107,6 @@
 	c.routed.outlierQuorum.Report(c.now, b.Node.Id, b.Node.Zone, b.Health)
 }
 
-// introduce gives some of the nodes that a node which asks should know: a sample of the views, and in a routed fleet the disk machines of its own region.
-func (c *Machine) introduce(to *schema.Node) []*schema.Node {
-	nodes := c.peerSampler.Sample()
-	if c.routed == nil {
-		return nodes
-	}
-	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
-		node := c.view.Nodes[id]
-		isNotified := slices.ContainsFunc(nodes, func(other *schema.Node) bool { return other.Id == id })
-		if node.Disk && !isNotified && node.Region == to.GetRegion() && node.State == schema.NodeState_NODE_READY {
-			nodes = append(nodes, node)
-		}
-	}
-	return nodes
-}
-
 // newestAt is the newest incarnation that was heard of at each address: an older one there is no more.
 func (c *Machine) newestAt() map[string]uint64 {
 	if c.routed == nil {
@@ -134,44 +118,3 @@
 	}
 	return newest
 }
-
-// isFounder tells whether this machine is the one that may found a system: the lowest seed with a disk, or who the lowest seed named because no seed has one.
-func (c *Machine) isFounder(seeds []string) bool {
-	if c.routed == nil {
-		return seeds[0] == c.self.Address
-	}
-	for _, seed := range seeds {
-		if seed == c.self.Address {
-			return true
-		}
-		hasDisk, isKnown := c.routed.disks[seed]
-		if !isKnown || hasDisk {
-			return false
-		}
-	}
-	return c.routed.founder == c.self.Address
-}
-
-// nominate names the machine that shall found the system, once, if this is the lowest of the seeds and none of them has a disk.
-func (c *Machine) nominate() string {
-	r := c.routed
-	if r == nil || c.system != "" || c.options.Rejoin || c.self.Disk || c.self.Address != slices.Min(c.options.Seeds) {
-		return ""
-	}
-	for _, seed := range c.options.Seeds {
-		if hasDisk, isKnown := r.disks[seed]; seed != c.self.Address && (!isKnown || hasDisk) {
-			return ""
-		}
-	}
-	if r.bornAt == 0 {
-		r.bornAt = c.now
-	}
-	if r.founder == "" && c.now-r.bornAt >= constants.FoundSettle {
-		for _, node := range c.peerSampler.Known() {
-			if node.Disk && (r.founder == "" || node.Address < r.founder) {
-				r.founder = node.Address
-			}
-		}
-	}
-	return r.founder
-}
--- /dev/null
+++ b/internal/controlplane/join.go
@@ -0,0 +1,49 @@
+package controlplane
+
+import (
+	"topazshed/internal/bootstrap"
+	"topazshed/internal/schema"
+)
+
+func (c *Machine) newBootstrap() *bootstrap.Machine {
+	options := bootstrap.Options{
+		Self:       c.self,
+		Seeds:      c.options.Seeds,
+		System:     c.options.System,
+		IsRejoin:   c.options.Rejoin,
+		WasMember:  c.options.Restart && c.options.Hard.GetId() != "",
+		IsRestart:  c.options.Restart,
+		MixedSeeds: c.routed != nil,
+		Draw:       c.options.Draw,
+		Log:        c.log,
+	}
+	return bootstrap.New(options, c.peerSampler, fleetView{c})
+}
+
+// findSystem asks for a system to join, and founds one if that falls to this node.
+func (c *Machine) findSystem() {
+	c.sendAll(c.bootstrap.Ask(c.now))
+	if c.quorum == nil || c.quorum.Last() > 0 {
+		return
+	}
+	if record := c.bootstrap.Found(c.now); record != nil {
+		c.quorum.Found(c.now, record)
+	}
+}
+
+// seekMembers asks around for members of the log while this node, which keeps none, has no source of rows.
+func (c *Machine) seekMembers() {
+	_, isSourceAlive := c.subscription.LiveSource(c.now)
+	if isSourceAlive && c.view.System != "" {
+		return
+	}
+	c.sendAll(c.bootstrap.SeekMembers(c.now))
+}
+
+// answerDiscovery tells a node that looks for a system which one this node belongs to, who leads it and whom to ask further.
+func (c *Machine) answerDiscovery(from string, request *schema.DiscoverRequest) {
+	response := c.bootstrap.Answer(c.now, request)
+	response.Leader = c.leader
+	response.FleetVersion = c.shownFleet()
+	c.send(from, &schema.Frame{Body: &schema.Frame_DiscoverResponse{DiscoverResponse: response}})
+}
--- a/internal/controlplane/known.go
+++ b/internal/controlplane/known.go
@@ -11,7 +11,7 @@
 type fleetView struct{ machine *Machine }
 
 // HasSystem tells whether the node has joined a system.
-func (v fleetView) HasSystem() bool { return v.machine.system != "" }
+func (v fleetView) HasSystem() bool { return v.machine.bootstrap.System() != "" }
 
 // HasState tells whether the node holds rows of its system.
 func (v fleetView) HasState() bool { return v.machine.view.System != "" }
@@ -19,6 +19,18 @@
 // Addresses gives the addresses of the other known nodes that fit.
 func (v fleetView) Addresses(isFit func(*schema.Node) bool) []string { return v.machine.known(isFit) }
 
+// ReadyDiskNodes gives the ready nodes of a region that have a disk, in order of their ids.
+func (v fleetView) ReadyDiskNodes(region string) []*schema.Node {
+	var nodes []*schema.Node
+	for _, id := range slices.Sorted(maps.Keys(v.machine.view.Nodes)) {
+		node := v.machine.view.Nodes[id]
+		if node.Disk && node.Region == region && node.State == schema.NodeState_NODE_READY {
+			nodes = append(nodes, node)
+		}
+	}
+	return nodes
+}
+
 // pick draws one of the known nodes that fit, or a seed if there is none.
 func (c *Machine) pick(isFit func(*schema.Node) bool) string {
 	options := c.known(isFit)
--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -111,7 +111,7 @@
 		record.Rows = append(record.Rows, row)
 	}
 	if c.table.Get(store.SystemKey) == nil {
-		put(store.SystemKey, &schema.Row{Key: store.SystemKey, Value: []byte(c.system)})
+		put(store.SystemKey, &schema.Row{Key: store.SystemKey, Value: []byte(c.bootstrap.System())})
 	}
 	zones, regions := map[string]string{}, map[string]bool{}
 	nextZone, nextRegion := uint32(0), uint32(1)
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -2,7 +2,6 @@
 package controlplane
 
 import (
-	"fmt"
 	"log/slog"
 	"maps"
 	"slices"
@@ -11,6 +10,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"topazshed/internal/bootstrap"
 	"topazshed/internal/constants"
 	"topazshed/internal/discovery"
 	"topazshed/internal/failover"
@@ -139,11 +139,11 @@
 	timing             timing.Timing
 	log                *slog.Logger
 	self               *schema.Node
-	system             string
 	quorum             *raft.Node
 	table              *store.Table
 	view               *store.View
 	peerSampler        *membership.Sampler
+	bootstrap          *bootstrap.Machine
 	endpoints          *discovery.Endpoints
 	effects            Effects
 	now                time.Duration
@@ -169,11 +169,6 @@
 	staleResponses     uint64
 	reads              map[uint64]*pendingRequest
 	nextRead           uint64
-	whoAt              time.Duration
-	askedSeeds         int
-	seeds              map[string]time.Duration
-	empties            map[string]bool
-	emptySince         time.Duration
 	listAt             time.Duration
 	listFault          string
 	listRead           *discovery.ListRead
@@ -208,15 +203,12 @@
 		options:      options,
 		log:          options.Log,
 		self:         proto.Clone(options.Self).(*schema.Node),
-		system:       options.System,
 		table:        store.NewTable(),
 		view:         store.NewView(),
 		endpoints:    discovery.New(),
 		nodes:        map[string]*nodeRecord{},
 		releasedAt:   map[uint64]time.Duration{},
 		reads:        map[uint64]*pendingRequest{},
-		seeds:        map[string]time.Duration{},
-		empties:      map[string]bool{},
 		peers:        map[string]time.Duration{},
 		verdicts:     map[uint64]string{},
 		fences:       map[string]time.Duration{},
@@ -237,6 +229,7 @@
 	c.subscription = c.newSubscription(c.firstSerial())
 	c.publisher = replication.NewPublisher(c.table, c.timing.DeltaInterval)
 	c.peerSampler = membership.New(membership.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Pace: c.timing.Sampler})
+	c.bootstrap = c.newBootstrap()
 	if options.Self.Disk {
 		if options.Snapshot != nil {
 			c.table.Restore(options.Snapshot)
@@ -274,7 +267,7 @@
 	if to == "" || to == c.self.Address {
 		return
 	}
-	frame.System, frame.From, frame.Address = c.system, c.self.Id, c.self.Address
+	frame.System, frame.From, frame.Address = c.bootstrap.System(), c.self.Id, c.self.Address
 	c.effects.Sends = append(c.effects.Sends, Send{to, frame})
 }
 
@@ -298,6 +291,7 @@
 	c.options.Seeds = slices.Clone(seeds)
 	c.peerSampler.SetSeeds(c.options.Seeds)
 	c.subscription.SetSeeds(c.options.Seeds)
+	c.bootstrap.SetSeeds(c.options.Seeds)
 	c.log.Info("other seeds are asked from now on", "seeds", seeds)
 }
 
@@ -357,7 +351,7 @@
 	if c.refused != nil {
 		return
 	}
-	if f.System != "" && c.system != "" && f.System != c.system {
+	if f.System != "" && c.bootstrap.System() != "" && f.System != c.bootstrap.System() {
 		c.log.Warn("frame of another system declined", "from", f.From, "system", f.System)
 		return
 	}
@@ -367,13 +361,13 @@
 	}
 	switch body := f.Body.(type) {
 	case *schema.Frame_Raft:
-		if c.quorum == nil || c.system != "" && f.System == "" {
+		if c.quorum == nil || c.bootstrap.System() != "" && f.System == "" {
 			return
 		}
-		if c.system == "" && isFromLeader(body.Raft.Kind) {
-			c.adopt(f.System)
+		if isFromLeader(body.Raft.Kind) {
+			c.bootstrap.Adopt(f.System)
 		}
-		if c.system == "" {
+		if c.bootstrap.System() == "" {
 			return
 		}
 		c.addresses[f.From] = f.Address
@@ -386,35 +380,22 @@
 		}
 	case *schema.Frame_DiscoverRequest:
 		c.peerSampler.Learn(body.DiscoverRequest.Node)
-		c.send(f.Address, &schema.Frame{Body: &schema.Frame_DiscoverResponse{DiscoverResponse: &schema.DiscoverResponse{System: c.system, Leader: c.leader,
-			Nodes: c.introduce(body.DiscoverRequest.Node), Founding: c.options.Restart, Disk: c.self.Disk, Founder: c.nominate(), FleetVersion: c.shownFleet()}}})
+		c.answerDiscovery(f.Address, body.DiscoverRequest)
 	case *schema.Frame_DiscoverResponse:
 		if c.guard(body.DiscoverResponse.FleetVersion) != nil {
 			return
 		}
 		c.peerSampler.Learn(body.DiscoverResponse.Nodes...)
-		c.seeds[f.Address] = now
-		c.empties[f.Address] = body.DiscoverResponse.System == ""
-		if c.routed != nil {
-			c.routed.disks[f.Address] = body.DiscoverResponse.Disk
-			if body.DiscoverResponse.Founder != "" && f.Address == slices.Min(c.options.Seeds) {
-				c.routed.founder = body.DiscoverResponse.Founder
-			}
-		}
-		if c.system == "" && body.DiscoverResponse.System != "" {
-			c.adopt(body.DiscoverResponse.System)
-		}
+		c.bootstrap.TakeAnswer(now, f.Address, body.DiscoverResponse)
 		if c.leader == "" {
 			c.leader = body.DiscoverResponse.Leader
 		}
 	case *schema.Frame_Shuffle:
 		for _, s := range c.peerSampler.Shuffle(f.Address, body.Shuffle) {
-			s.Frame.GetShuffle().System, s.Frame.GetShuffle().Leader = c.system, c.leader
+			s.Frame.GetShuffle().System, s.Frame.GetShuffle().Leader = c.bootstrap.System(), c.leader
 			c.send(s.To, s.Frame)
 		}
-		if c.system == "" && body.Shuffle.System != "" {
-			c.adopt(body.Shuffle.System)
-		}
+		c.bootstrap.Adopt(body.Shuffle.System)
 		if c.leader == "" || now-c.leaderAt > constants.NodeLostAfter && body.Shuffle.Leader != "" {
 			c.leader = body.Shuffle.Leader
 		}
@@ -455,14 +436,6 @@
 	return false
 }
 
-func (c *Machine) adopt(system string) {
-	if system == "" || c.system != "" {
-		return
-	}
-	c.system = system
-	c.log.Info("system adopted", "system", system)
-}
-
 // Tick tells the time; the shell calls it every constants.Tick, in a routed fleet every constants.RoutedTick.
 func (c *Machine) Tick(now time.Duration) {
 	c.now = now
@@ -476,12 +449,12 @@
 	c.tickedAt = now
 	for _, s := range c.peerSampler.Tick(now) {
 		if shuffle := s.Frame.GetShuffle(); shuffle != nil {
-			shuffle.System, shuffle.Leader = c.system, c.leader
+			shuffle.System, shuffle.Leader = c.bootstrap.System(), c.leader
 		}
 		c.send(s.To, s.Frame)
 	}
-	if c.system == "" {
-		c.found()
+	if c.bootstrap.System() == "" {
+		c.findSystem()
 		return
 	}
 	if c.quorum != nil {
@@ -492,63 +465,16 @@
 	if now-c.heartbeatAt >= c.timing.HeartbeatInterval {
 		c.sendHeartbeat()
 	}
-	c.seekSystem()
 	if c.quorum == nil {
+		c.seekMembers()
 		c.sendAll(c.subscription.Tick(now))
 	}
 	c.publishDeltas()
 	c.expire()
 }
 
-// asked are the nodes to ask for a system now. Seeds and machines with a disk must hear all seeds to found one; the others ask one seed
-// after another where nothing can have been founded before, all of them where something was; and each asks one more node that it knows.
-func (c *Machine) asked() []string {
-	seeds := c.options.Seeds
-	if c.quorum == nil && !c.options.Rejoin && !slices.Contains(seeds, c.self.Address) {
-		c.askedSeeds++
-		seeds = seeds[c.askedSeeds%len(seeds):][:1]
-	}
-	others := slices.DeleteFunc(c.peerSampler.Known(), func(node *schema.Node) bool { return slices.Contains(c.options.Seeds, node.Address) })
-	if len(others) == 0 {
-		return seeds
-	}
-	return append(slices.Clone(seeds), others[c.options.Draw(int64(len(others)))].Address)
-}
-
-func (c *Machine) found() {
-	if c.now-c.whoAt >= constants.WhoEvery {
-		c.whoAt = c.now
-		for _, address := range c.asked() {
-			c.send(address, &schema.Frame{Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: c.peerSampler.Self()}}})
-		}
-	}
-	if c.quorum == nil || c.quorum.Last() > 0 || c.options.Rejoin || c.options.Hard.GetId() != "" && c.options.Restart {
-		return
-	}
-	seeds := slices.Sorted(slices.Values(c.options.Seeds))
-	if !c.isFounder(seeds) {
-		return
-	}
-	for _, seed := range seeds {
-		if seed != c.self.Address && (!c.empties[seed] || c.now-c.seeds[seed] > 2*constants.WhoEvery) {
-			c.emptySince = 0
-			return
-		}
-	}
-	if c.emptySince == 0 {
-		c.emptySince = c.now
-	}
-	if c.now-c.emptySince < constants.FoundSettle {
-		return
-	}
-	c.system = fmt.Sprintf("%s-%08x", c.self.Id, c.options.Draw(1<<32))
-	c.log.Info("system founded", "system", c.system)
-	c.quorum.Found(c.now, &schema.Record{Kind: schema.RecordKind_RECORD_MEMBERS,
-		Members: &schema.Members{Voters: []*schema.Member{{Id: c.self.Id, Address: c.self.Address, Zone: c.self.Zone}}}, Reason: "founding"})
-}
-
 func (c *Machine) sendHeartbeat() {
-	if c.system == "" {
+	if c.bootstrap.System() == "" {
 		return
 	}
 	c.heartbeatAt = c.now
@@ -649,9 +575,7 @@
 		c.heartbeatAt = 0
 	}
 	c.noteFences(changed)
-	if c.system == "" && c.view.System != "" {
-		c.system = c.view.System
-	}
+	c.bootstrap.Adopt(c.view.System)
 }
 
 func (c *Machine) noteFences(changed []*schema.Row) {
@@ -695,7 +619,7 @@
 // Local gives what the hot path may rely on now.
 func (c *Machine) Local() *Local {
 	l := &Local{View: c.view, HeldPrefixes: c.subscription.Held(), IsFull: c.isFull(), FreshAt: c.rowsFreshAt(), LeaseUntil: c.leaseUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
-		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
+		Leader: c.leader, System: c.bootstrap.System(), ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
 		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", StaleResponses: c.staleResponses + c.heartbeats.Stale() + c.subscription.StaleResponses()}
 	if c.quorum != nil {
 		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), uint64(c.quorum.Term()), uint64(c.quorum.Commit()), c.quorum.Members(), uint64(c.quorum.First())
@@ -732,7 +656,7 @@
 	}
 	effects := c.effects
 	c.effects = Effects{}
-	if c.quorum != nil && c.system != "" {
+	if c.quorum != nil && c.bootstrap.System() != "" {
 		effects.Quorum = c.quorum.Take()
 		for _, m := range effects.Quorum.Messages {
 			before := len(c.effects.Sends)
@@ -742,7 +666,7 @@
 		}
 		if effects.Quorum.Hard != nil {
 			effects.Hard = proto.Clone(effects.Quorum.Hard).(*schema.HardState)
-			effects.Hard.Id, effects.Hard.System, effects.Hard.Version = c.self.Id, c.system, c.shownFleet()
+			effects.Hard.Id, effects.Hard.System, effects.Hard.Version = c.self.Id, c.bootstrap.System(), c.shownFleet()
 		}
 	}
 	effects.IsWork = effects.Hard != nil || len(effects.Quorum.Items) > 0 || effects.Quorum.Snapshot != nil || len(effects.Sends) > 0 || len(effects.Responses) > 0 || len(effects.Calls) > 0 ||
--- a/internal/controlplane/replicate.go
+++ b/internal/controlplane/replicate.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"topazshed/internal/constants"
 	"topazshed/internal/frame"
 	"topazshed/internal/raft"
 	"topazshed/internal/replication"
@@ -85,20 +84,3 @@
 		c.send(envelope.To, envelope.Frame)
 	}
 }
-
-// seekSystem asks around for members of the log while this node has no source of rows.
-func (c *Machine) seekSystem() {
-	if c.routed == nil || c.quorum != nil {
-		return
-	}
-	_, isSourceAlive := c.subscription.LiveSource(c.now)
-	if isSourceAlive && c.view.System != "" || c.now-c.whoAt < constants.WhoEvery {
-		return
-	}
-	c.whoAt = c.now
-	to := c.options.Seeds[c.options.Draw(int64(len(c.options.Seeds)))]
-	if known := c.peerSampler.Known(); len(known) > 0 && c.options.Draw(2) == 0 {
-		to = known[c.options.Draw(int64(len(known)))].Address
-	}
-	c.send(to, &schema.Frame{Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: c.peerSampler.Self()}}})
-}
--- a/internal/controlplane/routed.go
+++ b/internal/controlplane/routed.go
@@ -60,14 +60,10 @@
 	relayed        map[string]*schema.Heartbeat
 	heartbeatTo    string
 	heartbeatState schema.NodeState
-	// disks are the seeds that answered, and whether they have one; founder is who shall found the system if none has.
-	disks   map[string]bool
-	founder string
-	bornAt  time.Duration
 }
 
 func newRoutedState(options Options) *routedState {
-	r := &routedState{options: options.Routed, loads: map[string][]nodeLoad{}, dead: map[string]bool{}, relayed: map[string]*schema.Heartbeat{}, disks: map[string]bool{}}
+	r := &routedState{options: options.Routed, loads: map[string][]nodeLoad{}, dead: map[string]bool{}, relayed: map[string]*schema.Heartbeat{}}
 	r.resign(options)
 	return r
 }
--- a/internal/controlplane/version_test.go
+++ b/internal/controlplane/version_test.go
@@ -125,7 +125,7 @@
 	for range 20 {
 		for _, name := range []string{"a", "b", "c"} {
 			core := w.cores[name]
-			core.Receive(w.now, &schema.Frame{System: core.system, From: "id-g", Address: "g", Body: &schema.Frame_Heartbeat{Heartbeat: landed}})
+			core.Receive(w.now, &schema.Frame{System: core.bootstrap.System(), From: "id-g", Address: "g", Body: &schema.Frame_Heartbeat{Heartbeat: landed}})
 		}
 		w.run(t, 400*time.Millisecond)
 	}
