--- a/internal/controlplane/join.go
+++ b/internal/controlplane/join.go
@@ -23,11 +23,11 @@
 // findSystem asks for a system to join, and founds one if that falls to this node.
 func (c *Machine) findSystem() {
 	c.sendAll(c.bootstrap.Ask(c.now))
-	if c.quorum == nil || c.quorum.Last() > 0 {
+	if c.quorum == nil || c.quorum.LastIndex() > 0 {
 		return
 	}
 	if record := c.bootstrap.Found(c.now); record != nil {
-		c.quorum.Found(c.now, record)
+		c.quorum.Bootstrap(c.now, record)
 	}
 }
 
--- a/internal/controlplane/replicate.go
+++ b/internal/controlplane/replicate.go
@@ -38,7 +38,7 @@
 	}
 	confirmation := replication.Confirmation{IsMember: true, Age: c.now - c.freshAt}
 	if c.quorum.Role() == raft.Leader {
-		confirmation.Age = c.now - c.quorum.Contact()
+		confirmation.Age = c.now - c.quorum.LeadershipConfirmedAt()
 	}
 	if c.routed != nil {
 		confirmation.Leader = c.leader
