--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -35,7 +35,7 @@
 	if err := recoverRing(ring, state); err != nil {
 		return nil, nil, err
 	}
-	if err := protocolversion.CheckDisk(speaks, "the journal", state.HardState.Version); err != nil {
+	if err := protocolversion.CheckDisk(speaks, "the journal", protocolversion.Version(state.HardState.Version)); err != nil {
 		return nil, nil, err
 	}
 	hasGap := len(state.Entries) > 0 && raft.Index(state.Entries[0].Index) > snapshots.index+1
--- a/internal/journal/snapshots.go
+++ b/internal/journal/snapshots.go
@@ -46,7 +46,7 @@
 	for i, area := range s.areas {
 		snapshot, err := area.read()
 		if err == nil {
-			err = protocolversion.CheckDisk(speaks, "a snapshot", snapshot.GetVersion())
+			err = protocolversion.CheckDisk(speaks, "a snapshot", protocolversion.Version(snapshot.GetVersion()))
 		}
 		var newer *protocolversion.DiskError
 		if errors.As(err, &newer) {
