--- a/cmd/testfleet/caller_sending.go
+++ b/cmd/testfleet/caller_sending.go
@@ -18,7 +18,7 @@
 type sending struct {
 	request callRequest
 	match   *match
-	// left is how long the caller still waits, age the age of the attempt id if it is told.
+	// left is how long the caller still waits, age the age of the attempt id if the caller names it.
 	left, age time.Duration
 	serial    int
 }
--- a/cmd/testfleet/callers.go
+++ b/cmd/testfleet/callers.go
@@ -43,7 +43,7 @@
 	unmatchedPause = 300 * time.Millisecond
 	// A caller pauses for backoffLeast to backoffLeast+backoffStep*n milliseconds, n the sends so far, at most backoffMost.
 	backoffLeast, backoffStep, backoffMost = 100, 100, 6
-	// retryAfterSpread spreads callers that were told the same Retry-After, in milliseconds.
+	// retryAfterSpread spreads callers that got the same Retry-After, in milliseconds.
 	retryAfterSpread = 200
 	// pathTails is the number of different paths of a kind with tails.
 	pathTails = 5000
--- a/cmd/testfleet/platform_list.go
+++ b/cmd/testfleet/platform_list.go
@@ -52,7 +52,7 @@
 	// calls are the times of the calls in the last second.
 	calls []time.Time
 	fault listFault
-	// slotOwners are the newest owners of keyed services' slots that back ends were told, by service and slot.
+	// slotOwners are the newest owners of keyed services' slots that back ends saw, by service and slot.
 	slotOwners map[string]slotOwner
 	addresses  int
 }
--- a/cmd/testfleet/run.go
+++ b/cmd/testfleet/run.go
@@ -158,13 +158,7 @@
 		report:  newReport(deployment.Name, options.seed),
 		begun:   history.Now(),
 	}
-	if err := fleet.startAll(); err != nil {
-		return nil, err
-	}
-	if err := r.awaitConfiguration(ctx); err != nil {
-		return nil, err
-	}
-	if err := r.awaitServed(ctx); err != nil {
+	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
 	if c.isDemo {
@@ -212,6 +206,17 @@
 	begun   time.Duration
 }
 
+// start starts the processes and waits until every kind of call is served.
+func (r *fleetRun) start(ctx context.Context) error {
+	if err := r.runner.fleet.startAll(); err != nil {
+		return err
+	}
+	if err := r.awaitConfiguration(ctx); err != nil {
+		return err
+	}
+	return r.awaitServed(ctx)
+}
+
 func (r *fleetRun) elapsed() time.Duration { return r.runner.history.Now() - r.begun }
 
 // awaitConfiguration puts the deployment's configuration until it is accepted.
--- a/cmd/testfleet/verbs.go
+++ b/cmd/testfleet/verbs.go
@@ -208,8 +208,11 @@
 
 // putTwice puts a new configuration, once more if its base was old.
 func (r *Runner) putTwice() error {
-	if r.put() || r.put() {
-		return nil
+	const tries = 2
+	for range tries {
+		if r.put() {
+			return nil
+		}
 	}
 	return errors.New("put was not accepted")
 }
--- a/internal/checker/backends.go
+++ b/internal/checker/backends.go
@@ -54,7 +54,7 @@
 	return v
 }
 
-// checkEmptied: an emptied zone gets no request emptyBound after the operator was told that it is accepted.
+// checkEmptied: an emptied zone gets no request emptyBound after its acceptance was acknowledged.
 func checkEmptied(h *History) *Verdict {
 	v := &Verdict{Rule: "emptied", Bound: emptyBound}
 	for i, empty := range h.Operators {
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -49,14 +49,14 @@
 			again.End = again.At
 			h.Arrivals = append(h.Arrivals, &again)
 		}},
-		{"once", "it runs although the caller was told that it had not", func(h *History) { h.Calls[0].Result = "declined" }},
+		{"once", "it runs although the caller was refused", func(h *History) { h.Calls[0].Result = "declined" }},
 		{"sealed", "another attempt's answer", func(h *History) { h.Replies[5].Digest = h.Replies[6].Digest }},
 		{"sealed", "half an answer", func(h *History) { h.Replies[5].Digest = "half" }},
 		{"allowed", "a path without an entry", func(h *History) { h.Arrivals[5].Path = "/secret" }},
 		{"allowed", "a reused address", func(h *History) {
 			h.Arrivals[5].Instance, h.Zones["gates-1"] = "gates-1", "north-a"
 		}},
-		{"gone", "a request 2.6 s after the list told of the drain", func(h *History) {
+		{"gone", "a request 2.6 s after the list showed the drain", func(h *History) {
 			h.Platform = append(h.Platform, PlatformEvent{h.Arrivals[100].At - 2600*time.Millisecond, "ledger-1", "draining"}, PlatformEvent{h.Arrivals[100].At - 2600*time.Millisecond, "pay-1", "ready"})
 			for _, a := range h.Arrivals[101:] {
 				if a.Service == "ledger" {
--- a/internal/checker/requests.go
+++ b/internal/checker/requests.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// checkOnce: an unsafe attempt runs at most once, and not at all if its caller was told that it had not.
+// checkOnce: an unsafe attempt runs at most once, and not at all if its caller was refused.
 func checkOnce(h *History) *Verdict {
 	v := &Verdict{Rule: "once"}
 	runs := map[string]int{}
@@ -24,12 +24,12 @@
 	}
 	for _, r := range h.Replies {
 		if r.IsUnsafe && r.Result == ResultDeclined && hasRun[r.Send] {
-			v.addViolation("send %s ran though its caller was told that it had not", r.Send)
+			v.addViolation("send %s ran though its caller was refused", r.Send)
 		}
 	}
 	for _, c := range h.Calls {
 		if c.IsUnsafe && c.Result == ResultDeclined && runs[c.Attempt] > 0 {
-			v.addViolation("attempt %s ran though the caller was told that it had not", c.Attempt)
+			v.addViolation("attempt %s ran though its caller was refused", c.Attempt)
 		}
 	}
 	return v
--- a/internal/sim/backend_work.go
+++ b/internal/sim/backend_work.go
@@ -42,21 +42,7 @@
 // receiveRequest hands a request to a back end; finish gets the answer or the error that ends the connection.
 func (f *Fleet) receiveRequest(b *Backend, from *Node, order proxy.Order, method string, finish func(proxy.Event)) {
 	header := order.Header
-	arrival := &checker.Arrival{
-		At:       f.Now,
-		End:      f.Now,
-		Service:  b.Service,
-		Instance: b.Instance,
-		Path:     order.Path,
-		Method:   method,
-		Attempt:  header.Get(proxy.HeaderAttempt),
-		Send:     header.Get(headerSend),
-		Key:      header.Get(proxy.HeaderKey),
-		Proxy:    from.Name,
-		IsUnsafe: method != http.MethodGet,
-		IsCutOff: f.isOutOfReach(from),
-	}
-	f.History.Arrivals = append(f.History.Arrivals, arrival)
+	arrival := f.recordArrival(b, from, order, method)
 	f.eventCount++
 	r := &backendRequest{
 		fleet:    f,
@@ -75,7 +61,7 @@
 	if arrival.Key != "" {
 		left, err := strconv.Atoi(header.Get(proxy.HeaderWait))
 		if err != nil {
-			f.addViolation("a keyed attempt told %s no wait", b.Instance)
+			f.addViolation("a keyed attempt at %s names no wait", b.Instance)
 		}
 		r.deadline = f.Now + time.Duration(left)*time.Millisecond
 	}
@@ -87,6 +73,26 @@
 	r.work()
 }
 
+// recordArrival notes a request at a back end in the history.
+func (f *Fleet) recordArrival(b *Backend, from *Node, order proxy.Order, method string) *checker.Arrival {
+	arrival := &checker.Arrival{
+		At:       f.Now,
+		End:      f.Now,
+		Service:  b.Service,
+		Instance: b.Instance,
+		Path:     order.Path,
+		Method:   method,
+		Attempt:  order.Header.Get(proxy.HeaderAttempt),
+		Send:     order.Header.Get(headerSend),
+		Key:      order.Header.Get(proxy.HeaderKey),
+		Proxy:    from.Name,
+		IsUnsafe: method != http.MethodGet,
+		IsCutOff: f.isOutOfReach(from),
+	}
+	f.History.Arrivals = append(f.History.Arrivals, arrival)
+	return arrival
+}
+
 // failedEvent tells a request state machine that an attempt broke after it was written.
 func failedEvent(err error) proxy.Event {
 	return proxy.Event{Kind: proxy.EventAnswered, Err: err, IsTouched: true}
--- a/internal/sim/caller.go
+++ b/internal/sim/caller.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"topazshed/internal/checker"
+	"topazshed/internal/directory"
 	"topazshed/internal/proxy"
 )
 
@@ -21,7 +22,7 @@
 	unmatchedPause = 300 * time.Millisecond
 	// A caller pauses for backoffLeast to backoffLeast+backoffStep*n milliseconds, n the sends so far, at most backoffMost.
 	backoffLeast, backoffStep, backoffMost = 100, 100, 6
-	// retryAfterSpread spreads callers that were told the same Retry-After, in milliseconds.
+	// retryAfterSpread spreads callers that got the same Retry-After, in milliseconds.
 	retryAfterSpread = 200
 )
 
@@ -51,7 +52,7 @@
 	done func(*checker.Reply)
 }
 
-// Request sends one request once; done is told its result: sealed, declined, doubtful, unreached, lost, dial or late.
+// Request sends one request once; done gets its result: sealed, declined, doubtful, unreached, lost, dial or late.
 func (f *Fleet) Request(request CallerRequest, done func(result string)) {
 	f.send(request, 1, func(reply *checker.Reply) {
 		switch {
@@ -92,19 +93,8 @@
 	chosen := cached.match.Proxies[f.random.Intn(len(cached.match.Proxies))]
 	n := f.Node(strings.TrimSuffix(chosen.Address, proxySuffix))
 	left := s.deadline - f.Now
-	reply := &checker.Reply{
-		At:       f.Now,
-		Service:  request.Service,
-		Path:     request.Path,
-		Method:   request.Method,
-		Attempt:  request.Attempt,
-		Send:     fmt.Sprintf("%s/%d", request.Attempt, s.serial),
-		Zone:     chosen.Zone,
-		Proxy:    chosen.Address,
-		IsUnsafe: request.isUnsafe(),
-		IsProper: true,
-		IsCutOff: cached.isCutOff || f.isOutOfReach(n),
-	}
+	reply := s.newReply(chosen)
+	reply.IsCutOff = cached.isCutOff || f.isOutOfReach(n)
 	limit := left
 	if !reply.IsUnsafe {
 		limit = min(limit, safeLimit)
@@ -133,6 +123,22 @@
 	})
 }
 
+// newReply makes the record of a sending to a proxy.
+func (s *sending) newReply(chosen directory.Proxy) *checker.Reply {
+	return &checker.Reply{
+		At:       s.fleet.Now,
+		Service:  s.request.Service,
+		Path:     s.request.Path,
+		Method:   s.request.Method,
+		Attempt:  s.request.Attempt,
+		Send:     fmt.Sprintf("%s/%d", s.request.Attempt, s.serial),
+		Zone:     chosen.Zone,
+		Proxy:    chosen.Address,
+		IsUnsafe: s.request.isUnsafe(),
+		IsProper: true,
+	}
+}
+
 // httpRequest makes the request as a proxy reads it.
 func (r CallerRequest) httpRequest(host, origin, send string, left time.Duration) (*http.Request, error) {
 	target, err := url.Parse("http://" + host + "/" + r.Service + r.Path)
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -86,7 +86,7 @@
 				}
 				seen = append(seen, f.Violations...)
 			}
-			t.Fatalf("with %s, %q was not told; seen: %.3000q", b.Description, b.Violation, seen)
+			t.Fatalf("with %s, %q was not reported; seen: %.3000q", b.Description, b.Violation, seen)
 		})
 	}
 }
@@ -111,7 +111,7 @@
 		}
 		verify(t, f)
 		if f.Counts["repeats"] == 0 {
-			t.Errorf("seed %d: no leg was repeated", seed)
+			t.Errorf("seed %d: no attempt was repeated", seed)
 		}
 	}
 }
