--- a/internal/frame/agree_test.go
+++ b/internal/frame/versions_test.go
@@ -60,10 +60,10 @@
 			if err != nil || first.From != "a" || first.SpeaksHigh != c.own.High {
 				t.Fatalf("first frame %v, %v", first, err)
 			}
-			err = writer.Heed(bytes.NewReader(c.answer))
+			err = writer.ReadAnswer(bytes.NewReader(c.answer))
 			isEnd := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 			if err == nil || isEnd != c.isRead || writer.IsDisjoint() != c.disjoint {
-				t.Errorf("heeded %v, disjoint %v", err, writer.IsDisjoint())
+				t.Errorf("answer read with %v, disjoint %v", err, writer.IsDisjoint())
 			}
 			if err := writer.Write(probeFrom("a", 2)); err != nil {
 				t.Fatal(err)
@@ -150,7 +150,7 @@
 			addresses := []string{fmt.Sprintf("127.0.0.1:%d", port), fmt.Sprintf("127.0.0.1:%d", port+1)}
 			port += 2
 			taken := []chan *schema.Frame{make(chan *schema.Frame, 64), make(chan *schema.Frame, 64)}
-			var nets []*Net
+			var nets []*Network
 			for i, speaks := range []protocolversion.Span{c.a, c.b} {
 				n, err := Open(Options{Listen: addresses[i], Handle: func(f *schema.Frame) { taken[i] <- f }, Log: log, Speaks: speaks})
 				if err != nil {
@@ -236,15 +236,15 @@
 	})
 }
 
-func FuzzHeed(f *testing.F) {
+func FuzzReadAnswer(f *testing.F) {
 	f.Add(encoded(f, &schema.Frame{SpeaksHigh: 2}))
 	f.Add(encoded(f, &schema.Frame{SpeaksLow: 5, SpeaksHigh: 9}))
 	f.Add(encoded(f, &schema.Frame{}))
 	f.Add([]byte{0, 0, 0, 0, 1})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		writer := OpenWriter(io.Discard, protocolversion.Own)
-		if err := writer.Heed(bytes.NewReader(text)); err == nil {
-			t.Fatal("heeding ended without a reason")
+		if err := writer.ReadAnswer(bytes.NewReader(text)); err == nil {
+			t.Fatal("reading the answer ended without a reason")
 		}
 		if agreed := writer.agreed.Load(); !protocolversion.Own.Has(agreed) {
 			t.Fatalf("agreed on %d", agreed)
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -15,7 +15,7 @@
 // may use it.
 type transport struct {
 	node    *Node
-	network *frame.Net
+	network *frame.Network
 	// number is the last number of a call. Each incarnation begins at a random one, so that a response to an earlier
 	// incarnation's call is recognised as stale.
 	number atomic.Uint64
