--- a/internal/frame/reader.go
+++ b/internal/frame/reader.go
@@ -30,7 +30,7 @@
 	// sender is the last one that was named; nil before the first.
 	sender *schema.Frame
 	// agreed is the version in use; 0 before the first frame.
-	agreed      uint32
+	agreed      protocolversion.Version
 	isAnswerDue bool
 }
 
--- a/internal/frame/writer.go
+++ b/internal/frame/writer.go
@@ -26,7 +26,7 @@
 	// isFirstSent says that the versions were sent, previous is the last frame that was.
 	isFirstSent bool
 	previous    *schema.Frame
-	// agreed is the version in use.
+	// agreed is the protocolversion.Version in use.
 	agreed     atomic.Uint32
 	isDisjoint atomic.Bool
 }
@@ -34,7 +34,7 @@
 // NewWriter begins the frames to a peer that is known to speak this program's newest version.
 func NewWriter(out io.Writer) *Writer {
 	w := OpenWriter(out, protocolversion.Own)
-	w.agreed.Store(protocolversion.Newest)
+	w.agreed.Store(uint32(protocolversion.Newest))
 	return w
 }
 
@@ -42,10 +42,12 @@
 // more.
 func OpenWriter(out io.Writer, own protocolversion.Span) *Writer {
 	w := &Writer{out: out, own: own, previous: &schema.Frame{}}
-	w.agreed.Store(protocolversion.First)
+	w.agreed.Store(uint32(protocolversion.First))
 	return w
 }
 
+func (w *Writer) version() protocolversion.Version { return protocolversion.Version(w.agreed.Load()) }
+
 func hasSameSender(a, b *schema.Frame) bool {
 	return a.System == b.System && a.From == b.From && a.Address == b.Address
 }
@@ -54,7 +56,7 @@
 func (w *Writer) Write(frame *schema.Frame) error {
 	sent := &schema.Frame{Call: frame.Call, Response: frame.Response, Body: frame.Body}
 	isSenderKnown := frame.From != "" && hasSameSender(frame, w.previous)
-	if !isSenderKnown || !protocolversion.Has(w.agreed.Load(), protocolversion.SenderOnce) {
+	if !isSenderKnown || !protocolversion.Has(w.version(), protocolversion.SenderOnce) {
 		sent.System, sent.From, sent.Address = frame.System, frame.From, frame.Address
 	}
 	if !w.isFirstSent {
@@ -84,7 +86,7 @@
 		w.isDisjoint.Store(true)
 		return err
 	}
-	w.agreed.Store(agreed)
+	w.agreed.Store(uint32(agreed))
 	if _, err := io.ReadFull(in, make([]byte, 1)); err != nil {
 		return err
 	}
