--- a/internal/frame/codec_test.go
+++ b/internal/frame/codec_test.go
@@ -17,14 +17,15 @@
 
 func TestBrokenFramesCloseOnlyTheirConnection(t *testing.T) {
 	taken := make(chan *schema.Frame, 4)
-	n, err := Open(Options{Listen: "127.0.0.1:39217", Handle: func(f *schema.Frame) { taken <- f }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	address := freeAddress(t)
+	n, err := Open(Options{Listen: address, Handle: func(f *schema.Frame) { taken <- f }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Close()
 	oversize := binary.BigEndian.AppendUint32(nil, constants.FrameLimit+1)
 	for name, text := range map[string][]byte{"oversize": oversize, "garbage": {0, 0, 0, 3, 0xff, 0xff, 0xff}, "no sender": {0, 0, 0, 2, 0x20, 0x05}, "http": []byte("GET / HTTP/1.1\r\n\r\n")} {
-		conn, err := net.Dial("tcp", "127.0.0.1:39217")
+		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,7 +38,7 @@
 		conn.Close()
 	}
 	good := &schema.Frame{From: "a", Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: &schema.Node{Id: "a"}}}}
-	n.Send("127.0.0.1:39217", proto.Clone(good).(*schema.Frame))
+	n.Send(address, proto.Clone(good).(*schema.Frame))
 	if got := <-taken; !proto.Equal(got, good) {
 		t.Fatalf("got %v", got)
 	}
--- a/internal/frame/versions_test.go
+++ b/internal/frame/versions_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"fmt"
 	"io"
 	"log/slog"
 	"net"
@@ -29,6 +28,18 @@
 	return buffer.Bytes()
 }
 
+// freeAddress gives a loopback address with a port that was free a moment ago. Each is on an IP that nothing else uses, so
+// that outgoing connections of other processes don't take the port meanwhile.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.79.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
 func TestSendersAreLeftOutOnlyTowardsPeersThatReadIt(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -133,7 +144,6 @@
 
 func TestOldAndNewProcessesTalk(t *testing.T) {
 	old := protocolversion.Span{Low: 1, High: 1}
-	port := 39230
 	for _, c := range []struct {
 		name string
 		a, b protocolversion.Span
@@ -147,8 +157,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			log := slog.New(slog.NewTextHandler(io.Discard, nil))
-			addresses := []string{fmt.Sprintf("127.0.0.1:%d", port), fmt.Sprintf("127.0.0.1:%d", port+1)}
-			port += 2
+			addresses := []string{freeAddress(t), freeAddress(t)}
 			taken := []chan *schema.Frame{make(chan *schema.Frame, 64), make(chan *schema.Frame, 64)}
 			var nets []*Network
 			for i, speaks := range []protocolversion.Span{c.a, c.b} {
@@ -173,18 +182,19 @@
 }
 
 func TestAVersionOnePeerIsSpokenToInVersionOne(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:39250")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
+	peer, own := listener.Addr().String(), freeAddress(t)
 	taken := make(chan *schema.Frame, 4)
-	n, err := Open(Options{Listen: "127.0.0.1:39251", Handle: func(f *schema.Frame) { taken <- f }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	n, err := Open(Options{Listen: own, Handle: func(f *schema.Frame) { taken <- f }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Close()
-	n.Send("127.0.0.1:39250", probeFrom("a", 0))
+	n.Send(peer, probeFrom("a", 0))
 	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -194,9 +204,9 @@
 		if f, err := Read(conn); err != nil || f.From != "a" || f.GetProbe().Serial != serial {
 			t.Fatalf("version 1 read %v, %v", f, err)
 		}
-		n.Send("127.0.0.1:39250", probeFrom("a", serial+1))
+		n.Send(peer, probeFrom("a", serial+1))
 	}
-	back, err := net.Dial("tcp", "127.0.0.1:39251")
+	back, err := net.Dial("tcp", own)
 	if err != nil {
 		t.Fatal(err)
 	}
