--- a/internal/adminapi/assignments.go
+++ b/internal/adminapi/assignments.go
@@ -79,7 +79,7 @@
 	if known := view.Services[service]; known != nil && known.Assignments[""][region] != nil {
 		return known.Assignments[""][region].Reason
 	}
-	return view.Defaults[region].GetReason()
+	return view.DefaultAssignments[region].GetReason()
 }
 
 // newChanges formats changes from the leader's log; name gives the group of a failover number.
--- a/internal/adminapi/routed_status.go
+++ b/internal/adminapi/routed_status.go
@@ -52,7 +52,7 @@
 			Reason:  row.Reason,
 		})
 	}
-	for _, row := range view.Defaults {
+	for _, row := range view.DefaultAssignments {
 		add(row, kindRegion)
 	}
 	for _, service := range view.Services {
@@ -77,7 +77,7 @@
 	}
 	if summary.Keyed {
 		summary.Unheld = countUnowned(service)
-		for _, span := range service.Spans {
+		for _, span := range service.ShardRanges {
 			r.Spans = append(r.Spans, SpanStatus{span.Service, span.First, span.Last, span.Instance, span.Fence, span.Releasing})
 		}
 	}
@@ -87,7 +87,7 @@
 // countUnowned counts the keys that no back end owns.
 func countUnowned(service *store.Service) int {
 	owned := 0
-	for _, span := range service.Spans {
+	for _, span := range service.ShardRanges {
 		if span.Instance != "" && !span.Releasing && span.Last >= span.First {
 			owned += int(span.Last-span.First) + 1
 		}
--- a/internal/adminapi/routed_status_test.go
+++ b/internal/adminapi/routed_status_test.go
@@ -25,7 +25,7 @@
 func (g ground) options(seen **schema.OperatorRequest) Options {
 	table := store.NewTable()
 	table.Apply(9, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
-		store.EncodeRow(store.HeadKey, &schema.CatalogHead{Version: 4}),
+		store.EncodeRow(store.CatalogHeadKey, &schema.CatalogHead{Version: 4}),
 		store.EncodeRow(store.NodeKey("n1"), &schema.Node{Id: "n1", Zone: "mu-b", Region: "mu", Disk: true, State: schema.NodeState_NODE_READY}),
 		store.EncodeRow(store.NodeKey("n2"), &schema.Node{Id: "n2", Zone: "mu-a", Region: "mu", State: schema.NodeState_NODE_READY}),
 		store.EncodeRow(store.RegionKey("mu"), &schema.Region{Name: "mu", Residue: 1}), store.EncodeRow(store.RegionKey("xi"), &schema.Region{Name: "xi", Residue: 3}),
@@ -33,9 +33,9 @@
 		store.EncodeRow(store.ZoneKey("mu-b"), &schema.Zone{Name: "mu-b", Region: "mu", Residue: 2}),
 		store.EncodeRow(store.GroupKey("mu"), &schema.Group{Name: "mu", Region: "mu", Zones: []string{"mu-a", "mu-b"}, Residue: 0}),
 		store.EncodeRow(store.GroupKey("mu:mu-b"), &schema.Group{Name: "mu:mu-b", Region: "mu", Zones: []string{"mu-b"}, Residue: 2}),
-		store.EncodeRow(store.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: 20002, Reason: "its open districts"}),
+		store.EncodeRow(store.DefaultAssignmentKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: 20002, Reason: "its open districts"}),
 		store.EncodeRow(store.AssignmentKey("nickel", "", "mu"), &schema.FailoverAssignment{Service: "nickel", Region: "mu", Number: 20003, Reason: "no open district with back ends; work goes to xi"}),
-		store.EncodeRow(store.PolicyKey("nickel"), &schema.ServicePolicy{Service: "nickel", Keyed: true}),
+		store.EncodeRow(store.ServicePolicyKey("nickel"), &schema.ServicePolicy{Service: "nickel", Keyed: true}),
 		store.EncodeRow(store.ShardRangeKey("nickel", 0), &schema.ShardRange{Service: "nickel", First: 0, Last: 32767, Instance: "i-1", Fence: 7}),
 		store.EncodeRow(store.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1", Zone: "mu-b", State: schema.BackendState_BACKEND_READY, Cold: true}),
 		store.EncodeRow(store.BackendKey("copper", "c-2"), &schema.Backend{Service: "copper", Instance: "c-2", Zone: "mu-b", State: schema.BackendState_BACKEND_DRAINING}),
--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -62,7 +62,7 @@
 		Index:          uint64(view.Version),
 		Rows:           local.Rows,
 		Configuration:  view.Head.Version,
-		Fleet:          view.Fleet,
+		Fleet:          view.FleetVersion,
 		Newest:         protocolversion.Newest,
 		Fit:            s.isFit(now, local),
 		ClockMs:        now.Milliseconds(),
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -215,14 +215,14 @@
 
 // Plan makes the one record that replaces the whole configuration, guarded against any other put.
 func Plan(table *store.Table, entries []*schema.Entry, document []byte, base uint64, key string) (*schema.Record, uint64, error) {
-	row := table.Get(store.HeadKey)
+	row := table.Get(store.CatalogHeadKey)
 	head := store.DecodeRow[schema.CatalogHead](row)
 	if base != head.GetVersion() {
 		return nil, 0, &ConflictError{head.GetVersion()}
 	}
 	version := base + 1
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: fmt.Sprintf("configuration %d", version)}
-	guard := &schema.Guard{Key: store.HeadKey}
+	guard := &schema.Guard{Key: store.CatalogHeadKey}
 	if row != nil {
 		guard.Index = row.Index
 	}
@@ -239,15 +239,15 @@
 			record.Rows = append(record.Rows, store.Tombstone(row.Key))
 		}
 	})
-	record.Rows = append(record.Rows, store.EncodeRow(store.HeadKey, &schema.CatalogHead{Version: version, OperatorKey: key}),
-		store.EncodeRow(store.DocumentKey, &schema.CatalogDocument{Version: version, Document: document}))
+	record.Rows = append(record.Rows, store.EncodeRow(store.CatalogHeadKey, &schema.CatalogHead{Version: version, OperatorKey: key}),
+		store.EncodeRow(store.CatalogDocumentKey, &schema.CatalogDocument{Version: version, Document: document}))
 	return record, version, nil
 }
 
 // Assignments makes the first failover assignment rows of entries, so that a configuration and its failover assignment take effect together.
 func Assignments(view *store.View, table *store.Table, record *schema.Record) {
 	scratch := store.NewTable()
-	scratch.Restore(table.Whole())
+	scratch.Restore(table.Snapshot())
 	changed, err := scratch.Apply(table.Version()+1, record, nil)
 	if err != nil {
 		return
--- a/internal/controlplane/changes_test.go
+++ b/internal/controlplane/changes_test.go
@@ -78,7 +78,7 @@
 		t.Fatalf("%d changes, had %d", len(status.Changes), begun)
 	}
 	last := status.Changes[begun]
-	row := store.DecodeRow[schema.FailoverAssignment](s.core.table.Get(store.DefaultKey("mu")))
+	row := store.DecodeRow[schema.FailoverAssignment](s.core.table.Get(store.DefaultAssignmentKey("mu")))
 	if last.Region != "mu" || last.From >= last.To || last.To != row.Number || last.Cause != row.Reason || last.Evidence != "mu-b is emptied (new racks)" || last.Leader != "a" || last.Term == 0 ||
 		last.AtMs > at || last.AtMs < at-1000 {
 		t.Errorf("%v, row %v, at %d", last, row, at)
@@ -125,7 +125,7 @@
 	s := &solo{now: time.Hour}
 	s.core = New(s.now, s.options())
 	for i := range uint64(3 * constants.ChangesKept) {
-		record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: i + 1})}}
+		record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.DefaultAssignmentKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: i + 1})}}
 		before := s.core.numbersOf(record)
 		rows, err := s.core.table.Apply(raft.Index(i+1), record, nil)
 		if err != nil {
@@ -143,7 +143,7 @@
 
 func TestOnlyAssignmentsAreNoted(t *testing.T) {
 	for key, want := range map[string]bool{
-		store.DefaultKey("mu"): true, store.AssignmentKey("copper", "", "mu"): true, store.AssignmentKey("copper", "/a/b", "mu"): true,
+		store.DefaultAssignmentKey("mu"): true, store.AssignmentKey("copper", "", "mu"): true, store.AssignmentKey("copper", "/a/b", "mu"): true,
 		store.EntryKey("copper", "/standing/x"): false, store.BackendKey("copper", "c-1"): false, store.ZoneKey("standing"): false, store.RouteKey("one.example", "/standing/"): false,
 	} {
 		if got := isAssignment(key); got != want {
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -208,8 +208,8 @@
 	c.operations = newOperations(c)
 	if c.quorum != nil {
 		c.view = store.Compile(c.table)
-		c.noteFences(c.table.Rows(store.All))
-		c.guard(c.view.Fleet)
+		c.noteFences(c.table.Rows(store.AllPrefixes))
+		c.guard(c.view.FleetVersion)
 		c.apply()
 		c.learnMembers()
 	}
@@ -221,7 +221,7 @@
 
 // Whole gives the snapshot at the applied index, for a follower or for the disk.
 func (c *Machine) Whole() *schema.Snapshot {
-	whole := c.table.Whole()
+	whole := c.table.Snapshot()
 	c.quorum.DescribeSnapshot(whole)
 	whole.Version = c.shownFleet()
 	return whole
@@ -540,11 +540,11 @@
 		return
 	}
 	c.view = c.view.With(c.table, changed)
-	if c.guard(c.view.Fleet) != nil {
+	if c.guard(c.view.FleetVersion) != nil {
 		return
 	}
 	if slices.ContainsFunc(changed, func(row *schema.Row) bool {
-		return row.Key == store.HeadKey || strings.HasPrefix(row.Key, "district/")
+		return row.Key == store.CatalogHeadKey || strings.HasPrefix(row.Key, "district/")
 	}) {
 		c.heartbeatAt = 0
 	}
@@ -699,7 +699,7 @@
 		c.fences = map[string]time.Duration{}
 		c.noteFences(effects.Quorum.Snapshot.Rows)
 		c.snapshotAt = raft.Index(effects.Quorum.Snapshot.Index)
-		if c.guard(c.view.Fleet) != nil {
+		if c.guard(c.view.FleetVersion) != nil {
 			return
 		}
 	}
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -74,7 +74,7 @@
 // Reports tell where the newest configuration is in force: where the index of its row was reached.
 func (h operatorHost) Reports() []*schema.NodeReport {
 	c := h.machine
-	head := c.table.Get(store.HeadKey).GetIndex()
+	head := c.table.Get(store.CatalogHeadKey).GetIndex()
 	var reports []*schema.NodeReport
 	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
 		report := c.reportOf(id)
--- a/internal/controlplane/replicate.go
+++ b/internal/controlplane/replicate.go
@@ -18,12 +18,12 @@
 		FirstSerial: firstSerial,
 		Draw:        c.options.Draw,
 		Log:         c.log,
-		Base:        store.Common,
+		Base:        store.CommonPrefixes,
 		RenewEvery:  c.timing.SubscribeInterval,
 		DigestEvery: c.timing.DigestInterval,
 	}
 	if c.routed != nil {
-		options.Base = store.Routed
+		options.Base = store.RoutedPrefixes
 		options.BaseOnly = true
 		options.PrefersHome = true
 		options.RemoteAfter = c.timing.RemoteSourceAfter
--- a/internal/controlplane/version.go
+++ b/internal/controlplane/version.go
@@ -29,10 +29,10 @@
 
 // shownFleet is the fleet's version as it is told: the first one is left out.
 func (c *Machine) shownFleet() uint32 {
-	if c.view.Fleet == protocolversion.First {
+	if c.view.FleetVersion == protocolversion.First {
 		return 0
 	}
-	return uint32(c.view.Fleet)
+	return uint32(c.view.FleetVersion)
 }
 
 func (c *Machine) spoken(node *schema.Node) *schema.Node {
@@ -42,8 +42,8 @@
 
 // isFitNode tells whether a node speaks what the fleet uses, or is about to use.
 func (c *Machine) isFitNode(node *schema.Node) bool {
-	fleet := c.view.Fleet
-	if c.proposals.IsInFlight(store.VersionKey) {
+	fleet := c.view.FleetVersion
+	if c.proposals.IsInFlight(store.FleetVersionKey) {
 		fleet = max(fleet, c.proposed)
 	}
 	span, err := protocolversion.ReadSpan(node.GetSpeaksLow(), node.GetSpeaksHigh())
@@ -92,8 +92,8 @@
 // planVersion lets the fleet rise once all have been able to read a version for long enough. Nothing may be under way in the log, so that
 // nobody joins between the decision and the record.
 func (c *Machine) planVersion() {
-	next, _ := protocolversion.Rise(c.view.Fleet, c.speaks, c.readers())
-	if next != c.risingTo || next == c.view.Fleet {
+	next, _ := protocolversion.Rise(c.view.FleetVersion, c.speaks, c.readers())
+	if next != c.risingTo || next == c.view.FleetVersion {
 		c.risingTo, c.risingFrom = next, c.now
 		return
 	}
@@ -105,8 +105,8 @@
 		return
 	}
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "the fleet's version rises",
-		Guards: []*schema.Guard{{Key: store.VersionKey, Index: c.table.Get(store.VersionKey).GetIndex()}},
-		Rows:   []*schema.Row{store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: uint32(next)})}}
+		Guards: []*schema.Guard{{Key: store.FleetVersionKey, Index: c.table.Get(store.FleetVersionKey).GetIndex()}},
+		Rows:   []*schema.Row{store.EncodeRow(store.FleetVersionKey, &schema.FleetVersion{Version: uint32(next)})}}
 	if c.propose(record) {
 		c.proposed = next
 		c.log.Info("the fleet's version rises", "version", next)
--- a/internal/controlplane/version_test.go
+++ b/internal/controlplane/version_test.go
@@ -51,8 +51,8 @@
 				}
 			}
 			for id, node := range core.view.Nodes {
-				if span, err := protocolversion.ReadSpan(node.SpeaksLow, node.SpeaksHigh); err != nil || !span.Has(core.view.Fleet) {
-					t.Fatalf("%s: the fleet uses %d and node %s speaks %v", name, core.view.Fleet, id, span)
+				if span, err := protocolversion.ReadSpan(node.SpeaksLow, node.SpeaksHigh); err != nil || !span.Has(core.view.FleetVersion) {
+					t.Fatalf("%s: the fleet uses %d and node %s speaks %v", name, core.view.FleetVersion, id, span)
 				}
 			}
 		}
@@ -94,8 +94,8 @@
 				if w.cut[name] {
 					continue
 				}
-				if core.view.Fleet != c.want || core.refused != nil || len(core.view.Nodes) != 5 {
-					t.Errorf("%s: the fleet uses %d, %d nodes known, refused %v", name, core.view.Fleet, len(core.view.Nodes), core.refused)
+				if core.view.FleetVersion != c.want || core.refused != nil || len(core.view.Nodes) != 5 {
+					t.Errorf("%s: the fleet uses %d, %d nodes known, refused %v", name, core.view.FleetVersion, len(core.view.Nodes), core.refused)
 				}
 				if voters := core.quorum; voters != nil && c.unresponsive == "" && len(voters.Members().Voters) != 3 {
 					t.Errorf("%s: %d voters", name, len(voters.Members().Voters))
@@ -147,7 +147,7 @@
 		w.add("f", protocolversion.Span{Low: 1, High: 1})
 		w.run(t, 10*time.Second)
 		isIn := w.cores["a"].view.Nodes["id-f"] != nil
-		fleet := w.cores["a"].view.Fleet
+		fleet := w.cores["a"].view.FleetVersion
 		if isIn {
 			joined++
 		} else {
@@ -164,7 +164,7 @@
 
 func TestANodeRefusesWhatItDoesNotSpeak(t *testing.T) {
 	rows := func(version uint32) []*schema.Row {
-		return []*schema.Row{{Key: store.VersionKey, Value: store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: version}).Value, Index: 3}}
+		return []*schema.Row{{Key: store.FleetVersionKey, Value: store.EncodeRow(store.FleetVersionKey, &schema.FleetVersion{Version: version}).Value, Index: 3}}
 	}
 	members := &schema.Members{Voters: []*schema.Member{{Id: "n", Address: "n"}}}
 	for _, c := range []struct {
--- a/internal/controlplane/zones_test.go
+++ b/internal/controlplane/zones_test.go
@@ -30,8 +30,8 @@
 			core.Synced(now, effects)
 		}
 	}
-	if len(core.view.Zones) != 182 || len(core.view.Regions) != 46 || len(core.view.Groups) < 46 || len(core.view.Defaults) != 46 {
-		t.Errorf("%d districts, %d regions, %d groups, %d standings, want 182, 46, 46 or more and 46", len(core.view.Zones), len(core.view.Regions), len(core.view.Groups), len(core.view.Defaults))
+	if len(core.view.Zones) != 182 || len(core.view.Regions) != 46 || len(core.view.Groups) < 46 || len(core.view.DefaultAssignments) != 46 {
+		t.Errorf("%d districts, %d regions, %d groups, %d standings, want 182, 46, 46 or more and 46", len(core.view.Zones), len(core.view.Regions), len(core.view.Groups), len(core.view.DefaultAssignments))
 	}
 }
 
--- a/internal/discovery/outlier_quorum_test.go
+++ b/internal/discovery/outlier_quorum_test.go
@@ -22,7 +22,7 @@
 
 func newEjectionTest(t *testing.T, service string) *ejectionTest {
 	j := &ejectionTest{t: t, table: store.NewTable(), outlierQuorum: NewOutlierQuorum(), now: time.Hour}
-	rows := []*schema.Row{store.EncodeRow(store.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: service == "zinc"})}
+	rows := []*schema.Row{store.EncodeRow(store.ServicePolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: service == "zinc"})}
 	for i, name := range []string{"kol-a", "kol-b"} {
 		rows = append(rows, store.EncodeRow(store.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
 	}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -23,7 +23,7 @@
 
 func newWatchTest(t *testing.T, nodes int) *watchTest {
 	w := &watchTest{t: t, table: store.NewTable(), watch: NewWatch(lag), coldRate: 30, now: time.Hour}
-	rows := []*schema.Row{store.EncodeRow(store.RegionKey("kol"), &schema.Region{Name: "kol", Residue: 1}), store.EncodeRow(store.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 17})}
+	rows := []*schema.Row{store.EncodeRow(store.RegionKey("kol"), &schema.Region{Name: "kol", Residue: 1}), store.EncodeRow(store.ServicePolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 17})}
 	for i, name := range []string{"kol-a", "kol-b"} {
 		rows = append(rows, store.EncodeRow(store.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
 	}
--- a/internal/failover/check.go
+++ b/internal/failover/check.go
@@ -66,7 +66,7 @@
 func Check(table *store.Table, row *schema.Row) error {
 	old := table.Get(row.Key)
 	switch {
-	case row.Key == store.VersionKey:
+	case row.Key == store.FleetVersionKey:
 		return checkFleetVersion(table, row)
 	case strings.HasPrefix(row.Key, "node/"):
 		return checkNode(table, row)
@@ -138,7 +138,7 @@
 	case strings.HasPrefix(row.Key, "keepers/"):
 		was = store.DecodeRow[schema.ReplicaSet](old).GetNumber()
 		is = store.DecodeRow[schema.ReplicaSet](row).GetNumber()
-	case row.Key == store.HeadKey:
+	case row.Key == store.CatalogHeadKey:
 		was = store.DecodeRow[schema.CatalogHead](old).GetVersion()
 		is = store.DecodeRow[schema.CatalogHead](row).GetVersion()
 	default:
@@ -174,5 +174,5 @@
 }
 
 func versionInUse(table *store.Table) protocolversion.Version {
-	return protocolversion.InUse(store.DecodeRow[schema.FleetVersion](table.Get(store.VersionKey)).GetVersion())
+	return protocolversion.InUse(store.DecodeRow[schema.FleetVersion](table.Get(store.FleetVersionKey)).GetVersion())
 }
--- a/internal/failover/fleet_version_test.go
+++ b/internal/failover/fleet_version_test.go
@@ -15,10 +15,10 @@
 		row    *schema.Row
 		isVoid bool
 	}{
-		{"the first rise", 0, store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: 2}), false},
-		{"a further rise", 2, store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: 3}), false},
-		{"a fall", 3, store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: 2}), true},
-		{"a fall to none", 2, store.EncodeRow(store.VersionKey, &schema.FleetVersion{}), true},
+		{"the first rise", 0, store.EncodeRow(store.FleetVersionKey, &schema.FleetVersion{Version: 2}), false},
+		{"a further rise", 2, store.EncodeRow(store.FleetVersionKey, &schema.FleetVersion{Version: 3}), false},
+		{"a fall", 3, store.EncodeRow(store.FleetVersionKey, &schema.FleetVersion{Version: 2}), true},
+		{"a fall to none", 2, store.EncodeRow(store.FleetVersionKey, &schema.FleetVersion{}), true},
 		{"a node of version 1 before the rise", 0, store.EncodeRow(store.NodeKey("n"), &schema.Node{Id: "n"}), false},
 		{"a node of version 1 after it", 2, store.EncodeRow(store.NodeKey("n"), &schema.Node{Id: "n"}), true},
 		{"a node that reads it", 2, store.EncodeRow(store.NodeKey("n"), &schema.Node{Id: "n", SpeaksHigh: 2}), false},
@@ -29,7 +29,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			table := store.NewTable()
 			if c.before > 0 {
-				record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: c.before})}}
+				record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.FleetVersionKey, &schema.FleetVersion{Version: c.before})}}
 				if _, err := table.Apply(1, record, failover.Check); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/failover/plan_entries.go
+++ b/internal/failover/plan_entries.go
@@ -132,7 +132,7 @@
 		if current != nil && slices.Contains(p.usable, regionOf(p.view, Number(current.Number), entryIncrement)) {
 			return decision{}, false
 		}
-		other := p.usable[int(store.Weigh(p.entry.Service, p.entry.Path, region)%uint64(len(p.usable)))]
+		other := p.usable[int(store.RendezvousWeight(p.entry.Service, p.entry.Path, region)%uint64(len(p.usable)))]
 		reason := "no usable group in region " + region + "; taken over by region " + other
 		return decision{p.view.Regions[other].Residue, reason, true}, true
 	}
@@ -186,7 +186,7 @@
 		}
 		return
 	}
-	next := options[int(store.Weigh(p.entry.Service, p.entry.Path)%uint64(len(options)))]
+	next := options[int(store.RendezvousWeight(p.entry.Service, p.entry.Path)%uint64(len(options)))]
 	reason := "first region of the entry"
 	if current != nil {
 		reason = "region " + region + " has no usable group"
@@ -253,7 +253,7 @@
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Or(
 			compareTrueFirst(backends[a] > 0, backends[b] > 0),
-			cmp.Compare(store.Weigh(entry.Service, entry.Path, b), store.Weigh(entry.Service, entry.Path, a)),
+			cmp.Compare(store.RendezvousWeight(entry.Service, entry.Path, b), store.RendezvousWeight(entry.Service, entry.Path, a)),
 		)
 	})
 	return names
--- a/internal/failover/plan_routes.go
+++ b/internal/failover/plan_routes.go
@@ -77,9 +77,9 @@
 // planRegion plans the default row of a region, and the rows of those services that differ from it.
 func (p *routePlanner) planRegion(region string) {
 	common, hasCommon := p.decide(nil, region)
-	if row := p.view.Defaults[region]; hasCommon && (row == nil || !Number(row.Number).names(common.residue, routeIncrement)) {
+	if row := p.view.DefaultAssignments[region]; hasCommon && (row == nil || !Number(row.Number).names(common.residue, routeIncrement)) {
 		fresh := &schema.FailoverAssignment{Region: region}
-		p.move(store.DefaultKey(region), fresh, Number(row.GetNumber()), common, nil)
+		p.move(store.DefaultAssignmentKey(region), fresh, Number(row.GetNumber()), common, nil)
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.view.Services)) {
 		service := p.view.Services[name]
@@ -105,7 +105,7 @@
 	}
 	best := ""
 	for _, other := range p.regions {
-		if other != region && p.canServe(service, other) && (best == "" || store.Weigh(region, other) > store.Weigh(region, best)) {
+		if other != region && p.canServe(service, other) && (best == "" || store.RendezvousWeight(region, other) > store.RendezvousWeight(region, best)) {
 			best = other
 		}
 	}
--- a/internal/failover/resolve_route.go
+++ b/internal/failover/resolve_route.go
@@ -28,7 +28,7 @@
 			return own
 		}
 	}
-	return view.Defaults[region]
+	return view.DefaultAssignments[region]
 }
 
 // ResolveRegion follows an origin region through the service's row, or the region's default one, to the one active
@@ -83,7 +83,7 @@
 		if a == arrival || b == arrival {
 			return compareTrueFirst(a == arrival, b == arrival)
 		}
-		if byWeight := cmp.Compare(store.Weigh(token, b), store.Weigh(token, a)); byWeight != 0 {
+		if byWeight := cmp.Compare(store.RendezvousWeight(token, b), store.RendezvousWeight(token, a)); byWeight != 0 {
 			return byWeight
 		}
 		return strings.Compare(a, b)
--- a/internal/failover/routes_test.go
+++ b/internal/failover/routes_test.go
@@ -199,8 +199,8 @@
 	a := newAtlas(t)
 	view := a.view()
 	hop := func(from, to string) {
-		key := store.DefaultKey(from)
-		number := Number(view.Defaults[from].Number).next(view.Regions[to].Residue, routeIncrement)
+		key := store.DefaultAssignmentKey(from)
+		number := Number(view.DefaultAssignments[from].Number).next(view.Regions[to].Residue, routeIncrement)
 		a.put(key, store.EncodeRow(key, &schema.FailoverAssignment{Region: from, Number: uint64(number)}))
 	}
 	hop("hal", "kol")
@@ -219,7 +219,7 @@
 func TestCheckRouteRows(t *testing.T) {
 	a := newAtlas(t)
 	group := a.view().Groups["kol"]
-	number := a.view().Defaults["kol"].Number
+	number := a.view().DefaultAssignments["kol"].Number
 	for _, c := range []struct {
 		name string
 		row  *schema.Row
@@ -229,8 +229,8 @@
 		{"a group moved to another region", store.EncodeRow(store.GroupKey("kol"), &schema.Group{Name: "kol", Region: "tor", Residue: group.Residue}), "renumbered"},
 		{"a group with an odd residue", store.EncodeRow(store.GroupKey("new"), &schema.Group{Name: "new", Residue: 7}), "even"},
 		{"a group with a residue above the increment", store.EncodeRow(store.GroupKey("new"), &schema.Group{Name: "new", Residue: constants.GroupIncrement}), "below the increment"},
-		{"a lower number", store.EncodeRow(store.DefaultKey("kol"), &schema.FailoverAssignment{Region: "kol", Number: number - 1}), "only rise"},
-		{"the same number", store.EncodeRow(store.DefaultKey("kol"), &schema.FailoverAssignment{Region: "kol", Number: number}), "only rise"},
+		{"a lower number", store.EncodeRow(store.DefaultAssignmentKey("kol"), &schema.FailoverAssignment{Region: "kol", Number: number - 1}), "only rise"},
+		{"the same number", store.EncodeRow(store.DefaultAssignmentKey("kol"), &schema.FailoverAssignment{Region: "kol", Number: number}), "only rise"},
 		{"a service's lower number", store.EncodeRow(store.AssignmentKey("copper", "", "kol"), &schema.FailoverAssignment{Service: "copper", Region: "kol", Number: 0}), "only rise"},
 		{"a region renumbered", store.EncodeRow(store.RegionKey("kol"), &schema.Region{Name: "kol", Residue: 77}), "renumbered"},
 		{"more zones in a known group", store.EncodeRow(store.GroupKey("kol"), &schema.Group{Name: "kol", Region: "kol", Residue: group.Residue, Zones: []string{"kol-a", "kol-b", "kol-c"}}), ""},
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -112,7 +112,7 @@
 
 // ownerOf is the untried, open back end that owns the request's key, or nil.
 func (s *Situation) ownerOf(service *store.Service) *schema.Backend {
-	shard := service.Span(s.Key)
+	shard := service.ShardRange(s.Key)
 	if shard == nil || shard.Releasing || slices.Contains(s.Tried, shard.Instance) {
 		return nil
 	}
--- a/internal/gateway/failing_test.go
+++ b/internal/gateway/failing_test.go
@@ -41,7 +41,7 @@
 		{"the only one is used all the same", func(w *world) { w.backend("bad", "kol-a", "x", isFailing()) }, nil, "bad"},
 		{"the holder of a key is used all the same", func(w *world) {
 			few(isFailing())(w)
-			w.put(store.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", Keyed: true})
+			w.put(store.ServicePolicyKey("copper"), &schema.ServicePolicy{Service: "copper", Keyed: true})
 			w.put(store.ShardRangeKey("copper", 0), &schema.ShardRange{Service: "copper", Last: 65535, Instance: "bad", Fence: 1})
 		}, func(s *Situation) { s.Key, s.HasKey = 7, true }, "bad"},
 	} {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -86,7 +86,7 @@
 	} {
 		t.Run(fmt.Sprint(c.owner, c.homes), func(t *testing.T) {
 			w := newWorld(t)
-			w.put(store.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", Keyed: true, ColdRate: 16})
+			w.put(store.ServicePolicyKey("copper"), &schema.ServicePolicy{Service: "copper", Keyed: true, ColdRate: 16})
 			turn := c.turn
 			if turn == nil {
 				turn = func(*schema.Backend) {}
--- a/internal/gateway/request_machine_test.go
+++ b/internal/gateway/request_machine_test.go
@@ -197,7 +197,7 @@
 }
 
 func keyed(w *world, span *schema.ShardRange, turns ...func(*schema.Backend)) {
-	w.put(store.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 16, Keyed: true})
+	w.put(store.ServicePolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 16, Keyed: true})
 	w.backend("holder", "kol-b", "x", turns...)
 	w.backend("other", "kol-a", "x")
 	if span != nil {
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -30,8 +30,8 @@
 		id := fmt.Sprint("n", i+1)
 		w.put(store.NodeKey(id), &schema.Node{Id: id, Zone: name, Region: name[:3], State: schema.NodeState_NODE_READY})
 	}
-	w.put(store.PolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 16})
-	w.put(store.HeadKey, &schema.CatalogHead{Version: 1})
+	w.put(store.ServicePolicyKey("copper"), &schema.ServicePolicy{Service: "copper", ColdRate: 16})
+	w.put(store.CatalogHeadKey, &schema.CatalogHead{Version: 1})
 	return w
 }
 
--- a/internal/idempotency/replica.go
+++ b/internal/idempotency/replica.go
@@ -63,7 +63,7 @@
 func Match(set *schema.ReplicaSet, attempt string) []*schema.Member {
 	members := slices.Clone(set.Members)
 	slices.SortFunc(members, func(a, b *schema.Member) int {
-		return cmp.Compare(store.Weigh(b.Id, attempt), store.Weigh(a.Id, attempt))
+		return cmp.Compare(store.RendezvousWeight(b.Id, attempt), store.RendezvousWeight(a.Id, attempt))
 	})
 	count := min(len(members), constants.ReservationReplicas)
 	if count < constants.ReservationReplicas {
@@ -195,7 +195,7 @@
 		return
 	}
 	for _, c := range response.Reservations {
-		s := &k.shards[store.Weigh(c.Attempt)%shards]
+		s := &k.shards[store.RendezvousWeight(c.Attempt)%shards]
 		s.lock.Lock()
 		if s.reservations[c.Attempt] == nil {
 			s.reservations[c.Attempt] = &held{c.Digest, c.Owner, c.Number, c.Round, now + time.Duration(c.LeftMs)*time.Millisecond}
@@ -253,7 +253,7 @@
 			return response
 		}
 	}
-	s := &k.shards[store.Weigh(c.Attempt)%shards]
+	s := &k.shards[store.RendezvousWeight(c.Attempt)%shards]
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	kept, pause := constants.ReservationKept, constants.ReservationWindow
@@ -301,7 +301,7 @@
 }
 
 func (k *Replica) end(c *schema.ReservationRequest) {
-	s := &k.shards[store.Weigh(c.Attempt)%shards]
+	s := &k.shards[store.RendezvousWeight(c.Attempt)%shards]
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if h := s.reservations[c.Attempt]; h != nil && h.owner == c.Owner && c.Round >= h.round {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -167,7 +167,7 @@
 		}))
 	}
 	document := bytes.Repeat([]byte(`{"name":"route","host":"host.example","prefix":"/path/"}`), 30000)
-	record.Rows = append(record.Rows, &schema.Row{Key: store.DocumentKey, Value: document})
+	record.Rows = append(record.Rows, &schema.Row{Key: store.CatalogDocumentKey, Value: document})
 	if size := proto.Size(record); int64(size) < sizes.FileBytes {
 		t.Fatalf("the record of %d bytes must not fit uncompressed; a segment has %d", size, sizes.FileBytes)
 	}
--- a/internal/node/earlier_version_test.go
+++ b/internal/node/earlier_version_test.go
@@ -180,7 +180,7 @@
 		}
 	}
 	found.FinalIndex = uint64(table.Version())
-	found.FinalRows = digestRows(table.Rows(store.All))
+	found.FinalRows = digestRows(table.Rows(store.AllPrefixes))
 	describeTable(&found, table)
 	return found
 }
@@ -189,8 +189,8 @@
 func describeTable(found *readBack, table *store.Table) {
 	view := store.Compile(table)
 	found.Configuration = view.Head.Version
-	found.FleetVersion = view.Fleet
-	if document := store.DecodeRow[schema.CatalogDocument](table.Get(store.DocumentKey)); document != nil {
+	found.FleetVersion = view.FleetVersion
+	if document := store.DecodeRow[schema.CatalogDocument](table.Get(store.CatalogDocumentKey)); document != nil {
 		found.DocumentDigest = fmt.Sprintf("%x", sha256.Sum256(document.Document))
 	}
 	for name, zone := range view.Zones {
--- a/internal/operations/decide.go
+++ b/internal/operations/decide.go
@@ -6,7 +6,7 @@
 )
 
 // headKey is the row that names the newest configuration; each change of the configuration writes it.
-const headKey = store.HeadKey
+const headKey = store.CatalogHeadKey
 
 func newestHead(state State) *schema.CatalogHead {
 	return store.DecodeRow[schema.CatalogHead](state.Table().Get(headKey))
--- a/internal/operations/decide_test.go
+++ b/internal/operations/decide_test.go
@@ -45,10 +45,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHost(t, &c.options)
 			if c.head > 0 {
-				h.put(store.EncodeRow(store.HeadKey, &schema.CatalogHead{Version: c.head}))
+				h.put(store.EncodeRow(store.CatalogHeadKey, &schema.CatalogHead{Version: c.head}))
 			}
 			if c.isOther {
-				h.inFlight[store.HeadKey] = 9
+				h.inFlight[store.CatalogHeadKey] = 9
 			}
 			decider := &routesDecider{state: h, proposer: h, options: c.options}
 			if got := kindOf(t, decider.decide(c.request)); got != c.want {
@@ -82,10 +82,10 @@
 			if !c.isEmpty {
 				h.put(store.EncodeRow(store.RegionKey("r"), &schema.Region{Name: "r"}),
 					store.EncodeRow(store.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1"}),
-					store.EncodeRow(store.HeadKey, &schema.CatalogHead{Version: 4, OperatorKey: "k"}))
+					store.EncodeRow(store.CatalogHeadKey, &schema.CatalogHead{Version: 4, OperatorKey: "k"}))
 			}
 			if c.isOther {
-				h.inFlight[store.HeadKey] = 9
+				h.inFlight[store.CatalogHeadKey] = 9
 			}
 			decider := &entriesDecider{state: h, proposer: h}
 			if got := kindOf(t, decider.decide(c.request)); got != c.want {
--- a/internal/operations/operations_test.go
+++ b/internal/operations/operations_test.go
@@ -28,7 +28,7 @@
 	for key, want := range map[string]schema.RefusalKind{"k-1": accepted, "k-2": isUnknown} {
 		t.Run(key, func(t *testing.T) {
 			h := newHost(t, nil)
-			h.put(store.EncodeRow(store.HeadKey, &schema.CatalogHead{Version: 4, OperatorKey: "k-1"}))
+			h.put(store.EncodeRow(store.CatalogHeadKey, &schema.CatalogHead{Version: 4, OperatorKey: "k-1"}))
 			h.manager.Operate(h.now, ticket, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_ASK, Key: key})
 			h.confirm()
 			h.check(ticket, want)
--- a/internal/operations/read.go
+++ b/internal/operations/read.go
@@ -94,7 +94,7 @@
 }
 
 func (m *Manager) document() *schema.CatalogDocument {
-	return store.DecodeRow[schema.CatalogDocument](m.state.Table().Get(store.DocumentKey))
+	return store.DecodeRow[schema.CatalogDocument](m.state.Table().Get(store.CatalogDocumentKey))
 }
 
 func (m *Manager) status() *schema.OperatorResponse {
--- a/internal/operations/routes.go
+++ b/internal/operations/routes.go
@@ -58,7 +58,7 @@
 	for _, row := range record.Rows {
 		isChanged[row.Key] = true
 	}
-	snapshot := d.state.Table().Whole()
+	snapshot := d.state.Table().Snapshot()
 	snapshot.Rows = slices.DeleteFunc(snapshot.Rows, func(row *schema.Row) bool { return isChanged[row.Key] })
 	for _, row := range record.Rows {
 		if !row.Gone {
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -75,10 +75,10 @@
 
 // Plan makes the one record that replaces the newest configuration: it holds what changes, guarded against any other put.
 func Plan(table *store.Table, config *schema.RouteConfig, digest []byte) *schema.Record {
-	row := table.Get(store.HeadKey)
+	row := table.Get(store.CatalogHeadKey)
 	head := store.DecodeRow[schema.CatalogHead](row)
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: fmt.Sprintf("configuration %d", config.Version),
-		Guards: []*schema.Guard{{Key: store.HeadKey, Index: row.GetIndex()}}}
+		Guards: []*schema.Guard{{Key: store.CatalogHeadKey, Index: row.GetIndex()}}}
 	kept := map[string]bool{}
 	put := func(key string, message proto.Message) {
 		kept[key] = true
@@ -91,7 +91,7 @@
 		put(store.RouteKey(strings.ToLower(route.Host), route.Prefix), route)
 	}
 	for _, service := range config.Services {
-		put(store.PolicyKey(service.Service), service)
+		put(store.ServicePolicyKey(service.Service), service)
 	}
 	limits := config.Limits
 	if limits == nil {
@@ -111,8 +111,8 @@
 	})
 	remember(table, record, head, &schema.AcceptedConfig{Version: config.Version, Digest: digest})
 	recent := append([]*schema.AcceptedConfig{{Version: config.Version, Digest: digest}}, head.GetRecent()...)
-	record.Rows = append(record.Rows, store.EncodeRow(store.HeadKey, &schema.CatalogHead{Version: config.Version, Recent: recent[:min(len(recent), constants.RecentConfigs)]}),
-		store.EncodeRow(store.DocumentKey, &schema.CatalogDocument{Version: config.Version, Document: config.Document}))
+	record.Rows = append(record.Rows, store.EncodeRow(store.CatalogHeadKey, &schema.CatalogHead{Version: config.Version, Recent: recent[:min(len(recent), constants.RecentConfigs)]}),
+		store.EncodeRow(store.CatalogDocumentKey, &schema.CatalogDocument{Version: config.Version, Document: config.Document}))
 	return record
 }
 
@@ -131,7 +131,7 @@
 	isSame := func(known *schema.AcceptedConfig) bool {
 		return known.GetVersion() == config.GetVersion() && bytes.Equal(known.GetDigest(), digest)
 	}
-	head := store.DecodeRow[schema.CatalogHead](table.Get(store.HeadKey))
+	head := store.DecodeRow[schema.CatalogHead](table.Get(store.CatalogHeadKey))
 	known := store.DecodeRow[schema.AcceptedConfig](table.Get(store.AcceptedKey(config.GetVersion())))
 	if isSame(known) || slices.ContainsFunc(head.GetRecent(), isSame) {
 		return Accepted
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -122,7 +122,7 @@
 }
 
 func TestPlanHoldsOnlyWhatChanges(t *testing.T) {
-	always := []string{store.DocumentKey, store.HeadKey, store.AcceptedKey(9)}
+	always := []string{store.CatalogDocumentKey, store.CatalogHeadKey, store.AcceptedKey(9)}
 	for _, c := range []struct {
 		name string
 		turn func(*schema.RouteConfig)
@@ -150,7 +150,7 @@
 			}
 			apply(t, table, 3, record)
 			view := store.Compile(table)
-			if view.Head.Version != 9 || view.Services["copper"].Backend("c-1") == nil || len(view.Services["nickel"].Spans) != 1 {
+			if view.Head.Version != 9 || view.Services["copper"].Backend("c-1") == nil || len(view.Services["nickel"].ShardRanges) != 1 {
 				t.Fatalf("after it: version %d, services %v", view.Head.Version, view.Services)
 			}
 			count := 0
@@ -187,7 +187,7 @@
 	for i := range uint64(64) {
 		head.Recent = append(head.Recent, &schema.AcceptedConfig{Version: 64 - i, Digest: fmt.Append(nil, "digest ", 64-i)})
 	}
-	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.HeadKey, head)}})
+	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.CatalogHeadKey, head)}})
 	for next := uint64(65); next < 90; next++ {
 		for version := uint64(1); version < next; version++ {
 			if got := Recall(table, &schema.RouteConfig{Version: version}, fmt.Append(nil, "digest ", version)); got != Accepted {
@@ -207,7 +207,7 @@
 	for i := range uint64(constants.AcceptedConfigs + extra) {
 		apply(t, table, raft.Index(i+1), Plan(table, number(i), fmt.Append(nil, "digest ", i)))
 	}
-	head := store.DecodeRow[schema.CatalogHead](table.Get(store.HeadKey))
+	head := store.DecodeRow[schema.CatalogHead](table.Get(store.CatalogHeadKey))
 	if len(head.Recent) != constants.RecentConfigs {
 		t.Fatalf("every node is told of %d", len(head.Recent))
 	}
@@ -232,7 +232,7 @@
 	if got := Recall(table, onNewest, []byte("old version")); got != NeverAccepted {
 		t.Errorf("an old version on top of the newest is recalled as %d; it can't have been accepted", got)
 	}
-	document := store.DecodeRow[schema.CatalogDocument](table.Get(store.DocumentKey))
+	document := store.DecodeRow[schema.CatalogDocument](table.Get(store.CatalogDocumentKey))
 	if want := fmt.Appendf(nil, "document %d", head.Version-1); document.Version != head.Version || !bytes.Equal(document.Document, want) {
 		t.Fatalf("document %d %q, want %q", document.Version, document.Document, want)
 	}
--- a/internal/sharding/balance_test.go
+++ b/internal/sharding/balance_test.go
@@ -28,7 +28,7 @@
 	return w
 }
 
-func (w *world) rangeCount() int { return len(w.view.Services["a"].Spans) }
+func (w *world) rangeCount() int { return len(w.view.Services["a"].ShardRanges) }
 
 func TestLoadLeavesItsOwnerAlsoWithManyRanges(t *testing.T) {
 	for _, c := range []struct {
@@ -81,14 +81,14 @@
 				w.setLoad(64, 3, c.rate)
 			}
 			w.moved, w.coldStarts = 0, 0
-			before := w.view.Services["a"].Span(65 * (constants.LastKey + 1) / buckets).Instance
+			before := w.view.Services["a"].ShardRange(65 * (constants.LastKey + 1) / buckets).Instance
 			w.run(c.calm)
 			loads := slices.Collect(maps.Values(w.loads("a")))
 			t.Logf("%d ranges, share moved %.3f, loads %.1f to %.1f", w.rangeCount(), float64(w.moved)/(constants.LastKey+1), slices.Min(loads), slices.Max(loads))
 			if w.rangeCount() > c.most || w.moved > 0 != c.isMoved || w.coldStarts > 0 || w.violations > 0 || w.unleased() > 0 {
 				t.Fatalf("%d ranges, %d keys moved, %d without handover, %d violations, %d without a lease", w.rangeCount(), w.moved, w.coldStarts, w.violations, w.unleased())
 			}
-			if after := w.view.Services["a"].Span(65 * (constants.LastKey + 1) / buckets).Instance; c.rate > 0 && after != before {
+			if after := w.view.Services["a"].ShardRange(65 * (constants.LastKey + 1) / buckets).Instance; c.rate > 0 && after != before {
 				t.Fatalf("the hot range went from %s to %s", before, after)
 			}
 			w.moved = 0
--- a/internal/sharding/eligibility_test.go
+++ b/internal/sharding/eligibility_test.go
@@ -18,7 +18,7 @@
 }
 
 func (w *world) setRoutes(version uint64, routes ...*schema.Route) {
-	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.HeadKey, &schema.CatalogHead{Version: version})}}
+	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.CatalogHeadKey, &schema.CatalogHead{Version: version})}}
 	w.table.Each("route/", func(row *schema.Row) { record.Rows = append(record.Rows, store.Tombstone(row.Key)) })
 	for _, r := range routes {
 		record.Rows = slices.DeleteFunc(record.Rows, func(row *schema.Row) bool { return row.Key == store.RouteKey(r.Host, r.Prefix) })
@@ -30,7 +30,7 @@
 // holding are the zones whose back ends hold keys, and by how many.
 func (w *world) holding() string {
 	held := map[string]uint32{}
-	for _, keys := range w.view.Services["a"].Spans {
+	for _, keys := range w.view.Services["a"].ShardRanges {
 		if backend := w.view.Services["a"].Backend(keys.Instance); backend != nil {
 			held[backend.Zone] += keys.Last - keys.First + 1
 		}
--- a/internal/sharding/layout_test.go
+++ b/internal/sharding/layout_test.go
@@ -22,11 +22,11 @@
 
 // checkLayout tells whether a service's ranges cover its keys once.
 func checkLayout(service *store.Service) error {
-	if len(service.Spans) == 0 {
+	if len(service.ShardRanges) == 0 {
 		return errNotKeyed
 	}
 	next := uint32(0)
-	for _, keys := range service.Spans {
+	for _, keys := range service.ShardRanges {
 		if keys.First != next || keys.Last < keys.First || keys.Last > constants.LastKey {
 			return &layoutError{Service: service.Name, Key: next}
 		}
--- a/internal/sharding/sharding_test.go
+++ b/internal/sharding/sharding_test.go
@@ -83,13 +83,13 @@
 			return w.now - start
 		}
 		if w.now-start >= most {
-			w.t.Fatalf("not reached within %v: %v", most, w.view.Services["a"].Spans)
+			w.t.Fatalf("not reached within %v: %v", most, w.view.Services["a"].ShardRanges)
 		}
 	}
 }
 
 func (w *world) has(instance string) bool {
-	return slices.ContainsFunc(w.view.Services["a"].Spans, func(keys *schema.ShardRange) bool { return keys.Instance == instance })
+	return slices.ContainsFunc(w.view.Services["a"].ShardRanges, func(keys *schema.ShardRange) bool { return keys.Instance == instance })
 }
 
 func TestPlannedAndUnplannedMoves(t *testing.T) {
@@ -158,7 +158,7 @@
 			w.run(20 * time.Second)
 			moved, total := w.moved, newKeyLoad(w.keyLoad).total
 			most := slices.Max(slices.Collect(maps.Values(w.loads("a"))))
-			t.Logf("share moved %.4f, most loaded %.2f of the mean, %d ranges", float64(moved)/(constants.LastKey+1), most*4/total, len(w.view.Services["a"].Spans))
+			t.Logf("share moved %.4f, most loaded %.2f of the mean, %d ranges", float64(moved)/(constants.LastKey+1), most*4/total, len(w.view.Services["a"].ShardRanges))
 			if moved > 0 != c.isMoved || moved > (constants.LastKey+1)/16 || most > constants.KeyHotShare*total/4+constants.KeyLoadUneven || w.coldStarts > 0 || w.unleased() > 0 || w.violations > 0 {
 				t.Fatalf("moved %d, most %.1f of %.1f, %d without handover, %d without a lease", moved, most, total, w.coldStarts, w.unleased())
 			}
@@ -240,7 +240,7 @@
 		{[]*schema.ShardRange{keys(0, 9), keys(9, constants.LastKey)}, false},
 		{[]*schema.ShardRange{keys(0, 9)}, false},
 	} {
-		if err := checkLayout(&store.Service{Spans: c.ranges}); (err == nil) != c.isWhole {
+		if err := checkLayout(&store.Service{ShardRanges: c.ranges}); (err == nil) != c.isWhole {
 			t.Fatalf("%v: %v", c.ranges, err)
 		}
 	}
@@ -257,7 +257,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := store.NewTable()
-			rows := []*schema.Row{store.EncodeRow(store.PolicyKey("a"), &schema.ServicePolicy{Service: "a", Keyed: true})}
+			rows := []*schema.Row{store.EncodeRow(store.ServicePolicyKey("a"), &schema.ServicePolicy{Service: "a", Keyed: true})}
 			for _, zone := range []string{"d0", "d1"} {
 				rows = append(rows, store.EncodeRow(store.ZoneKey(zone), &schema.Zone{Name: zone, Settling: slices.Contains(c.settling, zone)}),
 					store.EncodeRow(store.BackendKey("a", "i-"+zone), &schema.Backend{Service: "a", Instance: "i-" + zone, Address: zone, Zone: zone, State: schema.BackendState_BACKEND_READY}))
--- a/internal/sharding/world_test.go
+++ b/internal/sharding/world_test.go
@@ -92,7 +92,7 @@
 		w.nodes = append(w.nodes, New(Options{MaxLease: 10 * time.Second}))
 	}
 	for _, service := range services {
-		w.apply(&schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: true})}})
+		w.apply(&schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.ServicePolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: true})}})
 		for i := range count {
 			w.start(service, fmt.Sprintf("%s-%d:80", service, i), fmt.Sprintf("d%d", i%3))
 		}
@@ -116,9 +116,9 @@
 		if err := checkLayout(w.view.Services[name]); err != nil && (len(before[name]) > 0 || !errors.Is(err, errNotKeyed)) {
 			w.t.Fatalf("%v: %v", w.now, err)
 		}
-		old := &store.Service{Spans: before[name]}
+		old := &store.Service{ShardRanges: before[name]}
 		for _, keys := range ranges {
-			if former := old.Span(keys.First); former != nil && former.Instance != keys.Instance {
+			if former := old.ShardRange(keys.First); former != nil && former.Instance != keys.Instance {
 				w.moved += keys.Last - keys.First + 1
 			}
 		}
@@ -128,7 +128,7 @@
 func (w *world) shardRanges() map[string][]*schema.ShardRange {
 	ranges := map[string][]*schema.ShardRange{}
 	for name, service := range w.view.Services {
-		ranges[name] = service.Spans
+		ranges[name] = service.ShardRanges
 	}
 	return ranges
 }
@@ -289,7 +289,7 @@
 // depose lets another node lead; the old leader may go on unknowing for a while.
 func (w *world) depose() {
 	copied := store.NewTable()
-	copied.Restore(w.table.Whole())
+	copied.Restore(w.table.Snapshot())
 	w.settle()
 	old := &formerLeader{node: w.leader, table: copied, view: store.Compile(copied), electedAt: w.electedAt, leaseAt: w.now, from: w.now, until: w.now + 3*time.Second}
 	wait := 600*ms + w.randomDuration(1500*ms)
@@ -403,7 +403,7 @@
 	for _, service := range w.services {
 		for i, key := range w.sampledKeys {
 			isHeld := false
-			if keys := w.view.Services[service].Span(uint32(key)); keys != nil {
+			if keys := w.view.Services[service].ShardRange(uint32(key)); keys != nil {
 				for _, backend := range w.owners {
 					isHeld = isHeld || backend.isAlive && backend.row.Instance == keys.Instance && backend.until[i] > w.now && !keys.Releasing
 				}
@@ -434,7 +434,7 @@
 // loads are the load of each instance by the shard ranges of the table.
 func (w *world) loads(service string) map[string]float64 {
 	loads, load := map[string]float64{}, newKeyLoad(w.keyLoad)
-	for _, keys := range w.view.Services[service].Spans {
+	for _, keys := range w.view.Services[service].ShardRanges {
 		loads[keys.Instance] += load.sum(keyRange{Key(keys.First), Key(keys.Last)})
 	}
 	return loads
--- a/internal/store/table.go
+++ b/internal/store/table.go
@@ -1,150 +1,77 @@
-// Package store holds the shared state as rows with indexes, its slices, digests and compiled views.
 package store
 
 import (
 	"bytes"
-	"crypto/sha256"
-	"encoding/binary"
-	"fmt"
-	"sort"
 	"strings"
 
 	"github.com/emirpasic/gods/trees/redblacktree"
-	"google.golang.org/protobuf/proto"
 
-	"topazshed/internal/constants"
 	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
-// Common are the prefixes that every node subscribes to.
-var Common = []string{"catalog/head", "district/", "keepers/", "node/", "region/", "system"}
+// RowCheck refuses a row whose contents break a rule, given the table before the record that has it. Every node must
+// come to the same decision.
+type RowCheck func(table *Table, row *schema.Row) error
 
-// Routed are the prefixes that every node of a routed fleet subscribes to.
-var Routed = []string{"catalog/head", "district/", "group/", "limits", "node/", "region/", "route/", "s/", "standing/", "system"}
-
-// All is the prefix of everything.
-var All = []string{""}
-
-// ServicePrefix is the slice of one service.
-func ServicePrefix(service string) string { return "s/" + service + "/" }
-
-// NodeKey functions name the rows.
-func NodeKey(id string) string           { return "node/" + id }
-func RegionKey(name string) string       { return "region/" + name }
-func ZoneKey(name string) string         { return "district/" + name }
-func ReplicaSetKey(region string) string { return "keepers/" + region }
-func EntryKey(service, path string) string {
-	return ServicePrefix(service) + "entry/" + path
-}
-func AssignmentKey(service, path, region string) string {
-	return ServicePrefix(service) + "standing/" + region + "/" + path
-}
-func EntityKey(service, path string) string {
-	return ServicePrefix(service) + "entity/" + path
-}
-func BackendKey(service, instance string) string {
-	return ServicePrefix(service) + "backend/" + instance
-}
-func RouteKey(host, prefix string) string { return "route/" + host + prefix }
-func GroupKey(name string) string         { return "group/" + name }
-func DefaultKey(region string) string     { return "standing/" + region }
-func PolicyKey(service string) string     { return ServicePrefix(service) + "policy" }
-func ShardRangeKey(service string, first uint32) string {
-	return fmt.Sprintf("%sspan/%05d", ServicePrefix(service), first)
-}
-func ShardSlotKey(service string, slot uint32) string {
-	return fmt.Sprintf("%sslot/%03d", ServicePrefix(service), slot)
-}
-
-// AcceptedKey is the row of an accepted configuration. It lies in a slice that only machines with a disk hold.
-func AcceptedKey(version uint64) string { return fmt.Sprintf("%s%020d", AcceptedPrefix, version) }
-
-// AcceptedPrefix is the slice of the accepted configurations, the oldest first.
-const AcceptedPrefix = "accepted/"
-
-// The single rows.
-const (
-	HeadKey     = "catalog/head"
-	DocumentKey = "catalog/document"
-	SystemKey   = "system"
-	LimitsKey   = "limits"
-	// VersionKey is the version that the fleet uses. It lies in a slice that every node holds and in which version 1 passes over it.
-	VersionKey = "catalog/head/version"
-)
-
-// EncodeRow makes a row of a message.
-func EncodeRow(key string, message proto.Message) *schema.Row {
-	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
-	if err != nil {
-		panic(fmt.Sprintf("encode row %s: %v", key, err))
-	}
-	return &schema.Row{Key: key, Value: value}
-}
-
-// Tombstone makes a row that takes another out.
-func Tombstone(key string) *schema.Row { return &schema.Row{Key: key, Gone: true} }
-
-// DecodeRow reads a row's message; a missing row gives nil.
-func DecodeRow[T any, P interface {
-	*T
-	proto.Message
-}](row *schema.Row) P {
-	if row == nil || row.Gone {
-		return nil
-	}
-	message := P(new(T))
-	if err := proto.Unmarshal(row.Value, message); err != nil {
-		return nil
-	}
-	return message
-}
-
-// Table is the state of one node: all rows or those of its slices.
+// Table is one node's copy of the rows, in the order of their keys. It is not safe for concurrent use.
+//
+// Invariants: every row has the index of the record that last changed it; version is at least every row's index. Rows are
+// never changed once they are in the table, so that callers may keep them.
 type Table struct {
 	rows    *redblacktree.Tree
 	version raft.Index
-	changes []*schema.Row
-	since   raft.Index
+	changes changeLog
 }
 
 // NewTable makes an empty table.
 func NewTable() *Table { return &Table{rows: redblacktree.NewWithStringComparator()} }
 
-// Version is the index that the table stands at.
+// Version returns the log index up to which the table has all changes.
 func (t *Table) Version() raft.Index { return t.version }
 
-// Size is the count of rows.
+// Size returns the number of rows.
 func (t *Table) Size() int { return t.rows.Size() }
 
-// Get gives a row or nil.
+// Get returns a row, or nil.
 func (t *Table) Get(key string) *schema.Row {
-	if row, isThere := t.rows.Get(key); isThere {
+	if row, isPresent := t.rows.Get(key); isPresent {
 		return row.(*schema.Row)
 	}
 	return nil
 }
 
-// Each visits the rows below a prefix in order.
+// Each visits the rows below a prefix in the order of their keys. The visit must not change the table.
 func (t *Table) Each(prefix string, visit func(*schema.Row)) {
-	node, isThere := t.rows.Ceiling(prefix)
-	if !isThere {
+	node, isPresent := t.rows.Ceiling(prefix)
+	if !isPresent {
 		return
 	}
-	for it := t.rows.IteratorAt(node); ; {
-		key := it.Key().(string)
+	for iterator := t.rows.IteratorAt(node); ; {
+		key := iterator.Key().(string)
 		if !strings.HasPrefix(key, prefix) {
 			return
 		}
-		visit(it.Value().(*schema.Row))
-		if !it.Next() {
+		visit(iterator.Value().(*schema.Row))
+		if !iterator.Next() {
 			return
 		}
 	}
 }
 
-// Apply takes a committed record; a record whose guards fail changes nothing.
-func (t *Table) Apply(index raft.Index, record *schema.Record, check func(*Table, *schema.Row) error) ([]*schema.Row, error) {
+// Rows returns the rows below each of the prefixes.
+func (t *Table) Rows(prefixes []string) []*schema.Row {
+	var rows []*schema.Row
+	for _, prefix := range prefixes {
+		t.Each(prefix, func(row *schema.Row) { rows = append(rows, row) })
+	}
+	return rows
+}
+
+// Apply applies the committed record at an index, and returns the changed rows. Records must come in the order of the log;
+// one that the table has already changes nothing. A void record changes nothing but the version: the error is a GuardError,
+// or that of the check, which may be nil.
+func (t *Table) Apply(index raft.Index, record *schema.Record, check RowCheck) ([]*schema.Row, error) {
 	if index <= t.version {
 		return nil, nil
 	}
@@ -152,132 +79,126 @@
 	if record.Kind != schema.RecordKind_RECORD_ROWS {
 		return nil, nil
 	}
-	for _, guard := range record.Guards {
-		var at uint64
-		if row := t.Get(guard.Key); row != nil {
-			at = row.Index
-		}
-		if at != guard.Index {
-			return nil, fmt.Errorf("row %s stands at %d, not %d; read it again and repeat", guard.Key, at, guard.Index)
-		}
+	if err := t.checkGuards(record.Guards); err != nil {
+		return nil, err
 	}
-	for _, row := range record.Rows {
-		if check != nil && !row.Gone {
-			if err := check(t, row); err != nil {
-				return nil, err
-			}
-		}
+	if err := t.checkRows(record.Rows, check); err != nil {
+		return nil, err
 	}
 	changed := make([]*schema.Row, 0, len(record.Rows))
 	for _, row := range record.Rows {
-		fresh := &schema.Row{Key: row.Key, Value: row.Value, Gone: row.Gone, Index: uint64(index)}
-		t.set(fresh)
-		changed = append(changed, fresh)
+		stored := &schema.Row{Key: row.Key, Value: row.Value, Gone: row.Gone, Index: uint64(index)}
+		t.set(stored)
+		changed = append(changed, stored)
 	}
-	t.remember(changed)
+	t.changes.add(changed)
 	return changed, nil
 }
 
-func (t *Table) set(row *schema.Row) {
-	if row.Gone {
-		t.rows.Remove(row.Key)
-		return
-	}
-	t.rows.Put(row.Key, row)
-}
-
-func (t *Table) remember(rows []*schema.Row) {
-	t.changes = append(t.changes, rows...)
-	if extra := len(t.changes) - constants.DeltaKeep; extra > constants.DeltaKeep/4 {
-		t.since = raft.Index(t.changes[extra-1].Index)
-		t.changes = append([]*schema.Row(nil), t.changes[extra:]...)
-	}
-}
-
-func within(key string, prefixes []string) bool {
-	for _, prefix := range prefixes {
-		if strings.HasPrefix(key, prefix) {
-			return true
+// checkGuards fails where a row has changed since the record was planned.
+func (t *Table) checkGuards(guards []*schema.Guard) error {
+	for _, guard := range guards {
+		if actual := t.Get(guard.Key).GetIndex(); actual != guard.Index {
+			return &GuardError{Key: guard.Key, Actual: raft.Index(actual), Expected: raft.Index(guard.Index)}
 		}
 	}
-	return false
+	return nil
 }
 
-// Changes gives the rows of the slices changed after an index, or false if the table no longer remembers.
-func (t *Table) Changes(after raft.Index, prefixes []string) ([]*schema.Row, bool) {
-	if after < t.since {
-		return nil, false
+func (t *Table) checkRows(rows []*schema.Row, check RowCheck) error {
+	if check == nil {
+		return nil
 	}
-	at := sort.Search(len(t.changes), func(i int) bool { return raft.Index(t.changes[i].Index) > after })
-	var rows []*schema.Row
-	for _, row := range t.changes[at:] {
-		if within(row.Key, prefixes) {
-			rows = append(rows, row)
+	for _, row := range rows {
+		if row.Gone {
+			continue
+		}
+		if err := check(t, row); err != nil {
+			return err
 		}
 	}
-	return rows, true
+	return nil
 }
 
-// Rows gives all rows of the slices.
-func (t *Table) Rows(prefixes []string) []*schema.Row {
-	var rows []*schema.Row
-	for _, prefix := range prefixes {
-		t.Each(prefix, func(row *schema.Row) { rows = append(rows, row) })
+func (t *Table) set(row *schema.Row) {
+	if row.Gone {
+		t.rows.Remove(row.Key)
+		return
 	}
-	return rows
+	t.rows.Put(row.Key, row)
 }
 
-// Merge takes a delta from another node; an older one or one with a gap is refused.
-func (t *Table) Merge(delta *schema.Delta) ([]*schema.Row, bool) {
-	if raft.Index(delta.To) < t.version || !delta.All && raft.Index(delta.From) > t.version {
+// Merge takes a delta from another node, and returns the changed rows. It refuses a delta that is older than the table, and
+// one that begins after it.
+func (t *Table) Merge(delta *schema.Delta) (changed []*schema.Row, isTaken bool) {
+	isOlder := raft.Index(delta.To) < t.version
+	hasGap := !delta.All && raft.Index(delta.From) > t.version
+	if isOlder || hasGap {
 		return nil, false
 	}
-	var changed []*schema.Row
-	kept := map[string]bool{}
+	changed = t.deleteMissing(delta)
 	for _, row := range delta.Rows {
-		kept[row.Key] = true
-	}
-	for _, row := range t.Rows(delta.Whole) {
-		if !kept[row.Key] {
-			gone := &schema.Row{Key: row.Key, Gone: true, Index: delta.To}
-			changed = append(changed, gone)
-			t.set(gone)
-		}
-	}
-	for _, row := range delta.Rows {
-		own := t.Get(row.Key)
-		isNewer := own == nil && !row.Gone || own != nil && row.Index > own.Index
-		if isNewer || own != nil && !row.Gone && within(row.Key, delta.Whole) && !bytes.Equal(own.Value, row.Value) {
+		if t.isNews(row, delta.Whole) {
 			changed = append(changed, row)
 			t.set(row)
 		}
 	}
 	t.version = raft.Index(delta.To)
 	if len(delta.Whole) > 0 {
-		t.changes, t.since = nil, raft.Index(delta.To)
+		t.changes.reset(t.version)
 	} else {
-		t.remember(changed)
+		t.changes.add(changed)
 	}
 	return changed, true
 }
 
-// Forget drops the rows outside the slices.
+// deleteMissing deletes the rows that a delta, in the ranges that it has whole, doesn't have.
+func (t *Table) deleteMissing(delta *schema.Delta) []*schema.Row {
+	isKept := map[string]bool{}
+	for _, row := range delta.Rows {
+		isKept[row.Key] = true
+	}
+	var deleted []*schema.Row
+	for _, row := range t.Rows(delta.Whole) {
+		if !isKept[row.Key] {
+			tombstone := &schema.Row{Key: row.Key, Gone: true, Index: delta.To}
+			deleted = append(deleted, tombstone)
+			t.set(tombstone)
+		}
+	}
+	return deleted
+}
+
+// isNews tells whether a row of a delta changes the table: a newer one does, and in a range that the delta has whole,
+// for the repair of damage, any that differs.
+func (t *Table) isNews(row *schema.Row, whole []string) bool {
+	own := t.Get(row.Key)
+	if own == nil {
+		return !row.Gone
+	}
+	if row.Index > own.Index {
+		return true
+	}
+	return !row.Gone && hasAnyPrefix(row.Key, whole) && !bytes.Equal(own.Value, row.Value)
+}
+
+// Forget drops the rows outside the prefixes, as when the node no longer subscribes to them, and returns tombstones
+// of them.
 func (t *Table) Forget(prefixes []string) []*schema.Row {
-	var gone []*schema.Row
-	t.Each("", func(row *schema.Row) {
-		if !within(row.Key, prefixes) {
-			gone = append(gone, &schema.Row{Key: row.Key, Gone: true, Index: uint64(t.version)})
+	var forgotten []*schema.Row
+	for _, row := range t.Rows(AllPrefixes) {
+		if !hasAnyPrefix(row.Key, prefixes) {
+			tombstone := &schema.Row{Key: row.Key, Gone: true, Index: uint64(t.version)}
+			forgotten = append(forgotten, tombstone)
+			t.set(tombstone)
 		}
-	})
-	for _, row := range gone {
-		t.rows.Remove(row.Key)
 	}
-	return gone
+	return forgotten
 }
 
-// Whole gives a snapshot of everything.
-func (t *Table) Whole() *schema.Snapshot {
-	return &schema.Snapshot{Index: uint64(t.version), Rows: t.Rows(All)}
+// Snapshot returns all rows and the version; the caller fills in the position in the log.
+func (t *Table) Snapshot() *schema.Snapshot {
+	return &schema.Snapshot{Index: uint64(t.version), Rows: t.Rows(AllPrefixes)}
 }
 
 // Restore replaces everything by a snapshot.
@@ -286,32 +207,15 @@
 	for _, row := range snapshot.Rows {
 		t.rows.Put(row.Key, row)
 	}
-	t.version, t.since, t.changes = raft.Index(snapshot.Index), raft.Index(snapshot.Index), nil
+	t.version = raft.Index(snapshot.Index)
+	t.changes.reset(t.version)
 }
 
-// Digest is the digest of a range.
-func (t *Table) Digest(prefix string) *schema.RangeDigest {
-	sum := sha256.New()
-	count := uint64(0)
-	t.Each(prefix, func(row *schema.Row) {
-		var head [16]byte
-		binary.BigEndian.PutUint64(head[:], uint64(len(row.Key)))
-		binary.BigEndian.PutUint64(head[8:], row.Index)
-		sum.Write(head[:])
-		sum.Write([]byte(row.Key))
-		sum.Write(row.Value)
-		count++
-	})
-	return &schema.RangeDigest{Prefix: prefix, Digest: sum.Sum(nil)[:16], Rows: count}
-}
-
-// Differing names the ranges whose digests differ from another node's at the same version.
-func (t *Table) Differing(ranges []*schema.RangeDigest) []string {
-	var names []string
-	for _, other := range ranges {
-		if own := t.Digest(other.Prefix); !bytes.Equal(own.Digest, other.Digest) {
-			names = append(names, other.Prefix)
+func hasAnyPrefix(key string, prefixes []string) bool {
+	for _, prefix := range prefixes {
+		if strings.HasPrefix(key, prefix) {
+			return true
 		}
 	}
-	return names
+	return false
 }
--- a/internal/store/table_test.go
+++ b/internal/store/table_test.go
@@ -9,7 +9,7 @@
 	"topazshed/internal/schema"
 )
 
-func TestDeltasAndDigests(t *testing.T) {
+func TestReadersFollowDeltasAndRepairByDigests(t *testing.T) {
 	for seed := range int64(40) {
 		random := rand.New(rand.NewSource(seed))
 		source, reader := NewTable(), NewTable()
@@ -20,9 +20,7 @@
 			if random.Intn(4) == 0 {
 				row = Tombstone(key)
 			}
-			if _, err := source.Apply(raft.Index(i+1), &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{row}}, nil); err != nil {
-				t.Fatal(err)
-			}
+			apply(t, source, raft.Index(i+1), row)
 			if random.Intn(5) > 0 {
 				continue
 			}
@@ -42,7 +40,7 @@
 			}
 			old := &schema.Delta{From: 0, To: uint64(reader.Version()) - 1, All: true, Whole: slices}
 			if _, isTaken := reader.Merge(old); isTaken {
-				t.Fatalf("seed %d: an older image was taken", seed)
+				t.Fatalf("seed %d: an older delta was taken", seed)
 			}
 			if _, isTaken := reader.Merge(&schema.Delta{From: uint64(reader.Version()) + 1, To: uint64(reader.Version()) + 2}); isTaken {
 				t.Fatalf("seed %d: a delta with a gap was taken", seed)
@@ -63,12 +61,15 @@
 			t.Fatal("the last delta was not taken")
 		}
 		reader.rows.Put("node/7", &schema.Row{Key: "node/7", Value: []byte("damaged"), Index: 1})
-		if names := source.Differing([]*schema.RangeDigest{reader.Digest("node/"), reader.Digest(ServicePrefix("a"))}); len(names) != 1 || names[0] != "node/" {
+		digests := []*schema.RangeDigest{reader.Digest("node/"), reader.Digest(ServicePrefix("a"))}
+		if names := source.Differing(digests); len(names) != 1 || names[0] != "node/" {
 			t.Fatalf("seed %d: damage shows as %v", seed, names)
 		}
-		whole := &schema.Delta{From: uint64(source.Version()), To: uint64(source.Version()), Whole: []string{"node/"}, Rows: source.Rows([]string{"node/"})}
+		damaged := []string{"node/"}
+		version := uint64(source.Version())
+		whole := &schema.Delta{From: version, To: version, Whole: damaged, Rows: source.Rows(damaged)}
 		if _, isTaken := reader.Merge(whole); !isTaken || len(source.Differing([]*schema.RangeDigest{reader.Digest("node/")})) > 0 {
-			t.Fatalf("seed %d: the damaged range was not mended", seed)
+			t.Fatalf("seed %d: the damaged range was not repaired", seed)
 		}
 	}
 }
