--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -33,7 +33,7 @@
 const (
 	RefusalNone      Refusal = ""
 	RefusalNoService Refusal = "no-service"
-	RefusalNoPlace   Refusal = "no-standing"
+	RefusalNoGroup   Refusal = "no-standing"
 	RefusalNoKey     Refusal = "no-key"
 	RefusalMoving    Refusal = "key-moving"
 	RefusalBusy      Refusal = "busy"
@@ -45,7 +45,6 @@
 // Choice is the back end to try, or why there is none.
 type Choice struct {
 	Backend *schema.Backend
-	Place   failover.ActiveGroup
 	Refusal Refusal
 	// IsCold says that the attempt was counted for a cold back end.
 	IsCold bool
@@ -79,7 +78,7 @@
 	}
 	groups := failover.ActiveGroups(s.View, s.Service, s.Route.HomeRegions, s.Self.Region, s.Token)
 	if len(groups) == 0 {
-		return Choice{Refusal: RefusalNoPlace}
+		return Choice{Refusal: RefusalNoGroup}
 	}
 	if service.Policy.GetKeyed() {
 		return s.chooseOwner(service, groups)
@@ -96,8 +95,7 @@
 	if backend == nil {
 		return Choice{Refusal: RefusalMoving}
 	}
-	group, isAllowed := s.groupOf(groups, s.View.Zones[backend.Zone].Region)
-	if !isAllowed {
+	if !s.isAllowed(groups, s.View.Zones[backend.Zone].Region) {
 		return Choice{Refusal: RefusalMoving}
 	}
 	if s.Loads.Read(s.Now, backend.Instance).IsResting {
@@ -107,7 +105,7 @@
 	if isColdOwner && !s.Loads.MayCold(s.Now, backend.Instance, service.Policy, len(s.View.Nodes)) {
 		return Choice{Refusal: RefusalCold}
 	}
-	return Choice{Backend: backend, Place: group, IsCold: isColdOwner}
+	return Choice{Backend: backend, IsCold: isColdOwner}
 }
 
 // ownerOf is the untried, open back end that owns the request's key, or nil.
@@ -123,14 +121,10 @@
 	return backend
 }
 
-// groupOf is the active group of a region; a region without one gets the first group unless the route's home regions exclude it.
-func (s *Situation) groupOf(groups []failover.ActiveGroup, region string) (group failover.ActiveGroup, isAllowed bool) {
-	at := slices.IndexFunc(groups, func(g failover.ActiveGroup) bool { return g.Region == region })
-	if at >= 0 {
-		return groups[at], true
+// isAllowed tells whether a request may go to a region: one with an active group, or any unless the route names home regions.
+func (s *Situation) isAllowed(groups []failover.ActiveGroup, region string) bool {
+	if slices.ContainsFunc(groups, func(g failover.ActiveGroup) bool { return g.Region == region }) {
+		return true
 	}
-	if len(s.Route.HomeRegions) > 0 && !slices.Contains(s.Route.HomeRegions, region) {
-		return failover.ActiveGroup{}, false
-	}
-	return groups[0], true
+	return len(s.Route.HomeRegions) == 0 || slices.Contains(s.Route.HomeRegions, region)
 }
--- a/internal/gateway/choose_free.go
+++ b/internal/gateway/choose_free.go
@@ -14,7 +14,6 @@
 // candidate is a back end that may be chosen, and what it would cost: about the time that the request would take there, in nanoseconds.
 type candidate struct {
 	backend *schema.Backend
-	group   failover.ActiveGroup
 	cost    float64
 	isCold  bool
 	// ejectedUntil is when an ejected one may be used again.
@@ -52,7 +51,7 @@
 	for rank, group := range groups {
 		for _, backend := range service.Backends {
 			if isOpen(s.View, backend) && group.HasZone(backend.Zone) && !slices.Contains(s.Tried, backend.Instance) {
-				search.consider(rank, group, backend)
+				search.consider(rank, backend)
 			}
 		}
 	}
@@ -63,7 +62,7 @@
 	if search.best.backend == nil {
 		return Choice{Refusal: search.refusal}
 	}
-	return Choice{Backend: search.best.backend, Place: search.best.group, IsCold: search.best.isCold}
+	return Choice{Backend: search.best.backend, IsCold: search.best.isCold}
 }
 
 // countSharers counts the ready nodes of this node's zone; they are taken to send as much as this one to the back ends near them.
@@ -78,9 +77,9 @@
 }
 
 // consider weighs one open, untried back end. Its order of draws and of counts for cold back ends is part of a seed's history.
-func (f *freeSearch) consider(rank int, group failover.ActiveGroup, backend *schema.Backend) {
+func (f *freeSearch) consider(rank int, backend *schema.Backend) {
 	reading := f.Loads.Read(f.Now, backend.Instance)
-	c := candidate{backend: backend, group: group, isCold: isCold(f.View, backend)}
+	c := candidate{backend: backend, isCold: isCold(f.View, backend)}
 	c.cost = f.cost(rank, backend, reading)
 	f.open++
 	if reading.IsResting {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -81,7 +81,7 @@
 		{"i-tor", "tor-a", []string{"kol", "tor"}, nil, RefusalNone},
 		{"i-tor", "tor-a", []string{"kol"}, nil, RefusalMoving},
 		{"i-kol", "kol-b", []string{"tor"}, nil, RefusalMoving},
-		{"i-kol", "kol-b", []string{"none"}, nil, RefusalNoPlace},
+		{"i-kol", "kol-b", []string{"none"}, nil, RefusalNoGroup},
 		{"i-kol", "kol-b", nil, isDraining, RefusalMoving},
 	} {
 		t.Run(fmt.Sprint(c.owner, c.homes), func(t *testing.T) {
