--- a/internal/node/entry_service.go
+++ b/internal/node/entry_service.go
@@ -21,7 +21,7 @@
 	node     *Node
 	replica  *idempotency.Replica
 	loads    *proxy.Loads
-	kept     *proxy.Kept
+	kept     *proxy.ResponseCache
 	pool     *proxy.Pool
 	executor *proxy.Executor
 }
@@ -36,7 +36,7 @@
 	s.pool = proxy.NewPool(n.settings.Proxy)
 	n.cleanup.push("pool", s.pool.Close)
 	s.loads = proxy.NewLoads(n.Now)
-	s.kept = proxy.NewKept()
+	s.kept = proxy.NewResponseCache()
 	s.executor = proxy.NewExecutor(proxy.Options{
 		Self:  n.self,
 		Now:   n.Now,
@@ -89,7 +89,7 @@
 	}
 	number, isMember, isReady, _ := s.replica.State()
 	n.machine.SetReservationReplica(number, isMember && isReady)
-	n.machine.SetOldestIndex(s.loads.Floor())
+	n.machine.SetOldestIndex(s.loads.OldestVersion())
 }
 
 func (s *entryService) forgetConnections(previous, current *store.View) {
--- a/internal/proxy/json.go
+++ /dev/null
@@ -1,5 +0,0 @@
-package proxy
-
-import "encoding/json"
-
-func jsonRead(text []byte, into any) bool { return json.Unmarshal(text, into) == nil }
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -9,95 +9,100 @@
 	"io"
 	"net"
 	"net/http"
-	"net/netip"
-	"sync"
 	"time"
 
+	"topazshed/internal/connpool"
 	"topazshed/internal/constants"
 	"topazshed/internal/sockets"
 )
 
+const (
+	// readBufferSize is that of a connection, in bytes.
+	readBufferSize = 16 << 10
+	// identityLimit bounds the body that proves an identity, in bytes.
+	identityLimit = 4 << 10
+)
+
 // Identity is what a back end or proxy proves on a new connection.
 type Identity struct {
 	Service  string `json:"service"`
 	Instance string `json:"instance"`
 }
 
-// IdentityError says that an address is in the hands of another service or instance.
+// IdentityError says that an address is in use by another service or instance than the one that was meant.
 type IdentityError struct{ Want, Got Identity }
 
 func (e *IdentityError) Error() string {
-	return fmt.Sprintf("the address belongs to %s/%s, not %s/%s; the list will tell the new place", e.Got.Service, e.Got.Instance, e.Want.Service, e.Want.Instance)
+	return fmt.Sprintf("the address belongs to %s/%s, not %s/%s; the endpoint list will tell the new address",
+		e.Got.Service, e.Got.Instance, e.Want.Service, e.Want.Instance)
 }
 
-// Proved is a connection whose other end has proved who it is.
-type Proved struct {
+// Conn is a connection whose other end has proved its identity.
+type Conn struct {
 	net.Conn
-	reader *bufio.Reader
-	idle   time.Time
-	who    Identity
-}
-
-type poolShard struct {
-	lock sync.Mutex
-	idle map[Identity][]*Proved
+	reader   *bufio.Reader
+	idleAt   time.Time
+	identity Identity
 }
 
-// Pool keeps proved connections by identity, never by address.
+// Pool dials back ends and proxies, and keeps idle connections by identity, never by address. Its methods may be called from any goroutine.
 type Pool struct {
-	shards [shards]poolShard
+	idle   *connpool.Pool[Identity, *Conn]
 	dialer net.Dialer
-	lock   sync.Mutex
-	isShut bool
 }
 
-// NewPool makes a pool that dials from a local IP.
-func NewPool(local string) *Pool {
-	p := &Pool{dialer: net.Dialer{Timeout: constants.ConnectWait}}
-	if address, err := netip.ParseAddrPort(local); err == nil {
-		p.dialer.LocalAddr = &net.TCPAddr{IP: address.Addr().AsSlice()}
+// NewPool makes a pool that dials from the IP of a listening address.
+func NewPool(listen string) *Pool {
+	return &Pool{
+		idle:   connpool.New[Identity, *Conn](constants.IdlePerBackend, func(identity Identity) string { return identity.Instance }),
+		dialer: net.Dialer{Timeout: constants.ConnectWait, LocalAddr: sockets.LocalAddress(listen)},
 	}
-	for i := range p.shards {
-		p.shards[i].idle = map[Identity][]*Proved{}
-	}
-	return p
 }
 
-func (p *Pool) shard(who Identity) *poolShard { return &p.shards[shardOf(who.Instance)] }
-
-// Get gives a proved connection, from the pool if isReused allows it.
-func (p *Pool) Get(ctx context.Context, address string, who Identity) (*Proved, error) {
-	s := p.shard(who)
-	s.lock.Lock()
-	for n := len(s.idle[who]); n > 0; n = len(s.idle[who]) {
-		conn := s.idle[who][n-1]
-		s.idle[who] = s.idle[who][:n-1]
-		if time.Since(conn.idle) > constants.IdleTTL || conn.reader.Buffered() > 0 || conn.RemoteAddr().String() != address || !sockets.IsQuiet(conn.Conn) {
-			conn.Close()
-			continue
+// Get gives an idle connection to an identity, or a new one that has proved it. Its error is an *IdentityError if another process has the
+// address.
+func (p *Pool) Get(ctx context.Context, address string, identity Identity) (*Conn, error) {
+	conn, isIdle := p.idle.Take(identity, func(conn *Conn) connpool.Fitness {
+		if conn.isUsableFor(address) {
+			return connpool.Usable
 		}
-		s.lock.Unlock()
+		return connpool.Unusable
+	})
+	if isIdle {
 		return conn, nil
 	}
-	s.lock.Unlock()
+	return p.dial(ctx, address, identity)
+}
+
+func (c *Conn) isUsableFor(address string) bool {
+	return time.Since(c.idleAt) <= constants.IdleTTL && c.reader.Buffered() == 0 && c.RemoteAddr().String() == address &&
+		sockets.IsQuiet(c.Conn)
+}
+
+func (p *Pool) dial(ctx context.Context, address string, identity Identity) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, constants.ConnectWait)
 	defer cancel()
 	raw, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("connect to %s: %w", address, err)
 	}
-	conn := &Proved{Conn: raw, reader: bufio.NewReaderSize(raw, 16<<10), who: who}
-	got, err := conn.identify(ctx)
-	if err == nil && got != who {
-		err = &IdentityError{who, got}
-	}
-	if err != nil {
+	conn := &Conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize), identity: identity}
+	if err := conn.Prove(ctx); err != nil {
 		return nil, errors.Join(err, raw.Close())
 	}
 	return conn, nil
 }
 
-func (c *Proved) identify(ctx context.Context) (Identity, error) {
+// Prove asks the other end for its identity. Its error is an *IdentityError if that is another one than was meant.
+func (c *Conn) Prove(ctx context.Context) error {
+	got, err := c.identify(ctx)
+	if err == nil && got != c.identity {
+		err = &IdentityError{c.identity, got}
+	}
+	return err
+}
+
+func (c *Conn) identify(ctx context.Context) (Identity, error) {
 	var got Identity
 	deadline, _ := ctx.Deadline()
 	c.SetDeadline(deadline)
@@ -113,7 +118,7 @@
 		return got, fmt.Errorf("read identity: %w", err)
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, 4096))
+	text, err := io.ReadAll(io.LimitReader(response.Body, identityLimit))
 	if err != nil || response.StatusCode != http.StatusOK || response.Close {
 		return got, fmt.Errorf("read identity: status %d, %v", response.StatusCode, err)
 	}
@@ -123,61 +128,15 @@
 	return got, nil
 }
 
-// Put gives a clean connection back.
-func (p *Pool) Put(conn *Proved) {
-	conn.idle = time.Now()
+// Put gives a connection back on which a whole response was read and nothing more.
+func (p *Pool) Put(conn *Conn) {
+	conn.idleAt = time.Now()
 	conn.SetDeadline(time.Time{})
-	s := p.shard(conn.who)
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	if len(s.idle[conn.who]) >= constants.IdlePerBackend || p.shut() {
-		conn.Close()
-		return
-	}
-	s.idle[conn.who] = append(s.idle[conn.who], conn)
-}
-
-func (p *Pool) shut() bool {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return p.isShut
+	p.idle.Put(conn.identity, conn)
 }
 
 // Forget closes the idle connections to one identity.
-func (p *Pool) Forget(who Identity) {
-	s := p.shard(who)
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	for _, conn := range s.idle[who] {
-		conn.Close()
-	}
-	delete(s.idle, who)
-}
-
-// Close closes all idle connections.
-func (p *Pool) Close() error {
-	p.lock.Lock()
-	p.isShut = true
-	p.lock.Unlock()
-	for i := range p.shards {
-		s := &p.shards[i]
-		s.lock.Lock()
-		for who, conns := range s.idle {
-			for _, conn := range conns {
-				conn.Close()
-			}
-			delete(s.idle, who)
-		}
-		s.lock.Unlock()
-	}
-	return nil
-}
+func (p *Pool) Forget(identity Identity) { p.idle.Drop(identity) }
 
-// Prove asks the other end once more who it is.
-func (c *Proved) Prove(ctx context.Context) error {
-	got, err := c.identify(ctx)
-	if err == nil && got != c.who {
-		err = &IdentityError{c.who, got}
-	}
-	return err
-}
+// Close closes all idle connections; its error is always nil.
+func (p *Pool) Close() error { return p.idle.Close() }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -84,58 +84,58 @@
 		world   *world
 		change  func(*Situation)
 		request *Request
-		turn    Turn
+		action  Action
 		kind    string
 		chosen  string
 	}{
-		{"a safe query goes to the nearest back end", base(all...), nil, safe(), TurnAttempt, "", "l-1"},
-		{"or to another district of the region", base(all[1:]...), nil, safe(), TurnAttempt, "", "l-2"},
-		{"but never outside the owner's region", base(all[2:]...), nil, safe(), TurnPark, "", ""},
-		{"a tried back end is not tried again", base(all...), func(s *Situation) { s.Tried["l-1"] = true }, safe(), TurnAttempt, "", "l-2"},
+		{"a safe query goes to the nearest back end", base(all...), nil, safe(), ActionAttempt, "", "l-1"},
+		{"or to another district of the region", base(all[1:]...), nil, safe(), ActionAttempt, "", "l-2"},
+		{"but never outside the owner's region", base(all[2:]...), nil, safe(), ActionPark, "", ""},
+		{"a tried back end is not tried again", base(all...), func(s *Situation) { s.Tried["l-1"] = true }, safe(), ActionAttempt, "", "l-2"},
 		{"a stale isolated proxy declines at once", base(all...), func(s *Situation) {
 			s.Now += constants.IsolatedAfter
 			s.Local.TickAt = s.Now
-		}, safe(), TurnRefuse, "isolated", ""},
+		}, safe(), ActionRefuse, "isolated", ""},
 		{"one cut off with its region serves on", base(all...), func(s *Situation) {
 			s.Now += constants.IsolatedAfter
 			s.Local.TickAt, s.Local.PeersAt = s.Now, s.Now
-		}, safe(), TurnAttempt, "", "l-1"},
-		{"one that was told of changes which it lacks declines", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.BehindMost - time.Millisecond }, safe(), TurnRefuse, "isolated", ""},
-		{"but not at once", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.BehindMost }, safe(), TurnAttempt, "", "l-1"},
-		{"a thawed proxy refreshes first", base(all...), func(s *Situation) { s.Local.ThawedAt = noon }, safe(), TurnPark, "", ""},
-		{"one that has not ticked is taken as frozen", base(all...), func(s *Situation) { s.Local.TickAt = noon - 2*time.Second }, safe(), TurnPark, "", ""},
-		{"an unknown service", base(all...), func(s *Situation) { s.Request.Service = "nobody" }, safe(), TurnRefuse, "unknown-entry", ""},
-		{"an unknown path", base(all...), func(s *Situation) { s.Request.Path = "/balance" }, safe(), TurnRefuse, "unknown-entry", ""},
-		{"a path is matched by whole parts", base(all...), func(s *Situation) { s.Request.Path = "/balancesheet" }, safe(), TurnRefuse, "unknown-entry", ""},
-		{"a method that the entry lacks", base(all...), func(s *Situation) { s.Request.Method = "POST" }, safe(), TurnRefuse, "bad-method", ""},
-		{"a slice that is not held is asked for", base(all...), func(s *Situation) { s.Local.IsFull = false }, safe(), TurnPark, "", ""},
-		{"another group's query is forwarded", base(all...), func(s *Situation) { s.Request.Origin.Region = "south" }, safe(), TurnAttempt, "", "l-1"},
+		}, safe(), ActionAttempt, "", "l-1"},
+		{"one that was told of changes which it lacks declines", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.BehindMost - time.Millisecond }, safe(), ActionRefuse, "isolated", ""},
+		{"but not at once", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.BehindMost }, safe(), ActionAttempt, "", "l-1"},
+		{"a thawed proxy refreshes first", base(all...), func(s *Situation) { s.Local.ThawedAt = noon }, safe(), ActionPark, "", ""},
+		{"one that has not ticked is taken as frozen", base(all...), func(s *Situation) { s.Local.TickAt = noon - 2*time.Second }, safe(), ActionPark, "", ""},
+		{"an unknown service", base(all...), func(s *Situation) { s.Request.Service = "nobody" }, safe(), ActionRefuse, "unknown-entry", ""},
+		{"an unknown path", base(all...), func(s *Situation) { s.Request.Path = "/balance" }, safe(), ActionRefuse, "unknown-entry", ""},
+		{"a path is matched by whole parts", base(all...), func(s *Situation) { s.Request.Path = "/balancesheet" }, safe(), ActionRefuse, "unknown-entry", ""},
+		{"a method that the entry lacks", base(all...), func(s *Situation) { s.Request.Method = "POST" }, safe(), ActionRefuse, "bad-method", ""},
+		{"a slice that is not held is asked for", base(all...), func(s *Situation) { s.Local.IsFull = false }, safe(), ActionPark, "", ""},
+		{"another group's query is forwarded", base(all...), func(s *Situation) { s.Request.Origin.Region = "south" }, safe(), ActionAttempt, "", "l-1"},
 		{"to the group that the number names", func() *world {
 			w := base(all...)
 			w.put("", store.EncodeRow(store.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 			return w
-		}(), nil, safe(), TurnForward, "", ""},
+		}(), nil, safe(), ActionForward, "", ""},
 		{"but a forwarded one is never forwarded again", func() *world {
 			w := base(all...)
 			w.put("", store.EncodeRow(store.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 			return w
-		}(), func(s *Situation) { s.Request.Forwarded = failover.Trail{100}; s.Parked = constants.ParkMost }, safe(), TurnRefuse, "moved", ""},
-		{"a higher forwarded number waits for the image", base(all...), func(s *Situation) { s.Request.Forwarded = failover.Trail{200} }, safe(), TurnPark, "", ""},
-		{"an unsafe query is claimed first", base(all...), nil, unsafe(), TurnReserve, "", ""},
-		{"and then has its leg", base(all...), func(s *Situation) { s.IsReserved = true }, unsafe(), TurnAttempt, "", "l-1"},
-		{"it needs a live grant", base(all...), func(s *Situation) { s.Local.LeaseUntil = noon; s.IsReserved = true }, unsafe(), TurnPark, "", ""},
+		}(), func(s *Situation) { s.Request.Forwarded = failover.Trail{100}; s.Parked = constants.ParkMost }, safe(), ActionRefuse, "moved", ""},
+		{"a higher forwarded number waits for the image", base(all...), func(s *Situation) { s.Request.Forwarded = failover.Trail{200} }, safe(), ActionPark, "", ""},
+		{"an unsafe query is claimed first", base(all...), nil, unsafe(), ActionReserve, "", ""},
+		{"and then has its leg", base(all...), func(s *Situation) { s.IsReserved = true }, unsafe(), ActionAttempt, "", "l-1"},
+		{"it needs a live grant", base(all...), func(s *Situation) { s.Local.LeaseUntil = noon; s.IsReserved = true }, unsafe(), ActionPark, "", ""},
 		{"and an open fence", func() *world {
 			w := base(all...)
 			w.put("", store.EncodeRow(store.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Fenced: true}))
 			return w
-		}(), func(s *Situation) { s.IsReserved = true }, unsafe(), TurnPark, "", ""},
+		}(), func(s *Situation) { s.IsReserved = true }, unsafe(), ActionPark, "", ""},
 		{"an old fence is told at once, with when to come back", func() *world {
 			w := base(all...)
 			w.put("", store.EncodeRow(store.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Fenced: true}))
 			return w
 		}(), func(s *Situation) {
 			s.Local.Fences = map[string]time.Duration{store.EntityKey("ledger", "/pay"): noon - 2*time.Second}
-		}, unsafe(), TurnRefuse, "fenced", ""},
+		}, unsafe(), ActionRefuse, "fenced", ""},
 		{"an id that is older than its entry's move is doubtful", func() *world {
 			w := base(all...)
 			w.put("", store.EncodeRow(store.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Far: true}))
@@ -143,7 +143,7 @@
 		}(), func(s *Situation) {
 			s.FirstSent = noon - time.Minute
 			s.Local.Opened = map[string]time.Duration{store.EntityKey("ledger", "/pay"): noon - time.Second}
-		}, unsafe(), TurnRefuse, "attempt-old", ""},
+		}, unsafe(), ActionRefuse, "attempt-old", ""},
 		{"a younger one is claimed", func() *world {
 			w := base(all...)
 			w.put("", store.EncodeRow(store.EntityKey("ledger", "/pay"), &schema.Entity{Service: "ledger", Path: "/pay", Region: "north", Number: 201, Far: true}))
@@ -151,18 +151,18 @@
 		}(), func(s *Situation) {
 			s.FirstSent = noon - time.Second
 			s.Local.Opened = map[string]time.Duration{store.EntityKey("ledger", "/pay"): noon - time.Minute}
-		}, unsafe(), TurnReserve, "", ""},
-		{"a region's origin does not fit a bound entry", base(all...), func(s *Situation) { s.Request.Origin = failover.Origin{Region: "north"} }, unsafe(), TurnRefuse, "bad-origin", ""},
+		}, unsafe(), ActionReserve, "", ""},
+		{"a region's origin does not fit a bound entry", base(all...), func(s *Situation) { s.Request.Origin = failover.Origin{Region: "north"} }, unsafe(), ActionRefuse, "bad-origin", ""},
 		{"an emptied district serves nothing", func() *world {
 			w := base(all...)
 			w.put("", store.EncodeRow(store.ZoneKey("north-a"), &schema.Zone{Name: "north-a", Region: "north", Emptied: true}))
 			return w
-		}(), nil, safe(), TurnPark, "", ""},
+		}(), nil, safe(), ActionPark, "", ""},
 		{"a draining back end gets nothing", base(func() *schema.Backend {
 			b := backend("l-1", "north-a")
 			b.State = schema.BackendState_BACKEND_DRAINING
 			return b
-		}()), nil, safe(), TurnPark, "", ""},
+		}()), nil, safe(), ActionPark, "", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := Situation{Now: noon, Local: fresh(c.world.view()), Self: north, Request: c.request, Load: NewLoads(func() time.Duration { return noon }), Tried: map[string]bool{}, Left: time.Second, Draw: func(int64) int64 { return 0 }}
@@ -177,8 +177,8 @@
 			if d.Backend != nil {
 				chosen = d.Backend.Instance
 			}
-			if d.Turn != c.turn || kind != c.kind || chosen != c.chosen {
-				t.Fatalf("got turn %v kind %q back end %q, want %v %q %q", d.Turn, kind, chosen, c.turn, c.kind, c.chosen)
+			if d.Action != c.action || kind != c.kind || chosen != c.chosen {
+				t.Fatalf("got action %v kind %q back end %q, want %v %q %q", d.Action, kind, chosen, c.action, c.kind, c.chosen)
 			}
 		})
 	}
@@ -218,7 +218,7 @@
 					}
 					l.First(now, "s")
 					attempts = append(attempts, attempt{now, true})
-					if c.fails(second) && l.Repeat(now, "s", Part{rank, c.of}) {
+					if c.fails(second) && l.MayRepeat(now, "s", Part{rank, c.of}) {
 						attempts = append(attempts, attempt{now, false})
 						repeats++
 					}
@@ -247,7 +247,7 @@
 	firsts, repeats := 0, 0
 	for now := noon; now < noon+60*time.Second; now += 20 * time.Millisecond {
 		l.First(now, "s")
-		if firsts++; l.Repeat(now, "s", Part{0, 4}) {
+		if firsts++; l.MayRepeat(now, "s", Part{0, 4}) {
 			repeats++
 		}
 	}
@@ -262,7 +262,7 @@
 		l.First(noon+time.Duration(i)*time.Millisecond, "s")
 	}
 	repeats := 0
-	for l.Repeat(noon+time.Second, "s", Part{0, 5}) {
+	for l.MayRepeat(noon+time.Second, "s", Part{0, 5}) {
 		repeats++
 	}
 	if repeats != constants.RepeatAllowance/5 {
@@ -271,17 +271,17 @@
 	for range 10 {
 		l.First(noon, "edge")
 	}
-	if l.Repeat(noon+constants.RepeatWindow-constants.RepeatMargin/2, "edge", Part{15, 20}) {
+	if l.MayRepeat(noon+constants.RepeatWindow-constants.RepeatMargin/2, "edge", Part{15, 20}) {
 		t.Error("a repeat is paid for by first legs that leave the window before it arrives")
 	}
-	if l.Repeat(noon+constants.RepeatWindow+2*time.Second, "s", Part{0, 5}) != true || l.Repeat(noon+constants.RepeatWindow+time.Second, "nobody", Part{0, 5}) {
+	if l.MayRepeat(noon+constants.RepeatWindow+2*time.Second, "s", Part{0, 5}) != true || l.MayRepeat(noon+constants.RepeatWindow+time.Second, "nobody", Part{0, 5}) {
 		t.Error("the window does not slide, or a service without legs may repeat")
 	}
 	for _, of := range []int{1, 3, 7, 15} {
 		together := 0
 		for rank := range of {
 			quiet := NewLoads(func() time.Duration { return noon })
-			for quiet.First(noon, "quiet"); quiet.Repeat(noon, "quiet", Part{rank, of}); {
+			for quiet.First(noon, "quiet"); quiet.MayRepeat(noon, "quiet", Part{rank, of}); {
 				together++
 			}
 		}
@@ -325,7 +325,7 @@
 	h.Set(HeaderAttempt, r.Header.Get(HeaderAttempt))
 	h.Set(HeaderService, s.identity.Service)
 	h.Set(HeaderInstance, s.identity.Instance)
-	h.Set(HeaderDigest, Seal(body))
+	h.Set(HeaderDigest, ContentDigest(body))
 	switch s.mode {
 	case "garbage":
 		body = []byte("????")
@@ -337,7 +337,7 @@
 		h.Set("Content-Length", "500")
 	case "oversize":
 		body = []byte(strings.Repeat("x", 5000))
-		h.Set(HeaderDigest, Seal(body))
+		h.Set(HeaderDigest, ContentDigest(body))
 	case "lost":
 		panic(http.ErrAbortHandler)
 	case "unsealed":
@@ -364,7 +364,7 @@
 	view := base(backends...).view()
 	pool := NewPool("127.0.0.1:0")
 	t.Cleanup(func() { pool.Close() })
-	x := NewExecutor(Options{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Now: now, Pool: pool, Loads: NewLoads(now), Kept: NewKept(), Draw: func(int64) int64 { return 0 },
+	x := NewExecutor(Options{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Now: now, Pool: pool, Loads: NewLoads(now), Kept: NewResponseCache(), Draw: func(int64) int64 { return 0 },
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Want: func(string) {},
 		Local: func() *controlplane.Local {
 			l := fresh(view)
@@ -570,7 +570,7 @@
 }
 
 func TestKeptResultsAreBounded(t *testing.T) {
-	k := NewKept()
+	k := NewResponseCache()
 	o := sealed("x", "l-1", strings.Repeat("y", 30<<10))
 	total := 2 * constants.KeptBytes / len(o.Body)
 	for i := range total {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -1,9 +1,7 @@
-// Package proxy carries requests to back ends: a decider is asked, an executor obeys.
 package proxy
 
 import (
 	"crypto/sha256"
-	"encoding/json"
 	"fmt"
 	"net/http"
 	"regexp"
@@ -16,151 +14,133 @@
 	"topazshed/internal/failover"
 )
 
-// The headers of requests, attempts and responses.
 const (
-	HeaderAttempt   = "Topazshed-Attempt"
-	HeaderWait      = "Topazshed-Wait"
-	HeaderOrigin    = "Topazshed-Origin"
-	HeaderKey       = "Topazshed-Key"
-	HeaderAge       = "Topazshed-Age"
-	HeaderForwarded = "Topazshed-Forwarded"
-	HeaderOutcome   = "Topazshed-Outcome"
-	HeaderService   = "Topazshed-Service"
-	HeaderInstance  = "Topazshed-Instance"
-	HeaderNumber    = "Topazshed-Number"
-	HeaderSlot      = "Topazshed-Slot"
-	HeaderDigest    = "Content-Digest"
-	HeaderProxy     = "Topazshed-Proxy"
-)
-
-// The kinds of response that a caller is told.
-const (
-	ResultSealed    = "sealed"
-	ResultRefused   = "declined"
-	ResultAmbiguous = "doubtful"
+	// longestKey is the size of the longest key, in bytes.
+	longestKey = 200
+	// digestBytes is how much of a request's SHA-256 sum identifies it.
+	digestBytes = 16
 )
 
 // Request is a caller's request as it was read.
 type Request struct {
-	Service   string
-	Path      string
-	RawQuery  string
-	Method    string
-	Attempt   string
-	Wait      time.Duration
-	Age       time.Duration
+	Service  string
+	Path     string
+	RawQuery string
+	Method   string
+	// Attempt is the request's id.
+	Attempt string
+	// Wait is how long the caller waits, and Age how long ago it first sent the id, 0 if it does not say.
+	Wait time.Duration
+	Age  time.Duration
+	// Origin is what the request belongs to, OriginRaw the field as it was sent.
 	Origin    failover.Origin
 	OriginRaw string
 	Key       string
+	// Forwarded is the trail by which another proxy forwarded the request; it is empty for a caller's.
 	Forwarded failover.Trail
 	Header    http.Header
 	Body      []byte
-	Digest    []byte
-}
-
-// RefusalError is a final response that is not the back end's: refused surely did not run, doubtful may have run.
-type RefusalError struct {
-	Status     int
-	Kind       string
-	Message    string
-	Result     string
-	RetryAfter time.Duration
+	// Digest identifies what is asked; a reservation of the id is bound to it.
+	Digest []byte
 }
 
-func (e *RefusalError) Error() string { return e.Kind + ": " + e.Message }
+var attemptForm = sync.OnceValue(func() *regexp.Regexp { return regexp.MustCompile(`^[A-Za-z0-9_.:-]{8,64}$`) })
 
-type errorBody struct {
-	Kind    string `json:"kind"`
-	Message string `json:"message"`
-	Result  string `json:"outcome"`
-}
-
-func (e *RefusalError) describe() *Result {
-	body, err := json.Marshal(errorBody{e.Kind, e.Message, e.Result})
-	if err != nil {
-		body = []byte("{}")
+// ReadRequest reads what does not need the entry; the body follows once the entry is known.
+func ReadRequest(r *http.Request) (*Request, *RefusalError) {
+	q := &Request{Method: r.Method, RawQuery: r.URL.RawQuery, Header: r.Header}
+	if refusal := q.readPath(r.URL.EscapedPath()); refusal != nil {
+		return nil, refusal
+	}
+	if refusal := q.readAttempt(); refusal != nil {
+		return nil, refusal
+	}
+	if refusal := q.readTimes(); refusal != nil {
+		return nil, refusal
 	}
-	told := &Result{e.Status, http.Header{}, append(body, '\n')}
-	told.Header.Set("Content-Type", "application/json")
-	told.Header.Set(HeaderOutcome, e.Result)
-	if e.RetryAfter > 0 {
-		told.Header.Set("Retry-After", strconv.Itoa(max(1, int((e.RetryAfter+time.Second-1)/time.Second))))
+	if refusal := q.readOrigin(); refusal != nil {
+		return nil, refusal
 	}
-	return told
+	return q, nil
 }
 
-// Write gives the response to the caller.
-func (e *RefusalError) Write(w http.ResponseWriter) {
-	told := e.describe()
-	for name, values := range told.Header {
-		w.Header()[name] = values
-	}
-	w.WriteHeader(told.Status)
-	w.Write(told.Body)
+func (q *Request) readPath(escaped string) *RefusalError {
+	service, path, _ := strings.Cut(strings.TrimPrefix(escaped, "/"), "/")
+	q.Service = service
+	q.Path = "/" + path
+	if service == "" {
+		return newRefusal(http.StatusNotFound, "no-service", "the path names no service; use /SERVICE/PATH")
+	}
+	if !isPlainPath(q.Path) {
+		return newRefusal(http.StatusBadRequest, "bad-path", "the path has empty or dotted parts; send it in its plain form")
+	}
+	return nil
 }
 
-func newRefusal(status int, kind, form string, args ...any) *RefusalError {
-	return &RefusalError{Status: status, Kind: kind, Message: fmt.Sprintf(form, args...), Result: ResultRefused}
+// isPlainPath tells that a path has no empty or dotted parts, nor escapes that could hide one.
+func isPlainPath(path string) bool {
+	if strings.Contains(path, "//") || strings.Contains(path, "/.") {
+		return false
+	}
+	lower := strings.ToLower(path)
+	return !strings.Contains(lower, "%2e") && !strings.Contains(lower, "%2f")
 }
 
-func newRefusalLater(kind, form string, args ...any) *RefusalError {
-	e := newRefusal(http.StatusServiceUnavailable, kind, form, args...)
-	e.RetryAfter = constants.RetryAfter
-	return e
+func (q *Request) readAttempt() *RefusalError {
+	q.Attempt = q.Header.Get(HeaderAttempt)
+	if !attemptForm().MatchString(q.Attempt) || len(q.Header.Values(HeaderAttempt)) != 1 {
+		return newRefusal(http.StatusBadRequest, "bad-attempt", "send one %s of 8 to 64 letters, digits or _ . : -", HeaderAttempt)
+	}
+	return nil
 }
 
-var compileAttemptForm = sync.OnceValue(func() *regexp.Regexp { return regexp.MustCompile(`^[A-Za-z0-9_.:-]{8,64}$`) })
-
-// ReadRequest reads what does not need the entry; the body follows once the entry is known.
-func ReadRequest(r *http.Request) (*Request, *RefusalError) {
-	q := &Request{Method: r.Method, RawQuery: r.URL.RawQuery, Header: r.Header}
-	service, path, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
-	q.Service, q.Path = service, "/"+path
-	if service == "" {
-		return nil, newRefusal(http.StatusNotFound, "no-service", "the path names no service; use /SERVICE/PATH")
-	}
-	if strings.Contains(q.Path, "//") || strings.Contains(q.Path, "/.") || strings.Contains(strings.ToLower(q.Path), "%2e") || strings.Contains(strings.ToLower(q.Path), "%2f") {
-		return nil, newRefusal(http.StatusBadRequest, "bad-path", "the path has empty or dotted parts; send it in its plain form")
-	}
-	q.Attempt = r.Header.Get(HeaderAttempt)
-	if !compileAttemptForm().MatchString(q.Attempt) || len(r.Header.Values(HeaderAttempt)) != 1 {
-		return nil, newRefusal(http.StatusBadRequest, "bad-attempt", "send one %s of 8 to 64 letters, digits or _ . : -", HeaderAttempt)
-	}
-	wait, err := strconv.Atoi(r.Header.Get(HeaderWait))
+func (q *Request) readTimes() *RefusalError {
+	wait, err := strconv.Atoi(q.Header.Get(HeaderWait))
 	if err != nil || wait < 1 || time.Duration(wait)*time.Millisecond > constants.WaitMost {
-		return nil, newRefusal(http.StatusBadRequest, "bad-wait", "send %s in milliseconds, from 1 to %d", HeaderWait, constants.WaitMost.Milliseconds())
+		return newRefusal(http.StatusBadRequest, "bad-wait", "send %s in milliseconds, from 1 to %d", HeaderWait, constants.WaitMost.Milliseconds())
 	}
 	q.Wait = time.Duration(wait) * time.Millisecond
-	if text := r.Header.Get(HeaderAge); text != "" {
-		age, err := strconv.ParseInt(text, 10, 64)
-		if err != nil || age < 0 || age > constants.AgeMost.Milliseconds() {
-			return nil, newRefusal(http.StatusBadRequest, "bad-age", "send %s in milliseconds since the first sending whose outcome you do not know, at most %d, or leave it out", HeaderAge, constants.AgeMost.Milliseconds())
-		}
-		q.Age = time.Duration(age) * time.Millisecond
-	}
-	q.OriginRaw = r.Header.Get(HeaderOrigin)
+	text := q.Header.Get(HeaderAge)
+	if text == "" {
+		return nil
+	}
+	age, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || age < 0 || age > constants.AgeMost.Milliseconds() {
+		return newRefusal(http.StatusBadRequest, "bad-age",
+			"send %s in milliseconds since the first sending whose result you do not know, at most %d, or leave it out", HeaderAge, constants.AgeMost.Milliseconds())
+	}
+	q.Age = time.Duration(age) * time.Millisecond
+	return nil
+}
+
+func (q *Request) readOrigin() *RefusalError {
+	var err error
+	q.OriginRaw = q.Header.Get(HeaderOrigin)
 	q.Origin, err = failover.ParseOrigin(q.OriginRaw)
 	if err != nil {
-		return nil, newRefusal(http.StatusBadRequest, "bad-origin", "%v", err)
+		return newRefusal(http.StatusBadRequest, "bad-origin", "%v", err)
 	}
-	q.Key = r.Header.Get(HeaderKey)
-	if len(q.Key) > 200 {
-		return nil, newRefusal(http.StatusBadRequest, "bad-key", "%s has more than 200 bytes; send a shorter key", HeaderKey)
+	q.Key = q.Header.Get(HeaderKey)
+	if len(q.Key) > longestKey {
+		return newRefusal(http.StatusBadRequest, "bad-key", "%s has more than %d bytes; send a shorter key", HeaderKey, longestKey)
 	}
-	if text := r.Header.Get(HeaderForwarded); text != "" {
-		if q.Forwarded, err = failover.ParseTrail(text); err != nil {
-			return nil, newRefusal(http.StatusBadRequest, "bad-forward", "%s is for proxies only; leave it out", HeaderForwarded)
-		}
+	text := q.Header.Get(HeaderForwarded)
+	if text == "" {
+		return nil
 	}
-	return q, nil
+	q.Forwarded, err = failover.ParseTrail(text)
+	if err != nil {
+		return newRefusal(http.StatusBadRequest, "bad-forward", "%s is for proxies only; leave it out", HeaderForwarded)
+	}
+	return nil
 }
 
-// Seal fixes the digest of the request, which a reservation is bound to.
-func (q *Request) Seal() {
+// SetDigest fixes the digest of the request, which a reservation is bound to.
+func (q *Request) SetDigest() {
 	sum := sha256.New()
 	for _, part := range []string{q.Method, q.Service, q.Path, q.RawQuery, q.Key} {
 		fmt.Fprintf(sum, "%d:%s", len(part), part)
 	}
 	sum.Write(q.Body)
-	q.Digest = sum.Sum(nil)[:16]
+	q.Digest = sum.Sum(nil)[:digestBytes]
 }
--- a/internal/proxy/request_machine_test.go
+++ b/internal/proxy/request_machine_test.go
@@ -19,7 +19,7 @@
 	o.Header.Set(HeaderAttempt, attempt)
 	o.Header.Set(HeaderService, "ledger")
 	o.Header.Set(HeaderInstance, instance)
-	o.Header.Set(HeaderDigest, Seal(o.Body))
+	o.Header.Set(HeaderDigest, ContentDigest(o.Body))
 	return o
 }
 
@@ -39,7 +39,7 @@
 	heldBy := func(owner string) Event {
 		return Event{Kind: EventReserved, Reserved: &schema.ReservationResponse{State: schema.ReservationState_RESERVATION_HELD, Owner: owner}}
 	}
-	elsewhereKept := NewKept()
+	elsewhereKept := NewResponseCache()
 	elsewhereKept.Put(noon, &Request{Attempt: "attempt-1", Digest: []byte("d")}, sealed("attempt-1", "l-1", "before"))
 	again := Event{Kind: EventReplayed, Replayed: elsewhereKept.Replay(&schema.ReplayRequest{Attempt: "attempt-1", Digest: []byte("d")})}
 	torn := Event{Kind: EventReplayed, Replayed: &schema.ReplayResponse{Kept: true, Status: 200, Header: again.Replayed.Header, Body: []byte("bef")}}
@@ -83,8 +83,8 @@
 			if c.change != nil {
 				c.change(local)
 			}
-			loads, kept := NewLoads(func() time.Duration { return noon }), NewKept()
-			q.Seal()
+			loads, kept := NewLoads(func() time.Duration { return noon }), NewResponseCache()
+			q.SetDigest()
 			kept.Put(noon, &Request{Attempt: q.Attempt, Digest: append([]byte{c.other}, q.Digest[1:]...)}, sealed("attempt-1", "l-1", "before"))
 			if c.other == 0 {
 				kept.Put(noon, q, sealed("attempt-1", "l-1", "before"))
@@ -101,7 +101,7 @@
 			}
 			result := ""
 			if last.Kind == OrderReply {
-				result = Tell("self", q.Attempt, last.Result, last.Fault).Header.Get(HeaderOutcome)
+				result = CallerResult("self", q.Attempt, last.Result, last.Fault).Header.Get(HeaderOutcome)
 			}
 			if got := strings.Join(kinds, " "); got != c.orders || result != c.result {
 				t.Fatalf("orders %q outcome %q, want %q %q (%v)", got, result, c.orders, c.result, last.Fault)
@@ -133,21 +133,21 @@
 			w.put("", store.EncodeRow(store.EntityKey("ledger", "/keyed"), &schema.Entity{Service: "ledger", Path: "/keyed", Region: "north", Number: 101}))
 			w.put("", store.EncodeRow(store.ShardSlotKey("ledger", Slot("k")), &schema.ShardSlot{Service: "ledger", Slot: Slot("k"), Instance: "l-1", Number: 1}))
 			now := noon
-			loads, kept := NewLoads(func() time.Duration { return now }), NewKept()
+			loads, kept := NewLoads(func() time.Duration { return now }), NewResponseCache()
 			local := fresh(w.view())
 			q := &Request{Service: "ledger", Path: "/keyed", Method: "GET", Key: "k", Attempt: "attempt-1", Wait: time.Second, Origin: failover.Origin{Service: "ledger", Path: "/keyed"}}
 			machine := NewRequestMachine(RequestOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Request: q, Begun: noon})
 			for _, e := range []Event{{Kind: EventBegun}, {Kind: EventConnected}} {
 				machine.Next(now, local, e)
 			}
-			if loads.Floor() != uint64(local.View.Version) {
-				t.Fatalf("a leg in flight has floor %d", loads.Floor())
+			if loads.OldestVersion() != uint64(local.View.Version) {
+				t.Fatalf("a leg in flight has oldest version %d", loads.OldestVersion())
 			}
 			machine.Next(now, local, c.event)
-			if isRunning := loads.Floor() != 0; isRunning != c.isRunning {
+			if isRunning := loads.OldestVersion() != 0; isRunning != c.isRunning {
 				t.Fatalf("running %v, want %v", isRunning, c.isRunning)
 			}
-			if now += constants.KeyedAfterglow; loads.Floor() != 0 {
+			if now += constants.KeyedAfterglow; loads.OldestVersion() != 0 {
 				t.Error("it still runs after the afterglow")
 			}
 		})
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -60,7 +60,7 @@
 	driver    *controlplane.Driver
 	replica   *idempotency.Replica
 	loads     *proxy.Loads
-	kept      *proxy.Kept
+	kept      *proxy.ResponseCache
 	rate      float64
 	offset    time.Duration
 	frozen    time.Duration
@@ -260,7 +260,7 @@
 	}
 	n.replica = idempotency.NewReplica(n.ident, options.Restart)
 	n.loads = proxy.NewLoads(func() time.Duration { return f.clock(n) })
-	n.kept = proxy.NewKept()
+	n.kept = proxy.NewResponseCache()
 	n.fails = map[string]int{}
 	n.calls = map[uint64]func(*schema.Frame){}
 	n.core = controlplane.New(f.clock(n), options)
@@ -281,7 +281,7 @@
 			number, isMember, isReady, _ := n.replica.State()
 			n.core.SetReservationReplica(number, isMember && isReady)
 			if f.Options.Fault != "keys" {
-				n.core.SetOldestIndex(n.loads.Floor())
+				n.core.SetOldestIndex(n.loads.OldestVersion())
 			}
 		}}
 	f.tick(n, boot)
--- a/internal/sim/traffic.go
+++ b/internal/sim/traffic.go
@@ -100,10 +100,10 @@
 	f.on(n, n.Boot, func() {
 		q, fault := proxy.ReadRequest(r)
 		if fault != nil {
-			respond(proxy.Tell(n.ident, r.Header.Get(proxy.HeaderAttempt), nil, fault), "")
+			respond(proxy.CallerResult(n.ident, r.Header.Get(proxy.HeaderAttempt), nil, fault), "")
 			return
 		}
-		q.Seal()
+		q.SetDigest()
 		n.serial++
 		c := &carried{fleet: f, node: n, boot: n.Boot, id: n.serial, request: q, respond: respond}
 		c.machine = proxy.NewRequestMachine(proxy.RequestOptions{Self: &schema.Node{Id: n.ident, Zone: n.Zone, Region: n.Region}, Loads: n.loads, Kept: n.kept, Draw: n.random.Int63n, Request: q,
@@ -152,7 +152,7 @@
 		if order.Fault != nil {
 			f.Counts[order.Fault.Result+" "+order.Fault.Kind]++
 		}
-		c.answer(proxy.Tell(n.ident, c.request.Attempt, order.Result, order.Fault), "")
+		c.answer(proxy.CallerResult(n.ident, c.request.Attempt, order.Result, order.Fault), "")
 	case proxy.OrderWait:
 		if order.Wanted != "" {
 			n.core.Want(f.clock(n), order.Wanted)
@@ -449,7 +449,7 @@
 		if o != nil {
 			r.Status, r.Result = o.Status, o.Header.Get(proxy.HeaderOutcome)
 			if r.Result == proxy.ResultSealed {
-				if r.Digest = proxy.Seal(o.Body); o.Header.Get(proxy.HeaderAttempt) != a.Attempt || o.Status == http.StatusOK && !strings.Contains(string(o.Body), `"attempt":"`+a.Attempt+`"`) {
+				if r.Digest = proxy.ContentDigest(o.Body); o.Header.Get(proxy.HeaderAttempt) != a.Attempt || o.Status == http.StatusOK && !strings.Contains(string(o.Body), `"attempt":"`+a.Attempt+`"`) {
 					r.Digest = "not for this attempt"
 				}
 			} else if _, text, isCut := strings.Cut(string(o.Body), `"kind":"`); isCut {
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -180,7 +180,7 @@
 			return
 		}
 		o := &proxy.Result{Status: status, Body: []byte(text), Header: http.Header{}}
-		a.Digest = proxy.Seal(o.Body)
+		a.Digest = proxy.ContentDigest(o.Body)
 		o.Header.Set(proxy.HeaderAttempt, a.Attempt)
 		o.Header.Set(proxy.HeaderService, b.Service)
 		o.Header.Set(proxy.HeaderInstance, b.Instance)
@@ -200,11 +200,11 @@
 		case ModeForeign:
 			o.Body = []byte(strings.ReplaceAll(text, a.Attempt, "someone-elses"))
 			o.Header.Set(proxy.HeaderAttempt, "someone-elses")
-			o.Header.Set(proxy.HeaderDigest, proxy.Seal(o.Body))
+			o.Header.Set(proxy.HeaderDigest, proxy.ContentDigest(o.Body))
 		}
 		if f.Options.Fault == "seal" && e.Result != nil {
 			o.Header.Set(proxy.HeaderAttempt, a.Attempt)
-			o.Header.Set(proxy.HeaderDigest, proxy.Seal(o.Body))
+			o.Header.Set(proxy.HeaderDigest, proxy.ContentDigest(o.Body))
 		}
 		f.after(500*time.Microsecond, func() {
 			if !f.cuts[[2]string{b.Instance, from.Name}] {
