--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -2,7 +2,6 @@
 package controlplane
 
 import (
-	"fmt"
 	"log/slog"
 	"maps"
 	"slices"
@@ -11,6 +10,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"topazshed/internal/bootstrap"
 	"topazshed/internal/constants"
 	"topazshed/internal/discovery"
 	"topazshed/internal/failover"
@@ -112,11 +112,11 @@
 	timing             timing.Timing
 	log                *slog.Logger
 	self               *schema.Node
-	system             string
 	quorum             *raft.Node
 	table              *store.Table
 	view               *store.View
 	peerSampler        *membership.Sampler
+	bootstrap          *bootstrap.Machine
 	endpoints          *discovery.Endpoints
 	effects            Effects
 	now                time.Duration
@@ -138,11 +138,6 @@
 	releasedAt         map[uint64]time.Duration
 	operations         *operations.Manager
 	staleResponses     uint64
-	whoAt              time.Duration
-	askedSeeds         int
-	seeds              map[string]time.Duration
-	empties            map[string]bool
-	emptySince         time.Duration
 	listAt             time.Duration
 	listFault          string
 	listRead           *discovery.ListRead
@@ -165,9 +160,9 @@
 	changes            []*schema.FailoverChange
 	speaks             protocolversion.Span
 	refused            error
-	risingTo           uint32
+	risingTo           protocolversion.Version
 	risingFrom         time.Duration
-	proposed           uint32
+	proposed           protocolversion.Version
 	refusedNodes       map[string]uint64
 }
 
@@ -177,14 +172,11 @@
 		options:      options,
 		log:          options.Log,
 		self:         proto.Clone(options.Self).(*schema.Node),
-		system:       options.System,
 		table:        store.NewTable(),
 		view:         store.NewView(),
-		endpoints:    discovery.New(),
+		endpoints:    discovery.NewEndpoints(),
 		nodes:        map[string]*nodeRecord{},
 		releasedAt:   map[uint64]time.Duration{},
-		seeds:        map[string]time.Duration{},
-		empties:      map[string]bool{},
 		peers:        map[string]time.Duration{},
 		verdicts:     map[uint64]string{},
 		fences:       map[string]time.Duration{},
@@ -205,11 +197,12 @@
 	c.subscription = c.newSubscription(c.firstSerial())
 	c.publisher = replication.NewPublisher(c.table, c.timing.DeltaInterval)
 	c.peerSampler = membership.New(membership.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Pace: c.timing.Sampler})
+	c.bootstrap = c.newBootstrap()
 	if options.Self.Disk {
 		if options.Snapshot != nil {
 			c.table.Restore(options.Snapshot)
 		}
-		c.quorum = raft.New(now, raft.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Snapshot: options.Snapshot, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.timing.Raft})
+		c.quorum = raft.New(now, raft.Options{ID: c.self.Id, HardState: c.restored(options.Hard), Snapshot: options.Snapshot, Entries: options.Items, Draw: options.Draw, TakeSnapshot: c.Whole, Timing: c.timing.Raft})
 		c.proposals = proposals.New(c.quorum, c.table)
 	}
 	c.operations = newOperations(c)
@@ -229,13 +222,13 @@
 // Whole gives the snapshot at the applied index, for a follower or for the disk.
 func (c *Machine) Whole() *schema.Snapshot {
 	whole := c.table.Whole()
-	c.quorum.Describe(whole)
+	c.quorum.DescribeSnapshot(whole)
 	whole.Version = c.shownFleet()
 	return whole
 }
 
 // IsLeading tells whether this node leads and has settled.
-func (c *Machine) IsLeading() bool { return c.quorum != nil && c.quorum.Settled() }
+func (c *Machine) IsLeading() bool { return c.quorum != nil && c.quorum.HasCommittedInTerm() }
 
 func (c *Machine) isFull() bool {
 	return c.quorum != nil && (c.quorum.IsVoter(c.self.Id) || slices.ContainsFunc(c.quorum.Members().Learners, func(m *schema.Member) bool { return m.Id == c.self.Id }))
@@ -245,7 +238,7 @@
 	if to == "" || to == c.self.Address {
 		return
 	}
-	frame.System, frame.From, frame.Address = c.system, c.self.Id, c.self.Address
+	frame.System, frame.From, frame.Address = c.bootstrap.System(), c.self.Id, c.self.Address
 	c.effects.Sends = append(c.effects.Sends, Send{to, frame})
 }
 
@@ -269,6 +262,7 @@
 	c.options.Seeds = slices.Clone(seeds)
 	c.peerSampler.SetSeeds(c.options.Seeds)
 	c.subscription.SetSeeds(c.options.Seeds)
+	c.bootstrap.SetSeeds(c.options.Seeds)
 	c.log.Info("other seeds are asked from now on", "seeds", seeds)
 }
 
@@ -292,7 +286,7 @@
 	c.self.Incarnation++
 	c.sendHeartbeat()
 	if c.quorum != nil && c.quorum.Role() == raft.Leader {
-		c.quorum.Handover(now)
+		c.quorum.TransferLeadership(now)
 	}
 }
 
@@ -318,7 +312,7 @@
 // SlowDisk tells that a sync took too long or failed; a leader hands over.
 func (c *Machine) SlowDisk(now time.Duration) {
 	if c.quorum != nil && c.quorum.Role() == raft.Leader {
-		c.quorum.Handover(now)
+		c.quorum.TransferLeadership(now)
 	}
 }
 
@@ -328,7 +322,7 @@
 	if c.refused != nil {
 		return
 	}
-	if f.System != "" && c.system != "" && f.System != c.system {
+	if f.System != "" && c.bootstrap.System() != "" && f.System != c.bootstrap.System() {
 		c.log.Warn("frame of another system declined", "from", f.From, "system", f.System)
 		return
 	}
@@ -338,17 +332,17 @@
 	}
 	switch body := f.Body.(type) {
 	case *schema.Frame_Raft:
-		if c.quorum == nil || c.system != "" && f.System == "" {
+		if c.quorum == nil || c.bootstrap.System() != "" && f.System == "" {
 			return
 		}
-		if c.system == "" && isFromLeader(body.Raft.Kind) {
-			c.adopt(f.System)
+		if isFromLeader(body.Raft.Kind) {
+			c.bootstrap.Adopt(f.System)
 		}
-		if c.system == "" {
+		if c.bootstrap.System() == "" {
 			return
 		}
 		c.addresses[f.From] = f.Address
-		c.quorum.Receive(now, body.Raft)
+		c.quorum.Step(now, body.Raft)
 		if c.quorum.LeaderID() == f.From {
 			c.leader, c.leaderAt = f.Address, now
 			if body.Raft.Kind == schema.RaftKind_RAFT_APPEND {
@@ -357,35 +351,22 @@
 		}
 	case *schema.Frame_DiscoverRequest:
 		c.peerSampler.Learn(body.DiscoverRequest.Node)
-		c.send(f.Address, &schema.Frame{Body: &schema.Frame_DiscoverResponse{DiscoverResponse: &schema.DiscoverResponse{System: c.system, Leader: c.leader,
-			Nodes: c.introduce(body.DiscoverRequest.Node), Founding: c.options.Restart, Disk: c.self.Disk, Founder: c.nominate(), FleetVersion: c.shownFleet()}}})
+		c.answerDiscovery(f.Address, body.DiscoverRequest)
 	case *schema.Frame_DiscoverResponse:
-		if c.guard(body.DiscoverResponse.FleetVersion) != nil {
+		if c.guard(protocolversion.Version(body.DiscoverResponse.FleetVersion)) != nil {
 			return
 		}
 		c.peerSampler.Learn(body.DiscoverResponse.Nodes...)
-		c.seeds[f.Address] = now
-		c.empties[f.Address] = body.DiscoverResponse.System == ""
-		if c.routed != nil {
-			c.routed.disks[f.Address] = body.DiscoverResponse.Disk
-			if body.DiscoverResponse.Founder != "" && f.Address == slices.Min(c.options.Seeds) {
-				c.routed.founder = body.DiscoverResponse.Founder
-			}
-		}
-		if c.system == "" && body.DiscoverResponse.System != "" {
-			c.adopt(body.DiscoverResponse.System)
-		}
+		c.bootstrap.TakeAnswer(now, f.Address, body.DiscoverResponse)
 		if c.leader == "" {
 			c.leader = body.DiscoverResponse.Leader
 		}
 	case *schema.Frame_Shuffle:
 		for _, s := range c.peerSampler.Shuffle(f.Address, body.Shuffle) {
-			s.Frame.GetShuffle().System, s.Frame.GetShuffle().Leader = c.system, c.leader
+			s.Frame.GetShuffle().System, s.Frame.GetShuffle().Leader = c.bootstrap.System(), c.leader
 			c.send(s.To, s.Frame)
 		}
-		if c.system == "" && body.Shuffle.System != "" {
-			c.adopt(body.Shuffle.System)
-		}
+		c.bootstrap.Adopt(body.Shuffle.System)
 		if c.leader == "" || now-c.leaderAt > constants.NodeLostAfter && body.Shuffle.Leader != "" {
 			c.leader = body.Shuffle.Leader
 		}
@@ -426,14 +407,6 @@
 	return false
 }
 
-func (c *Machine) adopt(system string) {
-	if system == "" || c.system != "" {
-		return
-	}
-	c.system = system
-	c.log.Info("system adopted", "system", system)
-}
-
 // Tick tells the time; the shell calls it every constants.Tick, in a routed fleet every constants.RoutedTick.
 func (c *Machine) Tick(now time.Duration) {
 	c.now = now
@@ -447,12 +420,12 @@
 	c.tickedAt = now
 	for _, s := range c.peerSampler.Tick(now) {
 		if shuffle := s.Frame.GetShuffle(); shuffle != nil {
-			shuffle.System, shuffle.Leader = c.system, c.leader
+			shuffle.System, shuffle.Leader = c.bootstrap.System(), c.leader
 		}
 		c.send(s.To, s.Frame)
 	}
-	if c.system == "" {
-		c.found()
+	if c.bootstrap.System() == "" {
+		c.findSystem()
 		return
 	}
 	if c.quorum != nil {
@@ -463,8 +436,8 @@
 	if now-c.heartbeatAt >= c.timing.HeartbeatInterval {
 		c.sendHeartbeat()
 	}
-	c.seekSystem()
 	if c.quorum == nil {
+		c.seekMembers()
 		c.sendAll(c.subscription.Tick(now))
 	}
 	c.publishDeltas()
@@ -474,55 +447,8 @@
 	}
 }
 
-// asked are the nodes to ask for a system now. Seeds and machines with a disk must hear all seeds to found one; the others ask one seed
-// after another where nothing can have been founded before, all of them where something was; and each asks one more node that it knows.
-func (c *Machine) asked() []string {
-	seeds := c.options.Seeds
-	if c.quorum == nil && !c.options.Rejoin && !slices.Contains(seeds, c.self.Address) {
-		c.askedSeeds++
-		seeds = seeds[c.askedSeeds%len(seeds):][:1]
-	}
-	others := slices.DeleteFunc(c.peerSampler.Known(), func(node *schema.Node) bool { return slices.Contains(c.options.Seeds, node.Address) })
-	if len(others) == 0 {
-		return seeds
-	}
-	return append(slices.Clone(seeds), others[c.options.Draw(int64(len(others)))].Address)
-}
-
-func (c *Machine) found() {
-	if c.now-c.whoAt >= constants.WhoEvery {
-		c.whoAt = c.now
-		for _, address := range c.asked() {
-			c.send(address, &schema.Frame{Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: c.peerSampler.Self()}}})
-		}
-	}
-	if c.quorum == nil || c.quorum.Last() > 0 || c.options.Rejoin || c.options.Hard.GetId() != "" && c.options.Restart {
-		return
-	}
-	seeds := slices.Sorted(slices.Values(c.options.Seeds))
-	if !c.isFounder(seeds) {
-		return
-	}
-	for _, seed := range seeds {
-		if seed != c.self.Address && (!c.empties[seed] || c.now-c.seeds[seed] > 2*constants.WhoEvery) {
-			c.emptySince = 0
-			return
-		}
-	}
-	if c.emptySince == 0 {
-		c.emptySince = c.now
-	}
-	if c.now-c.emptySince < constants.FoundSettle {
-		return
-	}
-	c.system = fmt.Sprintf("%s-%08x", c.self.Id, c.options.Draw(1<<32))
-	c.log.Info("system founded", "system", c.system)
-	c.quorum.Found(c.now, &schema.Record{Kind: schema.RecordKind_RECORD_MEMBERS,
-		Members: &schema.Members{Voters: []*schema.Member{{Id: c.self.Id, Address: c.self.Address, Zone: c.self.Zone}}}, Reason: "founding"})
-}
-
 func (c *Machine) sendHeartbeat() {
-	if c.system == "" {
+	if c.bootstrap.System() == "" {
 		return
 	}
 	c.heartbeatAt = c.now
@@ -575,7 +501,7 @@
 		row := c.view.Nodes[b.Node.Id]
 		isKnown := row != nil && row.State != schema.NodeState_NODE_LOST && b.Node.State == row.State
 		if isKnown {
-			left := c.quorum.Contact() + constants.LeaseDuration - c.now
+			left := c.quorum.LeadershipConfirmedAt() + constants.LeaseDuration - c.now
 			if left > 0 && b.Version >= c.newestFence() {
 				response.LeaseMs = uint32(left.Milliseconds())
 				g.until = c.now + left + constants.LeaseClockMargin
@@ -623,9 +549,7 @@
 		c.heartbeatAt = 0
 	}
 	c.noteFences(changed)
-	if c.system == "" && c.view.System != "" {
-		c.system = c.view.System
-	}
+	c.bootstrap.Adopt(c.view.System)
 }
 
 func (c *Machine) noteFences(changed []*schema.Row) {
@@ -669,13 +593,13 @@
 // Local gives what the hot path may rely on now.
 func (c *Machine) Local() *Local {
 	l := &Local{View: c.view, HeldPrefixes: c.subscription.Held(), IsFull: c.isFull(), FreshAt: c.rowsFreshAt(), LeaseUntil: c.leaseUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
-		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
+		Leader: c.leader, System: c.bootstrap.System(), ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
 		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader",
 		StaleResponses: c.staleResponses + c.heartbeats.Stale() + c.subscription.StaleResponses() + c.operations.StaleResponses()}
 	if c.quorum != nil {
-		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), uint64(c.quorum.Term()), uint64(c.quorum.Commit()), c.quorum.Members(), uint64(c.quorum.First())
+		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), uint64(c.quorum.Term()), uint64(c.quorum.CommitIndex()), c.quorum.Members(), uint64(c.quorum.SnapshotIndex())
 		if c.quorum.Role() == raft.Leader {
-			l.FreshAt = c.quorum.Contact()
+			l.FreshAt = c.quorum.LeadershipConfirmedAt()
 		}
 	}
 	if c.routed != nil {
@@ -707,7 +631,7 @@
 	}
 	effects := c.effects
 	c.effects = Effects{}
-	if c.quorum != nil && c.system != "" {
+	if c.quorum != nil && c.bootstrap.System() != "" {
 		effects.Quorum = c.quorum.Take()
 		for _, m := range effects.Quorum.Messages {
 			before := len(c.effects.Sends)
@@ -715,12 +639,12 @@
 			effects.Sends = append(effects.Sends, c.effects.Sends[before:]...)
 			c.effects.Sends = c.effects.Sends[:before]
 		}
-		if effects.Quorum.Hard != nil {
-			effects.Hard = proto.Clone(effects.Quorum.Hard).(*schema.HardState)
-			effects.Hard.Id, effects.Hard.System, effects.Hard.Version = c.self.Id, c.system, c.shownFleet()
+		if effects.Quorum.HardState != nil {
+			effects.Hard = proto.Clone(effects.Quorum.HardState).(*schema.HardState)
+			effects.Hard.Id, effects.Hard.System, effects.Hard.Version = c.self.Id, c.bootstrap.System(), c.shownFleet()
 		}
 	}
-	effects.IsWork = effects.Hard != nil || len(effects.Quorum.Items) > 0 || effects.Quorum.Snapshot != nil || len(effects.Sends) > 0 || len(effects.Responses) > 0 || len(effects.Calls) > 0 ||
+	effects.IsWork = effects.Hard != nil || len(effects.Quorum.Entries) > 0 || effects.Quorum.Snapshot != nil || len(effects.Sends) > 0 || len(effects.Responses) > 0 || len(effects.Calls) > 0 ||
 		len(effects.Quorum.Reads) > 0 || len(effects.Quorum.LostReads) > 0
 	return effects
 }
