--- /dev/null
+++ b/internal/leader/endpoints.go
@@ -0,0 +1,62 @@
+package leader
+
+import (
+	"topazshed/internal/discovery"
+	"topazshed/internal/schema"
+)
+
+// entryEndpoints keeps the rows of back ends of a fleet of entries in line with the platform's list and with the nodes' probes.
+type entryEndpoints struct {
+	list *discovery.Endpoints
+	// read is the newest read of the list that is not planned on yet, or nil.
+	read *discovery.ListRead
+}
+
+func newEntryEndpoints() *entryEndpoints { return &entryEndpoints{list: discovery.New()} }
+
+func (e *entryEndpoints) plan(t *turn) {
+	read := e.read
+	e.read = nil
+	record := e.list.Plan(t.Now, t.View, t.Table, read)
+	if t.propose(record) {
+		t.logger.Info("back ends change", "rows", len(record.Rows))
+	}
+}
+
+// routeEndpoints keeps the rows of back ends of a fleet of routes in line with the platform's list, and ejects outliers.
+type routeEndpoints struct {
+	watch         *discovery.Watch
+	outlierQuorum *discovery.OutlierQuorum
+	coldRate      func(*schema.ServicePolicy) int
+	// listing is the newest read of the list that is not planned on yet, or nil.
+	listing *discovery.Listing
+}
+
+func newRouteEndpoints(options *RouteOptions) *routeEndpoints {
+	return &routeEndpoints{
+		watch:         discovery.NewWatch(options.ListLag),
+		outlierQuorum: discovery.NewOutlierQuorum(),
+		coldRate:      options.ColdRate,
+	}
+}
+
+func (e *routeEndpoints) plan(t *turn) {
+	e.planListed(t)
+	record := e.outlierQuorum.Plan(t.Now, t.View, t.Table)
+	if t.propose(record) {
+		t.logger.Info("back ends are ejected or taken back", "rows", len(record.Rows))
+	}
+}
+
+// planListed plans on a listing until a record that follows from it is proposed, or none does.
+func (e *routeEndpoints) planListed(t *turn) {
+	record := e.watch.Plan(discovery.WatchFacts{Now: t.Now, View: t.View, Table: t.Table, Listing: e.listing, ColdRate: e.coldRate})
+	if record == nil {
+		e.listing = nil
+		return
+	}
+	if t.propose(record) {
+		e.listing = nil
+		t.logger.Info("back ends change", "rows", len(record.Rows))
+	}
+}
