--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -51,14 +51,6 @@
 	}
 }
 
-// sign tells in a record who makes it and when, by the time of day at this machine.
-func (c *Machine) sign(record *schema.Record) {
-	record.Leader = c.self.Id
-	if !c.options.Epoch.IsZero() {
-		record.AtMs = c.options.Epoch.Add(c.now).UnixMilli()
-	}
-}
-
 // reports are what this leader heard last from each node; a configuration is in force where its row's index was reached.
 func (c *Machine) reports() []*schema.NodeReport {
 	head := c.table.Get(store.HeadKey).GetIndex()
@@ -67,8 +59,8 @@
 		report := &schema.NodeReport{Id: id, NeverHeard: true}
 		if id == c.self.Id {
 			report.Index, report.NeverHeard = c.table.Version(), false
-		} else if g := c.nodes[id]; g != nil && g.heard > 0 {
-			report.Index, report.HeardMs, report.NeverHeard = g.version, uint32((c.now - g.heard).Milliseconds()), false
+		} else if record := c.duties.Fleet().Node(id); record != nil && record.LastHeard > 0 {
+			report.Index, report.HeardMs, report.NeverHeard = record.Version, uint32((c.now - record.LastHeard).Milliseconds()), false
 		}
 		report.InForce = head > 0 && report.Index >= head
 		reports = append(reports, report)
--- a/internal/controlplane/driver.go
+++ b/internal/controlplane/driver.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"topazshed/internal/journal"
+	"topazshed/internal/leader"
 	"topazshed/internal/schema"
 )
 
@@ -16,7 +17,7 @@
 	Now     func() time.Duration
 	Send    func(to string, f *schema.Frame)
 	Answer  func(LocalResponse)
-	Leased  func(LeaseCall)
+	Leased  func(leader.LeaseCall)
 	Synced  func(took time.Duration, err error)
 	Publish func()
 	Write   func(work func() error, done func(error))
--- a/internal/controlplane/load_bench_test.go
+++ b/internal/controlplane/load_bench_test.go
@@ -39,7 +39,7 @@
 		b.Run(fmt.Sprint(backends), func(b *testing.B) {
 			f, leader := loaded(b, backends)
 			for b.Loop() {
-				leader.planAt = 0
+				leader.duties.PlanNow()
 				f.run(20 * time.Millisecond)
 				if !leader.IsLeading() {
 					b.Fatal("it leads no more")
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -14,6 +14,7 @@
 	"topazshed/internal/constants"
 	"topazshed/internal/discovery"
 	"topazshed/internal/failover"
+	"topazshed/internal/leader"
 	"topazshed/internal/membership"
 	"topazshed/internal/proposals"
 	"topazshed/internal/protocolversion"
@@ -64,7 +65,7 @@
 	Hard      *schema.HardState
 	Sends     []Send
 	Responses []LocalResponse
-	Calls     []LeaseCall
+	Calls     []leader.LeaseCall
 	IsWork    bool
 }
 
@@ -125,18 +126,6 @@
 	to string
 }
 
-type nodeRecord struct {
-	until              time.Duration
-	oldestIndex        uint64
-	version            uint64
-	heard              time.Duration
-	suspects           []string
-	reservationSet     uint64
-	isReservationReady bool
-	firstHeard         time.Duration
-	node               *schema.Node
-}
-
 type subscriber struct {
 	prefixes []string
 	wanted   []string
@@ -164,7 +153,6 @@
 	table              *store.Table
 	view               *store.View
 	peerSampler        *membership.Sampler
-	endpoints          *discovery.Endpoints
 	effects            Effects
 	now                time.Duration
 	tickedAt           time.Duration
@@ -184,11 +172,6 @@
 	subs               map[uint64]asked
 	digestAt           time.Duration
 	subscriber         map[string]*subscriber
-	nodes              map[string]*nodeRecord
-	planAt             time.Duration
-	wasLeader          bool
-	electedAt          time.Duration
-	releasedAt         map[uint64]time.Duration
 	operations         []*pendingRequest
 	confirming         []*pendingRequest
 	undecided          []*pendingRequest
@@ -202,13 +185,13 @@
 	emptySince         time.Duration
 	listAt             time.Duration
 	listFault          string
-	listRead           *discovery.ListRead
 	healthReports      []*schema.HealthReport
 	reservationSet     uint64
 	isReservationReady bool
 	oldestIndex        uint64
 	peers              map[string]time.Duration
 	proposals          *proposals.Proposer
+	duties             *leader.Leader
 	verdicts           map[uint64]string
 	snapshotAt         uint64
 	knownCommit        uint64
@@ -222,42 +205,34 @@
 	changes            []*schema.FailoverChange
 	speaks             protocolversion.Span
 	refused            error
-	risingTo           uint32
-	risingFrom         time.Duration
-	proposed           uint32
-	refusedNodes       map[string]uint64
 }
 
 // New restores a node from its journal, or makes an empty one.
 func New(now time.Duration, options Options) *Machine {
 	c := &Machine{
-		options:      options,
-		log:          options.Log,
-		self:         proto.Clone(options.Self).(*schema.Node),
-		system:       options.System,
-		table:        store.NewTable(),
-		view:         store.NewView(),
-		endpoints:    discovery.New(),
-		heartbeats:   map[uint64]asked{},
-		held:         map[string]bool{},
-		wanted:       map[string]time.Duration{},
-		subs:         map[uint64]asked{},
-		subscriber:   map[string]*subscriber{},
-		nodes:        map[string]*nodeRecord{},
-		releasedAt:   map[uint64]time.Duration{},
-		reads:        map[uint64]*pendingRequest{},
-		seeds:        map[string]time.Duration{},
-		empties:      map[string]bool{},
-		peers:        map[string]time.Duration{},
-		verdicts:     map[uint64]string{},
-		fences:       map[string]time.Duration{},
-		opened:       map[string]time.Duration{},
-		openedAs:     map[string]uint64{},
-		addresses:    map[string]string{},
-		now:          now,
-		tickedAt:     now,
-		speaks:       options.Speaks.OrOwn(),
-		refusedNodes: map[string]uint64{},
+		options:    options,
+		log:        options.Log,
+		self:       proto.Clone(options.Self).(*schema.Node),
+		system:     options.System,
+		table:      store.NewTable(),
+		view:       store.NewView(),
+		heartbeats: map[uint64]asked{},
+		held:       map[string]bool{},
+		wanted:     map[string]time.Duration{},
+		subs:       map[uint64]asked{},
+		subscriber: map[string]*subscriber{},
+		reads:      map[uint64]*pendingRequest{},
+		seeds:      map[string]time.Duration{},
+		empties:    map[string]bool{},
+		peers:      map[string]time.Duration{},
+		verdicts:   map[uint64]string{},
+		fences:     map[string]time.Duration{},
+		opened:     map[string]time.Duration{},
+		openedAs:   map[string]uint64{},
+		addresses:  map[string]string{},
+		now:        now,
+		tickedAt:   now,
+		speaks:     options.Speaks.OrOwn(),
 	}
 	c.timing = timing.ForEntries()
 	if options.Routed != nil {
@@ -273,12 +248,15 @@
 		}
 		c.quorum = raft.New(now, raft.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Snapshot: options.Snapshot, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.timing.Raft})
 		c.proposals = proposals.New(c.quorum, c.table)
+		c.duties = c.newDuties()
 		c.view = store.Compile(c.table)
 		c.noteFences(c.table.Rows(store.All))
 		c.guard(c.view.Fleet)
 		c.apply()
 		c.learnMembers()
+		return c
 	}
+	c.duties = c.newDuties()
 	return c
 }
 
@@ -375,8 +353,7 @@
 	if sweep.IsWhole {
 		c.listAt = now
 	}
-	c.listRead = &sweep
-	c.planAt = 0
+	c.duties.Take(now, leader.ListRead{ListRead: sweep})
 }
 
 // SlowDisk tells that a sync took too long or failed; a leader hands over.
@@ -648,34 +625,10 @@
 
 func (c *Machine) takeHeartbeat(f *schema.Frame, b *schema.Heartbeat) {
 	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: c.table.Version()}
-	isLeader := c.IsLeading() && c.isFitNode(b.Node)
-	if isLeader {
+	if c.IsLeading() && c.duties.TakeHeartbeat(c.state(), b) {
 		response.Leader, response.Accepted = c.self.Address, true
-		g := c.nodes[b.Node.Id]
-		if g == nil {
-			g = &nodeRecord{firstHeard: c.now}
-			c.nodes[b.Node.Id] = g
-		}
-		g.heard, g.version, g.suspects, g.node = c.now, b.Version, b.Suspects, b.Node
-		g.reservationSet, g.isReservationReady = b.ReplicaSet, b.ReplicaReady
-		if g.oldestIndex = b.Version; b.OldestIndex > 0 {
-			g.oldestIndex = min(b.OldestIndex, b.Version)
-		}
-		c.endpoints.Report(b.Node.Id, b.Health)
-		if c.routed != nil && len(b.Load) > 0 {
-			c.routed.noteLoad(c.now, b.Node.Id, b.Load)
-		}
-		row := c.view.Nodes[b.Node.Id]
-		isKnown := row != nil && row.State != schema.NodeState_NODE_LOST && b.Node.State == row.State
-		if isKnown {
-			left := c.quorum.Contact() + constants.LeaseDuration - c.now
-			if left > 0 && b.Version >= c.newestFence() {
-				response.LeaseMs = uint32(left.Milliseconds())
-				g.until = c.now + left + constants.LeaseClockMargin
-			}
-		} else {
-			c.planAt = 0
-		}
+		lease := c.duties.GrantLease(c.state(), b.Node.Id, c.newestFence())
+		response.LeaseMs = uint32(lease.Milliseconds())
 	}
 	if f.From == c.self.Id {
 		c.takeLease(f, response)
@@ -837,8 +790,8 @@
 	if address := c.addresses[id]; address != "" {
 		return address
 	}
-	if g := c.nodes[id]; g != nil && c.now-g.heard < constants.NodeLostAfter {
-		return g.node.Address
+	if record := c.duties.Fleet().Node(id); record != nil && c.now-record.LastHeard < constants.NodeLostAfter {
+		return record.Node.Address
 	}
 	for _, node := range c.peerSampler.Known() {
 		if node.Id == id {
@@ -922,7 +875,7 @@
 			c.log.Info("members", "voters", len(item.Record.Members.Voters), "learners", len(item.Record.Members.Learners), "reason", item.Record.Reason)
 		}
 		c.settle(item)
-		c.noteOwners(rows)
+		c.duties.RowsApplied(rows)
 	}
 	c.publish(changed)
 	c.decideAgain()
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -164,7 +164,7 @@
 		case isVoid:
 			again = append(again, w)
 		default:
-			c.planAt = 0
+			c.duties.PlanNow()
 			if c.routed != nil {
 				c.reply(w, &schema.OperatorResponse{Version: w.version, Index: w.index})
 				continue
@@ -191,8 +191,8 @@
 
 func (c *Machine) unconfirmed(index uint64) []string {
 	var zones []string
-	for id, node := range c.view.Nodes {
-		if g := c.nodes[id]; node.State != schema.NodeState_NODE_STOPPING && (g == nil || g.version < index) && !slices.Contains(zones, node.Zone) {
+	for _, node := range c.duties.Fleet().Unreached(c.view, index) {
+		if !slices.Contains(zones, node.Zone) {
 			zones = append(zones, node.Zone)
 		}
 	}
@@ -235,7 +235,7 @@
 	if w.request.Kind == schema.OperatorKind_OPERATOR_STATUS {
 		response = &schema.OperatorResponse{Version: document.GetVersion(), Index: c.newestOperation(), Unconfirmed: c.unconfirmed(c.newestOperation()),
 			Reports: c.reports(), Changes: c.changes}
-		response.ToleratedLosses, response.UnresponsiveVoters = c.toleratedLosses()
+		response.ToleratedLosses, response.UnresponsiveVoters = c.duties.ToleratedLosses(c.state())
 	}
 	head := store.DecodeRow[schema.CatalogHead](c.table.Get(store.HeadKey))
 	if w.request.Kind == schema.OperatorKind_OPERATOR_ASK && head.GetOperatorKey() != w.request.Key {
--- a/internal/controlplane/routed.go
+++ b/internal/controlplane/routed.go
@@ -1,13 +1,11 @@
 package controlplane
 
 import (
-	"slices"
-	"strings"
 	"time"
 
 	"topazshed/internal/constants"
 	"topazshed/internal/discovery"
-	"topazshed/internal/failover"
+	"topazshed/internal/leader"
 	"topazshed/internal/schema"
 	"topazshed/internal/sharding"
 )
@@ -34,28 +32,10 @@
 	HealthReports func() []*schema.HealthReport
 }
 
-type nodeLoad struct {
-	at    time.Duration
-	loads []*schema.ShardLoad
-}
-
-// LeaseCall is a call to a back end, with the granter's life that made it.
-type LeaseCall struct {
-	sharding.Call
-	Incarnation uint64
-}
-
 type routedState struct {
-	options       *Routed
-	leaseManager  *sharding.LeaseManager
-	watch         *discovery.Watch
-	outlierQuorum *discovery.OutlierQuorum
-	listing       *discovery.Listing
-	incarnation   uint64
-	loads         map[string][]nodeLoad
-	loadAt        time.Duration
-	dead          map[string]bool
-	deferred      []*pendingRequest
+	options  *Routed
+	loadAt   time.Duration
+	deferred []*pendingRequest
 	// relayed are the heartbeats that this node took for the leader since it last told it.
 	relayed        map[string]*schema.Heartbeat
 	heartbeatTo    string
@@ -67,19 +47,7 @@
 }
 
 func newRoutedState(options Options) *routedState {
-	r := &routedState{options: options.Routed, loads: map[string][]nodeLoad{}, dead: map[string]bool{}, relayed: map[string]*schema.Heartbeat{}, disks: map[string]bool{}}
-	r.resign(options)
-	return r
-}
-
-func (r *routedState) resign(options Options) {
-	r.leaseManager = sharding.New(sharding.Options{Most: options.Routed.HoldMost})
-	r.watch = discovery.NewWatch(options.Routed.ListLag)
-	r.outlierQuorum = discovery.NewOutlierQuorum()
-	r.listing = nil
-	r.loads = map[string][]nodeLoad{}
-	r.incarnation++
-	r.dead = map[string]bool{}
+	return &routedState{options: options.Routed, relayed: map[string]*schema.Heartbeat{}, disks: map[string]bool{}}
 }
 
 func (r *routedState) takeLoad(now time.Duration) []*schema.ShardLoad {
@@ -91,42 +59,6 @@
 	return r.options.Load(span)
 }
 
-func (r *routedState) noteLoad(now time.Duration, node string, loads []*schema.ShardLoad) {
-	reports := append(r.loads[node], nodeLoad{now, loads})
-	r.loads[node] = reports[max(0, len(reports)-constants.LoadReports):]
-}
-
-func (r *routedState) load(now time.Duration) map[string][]float64 {
-	sums := map[string][]float64{}
-	for id, reports := range r.loads {
-		if now-reports[len(reports)-1].at > constants.LoadReports*constants.LoadEvery {
-			delete(r.loads, id)
-			continue
-		}
-		span := float64(0)
-		for _, report := range reports {
-			for _, load := range report.loads[:min(1, len(report.loads))] {
-				span += float64(load.SpanMs)
-			}
-		}
-		for _, report := range reports {
-			for _, load := range report.loads {
-				sum := sums[load.Service]
-				if sum == nil {
-					sum = make([]float64, constants.LoadBuckets)
-					sums[load.Service] = sum
-				}
-				for i, bucket := range load.Buckets[:min(len(load.Buckets), len(load.BusyMs))] {
-					if bucket < constants.LoadBuckets && span > 0 {
-						sum[bucket] += float64(load.BusyMs[i]) / span
-					}
-				}
-			}
-		}
-	}
-	return sums
-}
-
 // SetListing takes a read of the platform's list of a routed fleet; only the leader uses it.
 func (c *Machine) SetListing(now time.Duration, listing discovery.Listing) {
 	c.now = now
@@ -134,75 +66,20 @@
 	if listing.IsWhole {
 		c.listAt = now
 	}
-	if c.routed != nil && c.IsLeading() {
-		c.routed.listing = &listing
-		c.planAt = 0
+	if c.IsLeading() {
+		c.duties.Take(now, leader.Listing{Listing: listing})
 	}
 }
 
-// SetDead tells that a back end's process has surely ended, so that it holds no keys any more.
+// SetDead tells that a back end's process has surely ended, so that it owns no shards any more.
 func (c *Machine) SetDead(instance string) {
-	if c.routed != nil {
-		c.routed.dead[instance] = true
-		c.planAt = 0
-	}
+	c.duties.Take(c.now, leader.BackendEnded{Instance: instance})
 }
 
-// LeaseAnswered takes what became of a call to a back end; an answer for a former granter is worth nothing.
+// LeaseAnswered takes what became of a lease call.
 func (c *Machine) LeaseAnswered(now time.Duration, incarnation uint64, answer sharding.Answer) {
 	c.now = now
-	if c.routed != nil && c.routed.incarnation == incarnation {
-		c.routed.leaseManager.Answered(now, answer)
-		c.planAt = 0
-	}
-}
-
-func (c *Machine) leadRouted() {
-	r := c.routed
-	listing := r.listing
-	r.listing = nil
-	if record := r.watch.Plan(discovery.WatchFacts{Now: c.now, View: c.view, Table: c.table, Listing: listing, ColdRate: r.options.ColdRate}); record != nil && c.propose(record) {
-		c.log.Info("back ends changed", "rows", len(record.Rows))
-	} else if record != nil {
-		r.listing = listing
-	}
-	if record := r.outlierQuorum.Plan(c.now, c.view, c.table); record != nil && c.propose(record) {
-		c.log.Info("back ends failing or well again", "rows", len(record.Rows))
-	}
-	for _, record := range failover.PlanPlaces(c.view, c.table) {
-		c.sign(record)
-		if c.propose(record) {
-			c.log.Info("standing", "change", record.Reason, "evidence", record.Evidence)
-		}
-	}
-	effects := r.leaseManager.Step(sharding.Facts{Now: c.now, View: c.view, Table: c.table, IsLeading: true, ElectedAt: c.electedAt, LeaseAt: c.quorum.Contact(),
-		Load: r.load(c.now), Dead: c.isEnded})
-	for _, record := range effects.Records {
-		c.propose(record)
-	}
-	for _, call := range effects.Calls {
-		c.effects.Calls = append(c.effects.Calls, LeaseCall{call, r.incarnation})
-	}
-}
-
-// noteOwners lets the leader look at its keys at once when a record changes who holds them or who may: each move of keys takes two records.
-func (c *Machine) noteOwners(rows []*schema.Row) {
-	if c.routed != nil && slices.ContainsFunc(rows, func(row *schema.Row) bool { return strings.HasPrefix(row.Key, "s/") }) {
-		c.planAt = 0
-	}
-}
-
-// isEnded tells that a back end's process has surely ended: it was refused twice at its address, or two whole reads of the list lacked it.
-func (c *Machine) isEnded(instance string) bool {
-	if c.routed.dead[instance] {
-		return true
-	}
-	for _, service := range c.view.Services {
-		if service.Backend(instance) != nil {
-			return false
-		}
-	}
-	return len(c.view.Services) > 0
+	c.duties.Take(now, leader.LeaseAnswer{Incarnation: incarnation, Answer: answer})
 }
 
 // restored is what a voter may take from its disk at a start. Only a routed fleet serves on its own last state before a leader has told it
--- a/internal/controlplane/startup_world_test.go
+++ b/internal/controlplane/startup_world_test.go
@@ -18,6 +18,7 @@
 	"topazshed/internal/discovery"
 	"topazshed/internal/frame"
 	"topazshed/internal/journal"
+	"topazshed/internal/leader"
 	"topazshed/internal/schema"
 	"topazshed/internal/sharding"
 	"topazshed/internal/sim"
@@ -158,7 +159,7 @@
 		Send:   func(to string, sent *schema.Frame) { f.send(n, to, sent) },
 		Answer: func(controlplane.LocalResponse) {},
 		Synced: func(time.Duration, error) {},
-		Leased: func(call controlplane.LeaseCall) { f.lease(n, call) },
+		Leased: func(call leader.LeaseCall) { f.lease(n, call) },
 		Write: func(work func() error, done func(error)) {
 			err := work()
 			f.after(startupSyncTime, func() { f.step(n, func() { done(err) }) })
@@ -167,7 +168,7 @@
 	f.tick(n)
 }
 
-func (f *startupFleet) lease(n *startupNode, call controlplane.LeaseCall) {
+func (f *startupFleet) lease(n *startupNode, call leader.LeaseCall) {
 	fmt.Fprintln(f.history, "grant", f.now, n.index, call.ID)
 	f.after(startupLeaseDelay, func() {
 		f.step(n, func() {
--- a/internal/controlplane/world_test.go
+++ b/internal/controlplane/world_test.go
@@ -17,6 +17,7 @@
 	"topazshed/internal/constants"
 	"topazshed/internal/controlplane"
 	"topazshed/internal/journal"
+	"topazshed/internal/leader"
 	"topazshed/internal/schema"
 	"topazshed/internal/sim"
 )
@@ -212,7 +213,7 @@
 	}
 	m.core = controlplane.New(w.now, options)
 	m.driver = &controlplane.Driver{Core: m.core, Journal: opened, Now: func() time.Duration { return w.now }, Send: m.send, Publish: func() {}, Synced: func(time.Duration, error) {}, Write: m.write,
-		Leased: func(controlplane.LeaseCall) {}, Answer: func(o controlplane.LocalResponse) {
+		Leased: func(leader.LeaseCall) {}, Answer: func(o controlplane.LocalResponse) {
 			if answer := m.answers[o.Ticket]; answer != nil {
 				delete(m.answers, o.Ticket)
 				answer(o.Response)
--- a/internal/node/routed.go
+++ b/internal/node/routed.go
@@ -17,6 +17,7 @@
 	"topazshed/internal/discovery"
 	"topazshed/internal/gateway"
 	"topazshed/internal/journal"
+	"topazshed/internal/leader"
 	"topazshed/internal/schema"
 	"topazshed/internal/sharding"
 )
@@ -212,7 +213,7 @@
 	return pause
 }
 
-func (n *Node) sendLeaseCall(call controlplane.LeaseCall) {
+func (n *Node) sendLeaseCall(call leader.LeaseCall) {
 	n.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(n.context, call.Wait)
 		defer cancel()
