--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -58,9 +58,9 @@
 	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
 		report := &schema.NodeReport{Id: id, NeverHeard: true}
 		if id == c.self.Id {
-			report.Index, report.NeverHeard = c.table.Version(), false
+			report.Index, report.NeverHeard = uint64(c.table.Version()), false
 		} else if record := c.duties.Fleet().Node(id); record != nil && record.LastHeard > 0 {
-			report.Index, report.HeardMs, report.NeverHeard = record.Version, uint32((c.now - record.LastHeard).Milliseconds()), false
+			report.Index, report.HeardMs, report.NeverHeard = uint64(record.Version), uint32((c.now - record.LastHeard).Milliseconds()), false
 		}
 		report.InForce = head > 0 && report.Index >= head
 		reports = append(reports, report)
--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -2,6 +2,7 @@
 
 import (
 	"topazshed/internal/leader"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -53,14 +54,14 @@
 func (c *Machine) propose(record *schema.Record) bool { return c.proposals.Propose(c.now, record) }
 
 // newestFence is the index of the newest row that is fenced: a node gets no lease before it has applied it.
-func (c *Machine) newestFence() uint64 {
-	var newest uint64
+func (c *Machine) newestFence() raft.Index {
+	var newest raft.Index
 	for key := range c.fences {
-		newest = max(newest, c.table.Get(key).GetIndex())
+		newest = max(newest, raft.Index(c.table.Get(key).GetIndex()))
 	}
 	for region, set := range c.view.ReplicaSets {
 		if set.Fenced {
-			newest = max(newest, c.table.Get(store.ReplicaSetKey(region)).GetIndex())
+			newest = max(newest, raft.Index(c.table.Get(store.ReplicaSetKey(region)).GetIndex()))
 		}
 	}
 	return newest
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -129,7 +129,7 @@
 type subscriber struct {
 	prefixes []string
 	wanted   []string
-	sent     uint64
+	sent     raft.Index
 	serial   uint64
 	renewed  time.Duration
 	sentAt   time.Duration
@@ -193,8 +193,8 @@
 	proposals          *proposals.Proposer
 	duties             *leader.Leader
 	verdicts           map[uint64]string
-	snapshotAt         uint64
-	knownCommit        uint64
+	snapshotAt         raft.Index
+	knownCommit        raft.Index
 	fences             map[string]time.Duration
 	behindAt           time.Duration
 	opened             map[string]time.Duration
@@ -393,7 +393,7 @@
 		if c.quorum.LeaderID() == f.From {
 			c.leader, c.leaderAt = f.Address, now
 			if body.Raft.Kind == schema.RaftKind_RAFT_APPEND {
-				c.knownCommit, c.knownCommitAt = body.Raft.Commit, now
+				c.knownCommit, c.knownCommitAt = raft.Index(body.Raft.Commit), now
 			}
 		}
 	case *schema.Frame_DiscoverRequest:
@@ -446,7 +446,7 @@
 	case *schema.Frame_Delta:
 		c.takeDelta(f.Address, body.Delta)
 	case *schema.Frame_DigestRequest:
-		if body.DigestRequest.Version == c.table.Version() {
+		if body.DigestRequest.Version == uint64(c.table.Version()) {
 			c.send(f.Address, &schema.Frame{Body: &schema.Frame_DigestResponse{DigestResponse: &schema.DigestResponse{Version: body.DigestRequest.Version, Differing: c.table.Differing(body.DigestRequest.Ranges)}}})
 		}
 	case *schema.Frame_DigestResponse:
@@ -571,7 +571,7 @@
 	}
 	c.heartbeatAt = c.now
 	c.serial++
-	b := &schema.Heartbeat{Node: c.spoken(c.peerSampler.Self()), Version: c.table.Version(), Health: c.healthReports, Suspects: c.peerSampler.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isReservationReady, OldestIndex: c.oldestIndex}
+	b := &schema.Heartbeat{Node: c.spoken(c.peerSampler.Self()), Version: uint64(c.table.Version()), Health: c.healthReports, Suspects: c.peerSampler.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isReservationReady, OldestIndex: c.oldestIndex}
 	if c.routed != nil {
 		b.Load = c.routed.takeLoad(c.now)
 		if healthReports := c.routed.options.HealthReports; healthReports != nil {
@@ -624,7 +624,7 @@
 }
 
 func (c *Machine) takeHeartbeat(f *schema.Frame, b *schema.Heartbeat) {
-	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: c.table.Version()}
+	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: uint64(c.table.Version())}
 	if c.IsLeading() && c.duties.TakeHeartbeat(c.state(), b) {
 		response.Leader, response.Accepted = c.self.Address, true
 		lease := c.duties.GrantLease(c.state(), b.Node.Id, c.newestFence())
@@ -719,7 +719,7 @@
 		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
 		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader", StaleResponses: c.staleResponses}
 	if c.quorum != nil {
-		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), c.quorum.Term(), c.quorum.Commit(), c.quorum.Members(), c.quorum.First()
+		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), uint64(c.quorum.Term()), uint64(c.quorum.Commit()), c.quorum.Members(), uint64(c.quorum.First())
 		if c.quorum.Role() == raft.Leader {
 			l.FreshAt = c.quorum.Contact()
 		}
@@ -820,7 +820,7 @@
 		c.view = store.Compile(c.table)
 		c.fences = map[string]time.Duration{}
 		c.noteFences(effects.Quorum.Snapshot.Rows)
-		c.snapshotAt = effects.Quorum.Snapshot.Index
+		c.snapshotAt = raft.Index(effects.Quorum.Snapshot.Index)
 		if c.guard(c.view.Fleet) != nil {
 			return
 		}
@@ -861,12 +861,12 @@
 			return
 		}
 		before := c.numbersOf(item.Record)
-		rows, err := c.table.Apply(item.Index, item.Record, failover.Check)
+		rows, err := c.table.Apply(raft.Index(item.Index), item.Record, failover.Check)
 		if err != nil {
 			c.verdicts[item.Index] = err.Error()
 			c.log.Info("record void", "index", item.Index, "reason", err.Error())
 		}
-		if c.table.Version() < item.Index {
+		if uint64(c.table.Version()) < item.Index {
 			continue
 		}
 		changed = append(changed, rows...)
@@ -891,7 +891,7 @@
 }
 
 // Compacted tells that a snapshot of that index is on disk.
-func (c *Machine) Compacted(index uint64) {
+func (c *Machine) Compacted(index raft.Index) {
 	c.snapshotAt = index
 	c.quorum.Compact(index)
 }
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"topazshed/internal/constants"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -15,9 +16,9 @@
 	// FirstHeard and LastHeard are the times of the first and of the newest heartbeat.
 	FirstHeard, LastHeard time.Duration
 	// Version is the index up to which the node has applied the log.
-	Version uint64
+	Version raft.Index
 	// OldestIndex is the lowest index that a request in flight at the node still relies on.
-	OldestIndex uint64
+	OldestIndex raft.Index
 	// Suspects are the nodes that don't answer its probes.
 	Suspects []string
 	// ReplicaSet is the number of the newest replica set that the node knows, and IsReplicaReady tells whether it serves as a replica of it.
@@ -37,13 +38,13 @@
 type Fleet struct {
 	nodes map[string]*NodeRecord
 	// releasedAt holds when the leases given before an index were first seen to have ended.
-	releasedAt map[uint64]time.Duration
+	releasedAt map[raft.Index]time.Duration
 	electedAt  time.Duration
 }
 
 // NewFleet makes an empty registry.
 func NewFleet() *Fleet {
-	return &Fleet{nodes: map[string]*NodeRecord{}, releasedAt: map[uint64]time.Duration{}}
+	return &Fleet{nodes: map[string]*NodeRecord{}, releasedAt: map[raft.Index]time.Duration{}}
 }
 
 // Elected notes when this node began to lead.
@@ -52,7 +53,7 @@
 // Reset forgets all nodes and leases; a leader that resigns calls it.
 func (f *Fleet) Reset() {
 	f.nodes = map[string]*NodeRecord{}
-	f.releasedAt = map[uint64]time.Duration{}
+	f.releasedAt = map[raft.Index]time.Duration{}
 }
 
 // Node gives what was heard from a node, or nil if nothing was.
@@ -85,13 +86,13 @@
 	}
 	record.Node = node
 	record.LastHeard = now
-	record.Version = heartbeat.Version
+	record.Version = raft.Index(heartbeat.Version)
 	record.Suspects = heartbeat.Suspects
 	record.ReplicaSet = heartbeat.ReplicaSet
 	record.IsReplicaReady = heartbeat.ReplicaReady
-	record.OldestIndex = heartbeat.Version
+	record.OldestIndex = record.Version
 	if heartbeat.OldestIndex > 0 {
-		record.OldestIndex = min(heartbeat.OldestIndex, heartbeat.Version)
+		record.OldestIndex = min(raft.Index(heartbeat.OldestIndex), record.Version)
 	}
 }
 
@@ -113,7 +114,7 @@
 
 // Released tells whether no node can act any more by a lease on a state older than an index: each has reported the index or its lease has
 // lapsed. It also gives since when, in milliseconds.
-func (f *Fleet) Released(state State, index uint64) (isReleased bool, sinceMillis uint64) {
+func (f *Fleet) Released(state State, index raft.Index) (isReleased bool, sinceMillis uint64) {
 	for id := range state.View.Nodes {
 		record := f.nodes[id]
 		hasReached := record != nil && record.Version >= index
@@ -128,7 +129,7 @@
 }
 
 // hasDrained tells whether no request in flight at any node was begun on a state older than an index.
-func (f *Fleet) hasDrained(state State, index uint64) bool {
+func (f *Fleet) hasDrained(state State, index raft.Index) bool {
 	for id := range state.View.Nodes {
 		record := f.nodes[id]
 		hasReached := record != nil && record.OldestIndex >= index
@@ -175,7 +176,7 @@
 }
 
 // Unreached gives the nodes that have not reported an index yet; nodes that are stopping are left out.
-func (f *Fleet) Unreached(view *store.View, index uint64) []*schema.Node {
+func (f *Fleet) Unreached(view *store.View, index raft.Index) []*schema.Node {
 	var unreached []*schema.Node
 	for id, node := range view.Nodes {
 		if node.State == schema.NodeState_NODE_STOPPING {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -14,26 +14,27 @@
 
 	"topazshed/internal/constants"
 	"topazshed/internal/protocolversion"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
 // Log is the replicated log as the leader sees it; *raft.Node implements it.
 type Log interface {
 	// Propose appends a record; it fails at a node that doesn't lead.
-	Propose(now time.Duration, record *schema.Record) (index, term uint64, err error)
+	Propose(now time.Duration, record *schema.Record) (raft.Index, raft.Term, error)
 	// Members are those of the newest change, committed or not, and MembersIndex is its index.
 	Members() *schema.Members
-	MembersIndex() uint64
+	MembersIndex() raft.Index
 	// Match is the index up to which a member's disk is known to have the log, and Heard is when it last answered.
-	Match(id string) uint64
+	Match(id string) raft.Index
 	Heard(id string) time.Duration
 	// Commit and Last are the indexes of the newest committed item and of the newest item.
-	Commit() uint64
-	Last() uint64
+	Commit() raft.Index
+	Last() raft.Index
 	// Contact is the latest instant at which a majority certainly still followed this leader.
 	Contact() time.Duration
 	// Term is the term in which this node leads, or led.
-	Term() uint64
+	Term() raft.Term
 }
 
 // Proposer hands records of rows to the log and knows which rows have a proposal in flight; *proposals.Proposer implements it.
@@ -160,7 +161,7 @@
 
 // GrantLease gives a node whose row is in place a lease to serve by the rows that it has, and tells its length; 0 is none. The node must have
 // applied the newest fence. The lease ends while a majority certainly still followed this leader.
-func (l *Leader) GrantLease(state State, id string, newestFence uint64) time.Duration {
+func (l *Leader) GrantLease(state State, id string, newestFence raft.Index) time.Duration {
 	row, record := state.View.Nodes[id], l.fleet.Node(id)
 	isInPlace := row != nil && record != nil && row.State == record.Node.State && row.State != schema.NodeState_NODE_LOST
 	if !isInPlace || record.Version < newestFence {
--- a/internal/leader/replicasets.go
+++ b/internal/leader/replicasets.go
@@ -47,7 +47,7 @@
 	case isReplicaSetDue(present, candidates):
 		plan.put(store.EncodeRow(key, nextReplicaSet(region, present, candidates.members)))
 	case present.GetFenced():
-		if isReleased, _ := f.Released(state, state.Table.Get(key).GetIndex()); isReleased {
+		if isReleased, _ := f.Released(state, state.indexOf(key)); isReleased {
 			open := proto.Clone(present).(*schema.ReplicaSet)
 			open.Fenced = false
 			plan.put(store.EncodeRow(key, open))
--- a/internal/leader/shardslots.go
+++ b/internal/leader/shardslots.go
@@ -138,7 +138,7 @@
 
 // completeMove gives a slot to its next owner once no request in flight can still reach the former one.
 func (p *slotPlanner) completeMove(row *schema.ShardSlot, target string) {
-	index := p.state.Table.Get(store.ShardSlotKey(p.service.Name, row.Slot)).GetIndex()
+	index := p.state.indexOf(store.ShardSlotKey(p.service.Name, row.Slot))
 	if !p.fleet.hasDrained(p.state, index) {
 		return
 	}
--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -19,6 +20,9 @@
 	Table *store.Table
 }
 
+// indexOf is where a row was changed last; 0 is a row that isn't there.
+func (s State) indexOf(key string) raft.Index { return raft.Index(s.Table.Get(key).GetIndex()) }
+
 // change collects the rows of one record. Each row is guarded by the index at which the leader read it, so that the record is void if another
 // one changes the row first.
 type change struct {
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -7,6 +7,7 @@
 
 	"topazshed/internal/constants"
 	"topazshed/internal/protocolversion"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -55,7 +56,7 @@
 
 // next gives the version that the fleet should use now, or 0 if it stays. All readers must have been able to read it for long enough, and
 // nothing may be under way in the log, so that nobody joins between the decision and the record.
-func (v *versionRise) next(state State, readers []protocolversion.Reader, lastIndex uint64) uint32 {
+func (v *versionRise) next(state State, readers []protocolversion.Reader, lastIndex raft.Index) uint32 {
 	next, _ := protocolversion.Rise(state.View.Fleet, v.speaks, readers)
 	if next != v.risingTo || next == state.View.Fleet {
 		v.risingTo, v.risingSince = next, state.Now
