--- a/internal/leader/shards.go
+++ b/internal/leader/shards.go
@@ -27,7 +27,7 @@
 }
 
 func (s *shardLeases) reset() {
-	s.manager = sharding.New(sharding.Options{Most: s.longestLease})
+	s.manager = sharding.New(sharding.Options{MaxLease: s.longestLease})
 	s.incarnation++
 	s.loads = loadReports{}
 	s.ended = map[string]bool{}
--- a/internal/node/native_test.go
+++ b/internal/node/native_test.go
@@ -39,7 +39,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	span := [2]uint32{call.First, call.Last}
+	span := [2]uint32{uint32(call.First), uint32(call.Last)}
 	switch {
 	case r.URL.Path == "/keys/release":
 		h.releases++
