--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -132,7 +132,7 @@
 		for _, row := range service.Assignments[entry.Path] {
 			s.Assignments = append(s.Assignments, newAssignment(view, row, kindRegion))
 		}
-		if row := service.Entities[entry.Path]; row != nil && failover.IsBound(entry) {
+		if row := service.Entities[entry.Path]; row != nil && failover.IsEntity(entry) {
 			s.Assignments = append(s.Assignments, newEntityAssignment(view, row))
 		}
 	}
@@ -144,7 +144,7 @@
 		Path:    row.Path,
 		Kind:    kind,
 		Region:  row.Region,
-		Active:  failover.GroupName(view, row.Number),
+		Active:  failover.EntryOwnerName(view, failover.Number(row.Number)),
 		Number:  row.Number,
 		Fenced:  row.Fenced,
 		Reason:  row.Reason,
@@ -157,7 +157,7 @@
 		Path:    row.Path,
 		Kind:    kindEntity,
 		Region:  row.Region,
-		Active:  failover.GroupName(view, row.Number),
+		Active:  failover.EntryOwnerName(view, failover.Number(row.Number)),
 		Number:  row.Number,
 		Fenced:  row.Fenced,
 		Reason:  row.Reason,
--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -1,7 +1,6 @@
 package controlplane
 
 import (
-	"maps"
 	"slices"
 	"strings"
 
@@ -50,20 +49,3 @@
 		c.changes = slices.Clone(c.changes[extra:])
 	}
 }
-
-// reports are what this leader heard last from each node; a configuration is in force where its row's index was reached.
-func (c *Machine) reports() []*schema.NodeReport {
-	head := c.table.Get(store.HeadKey).GetIndex()
-	var reports []*schema.NodeReport
-	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
-		report := &schema.NodeReport{Id: id, NeverHeard: true}
-		if id == c.self.Id {
-			report.Index, report.NeverHeard = uint64(c.table.Version()), false
-		} else if record := c.duties.Fleet().Node(id); record != nil && record.LastHeard > 0 {
-			report.Index, report.HeardMs, report.NeverHeard = uint64(record.Version), uint32((c.now - record.LastHeard).Milliseconds()), false
-		}
-		report.InForce = head > 0 && report.Index >= head
-		reports = append(reports, report)
-	}
-	return reports
-}
--- a/internal/controlplane/routed.go
+++ b/internal/controlplane/routed.go
@@ -33,9 +33,8 @@
 }
 
 type routedState struct {
-	options  *Routed
-	loadAt   time.Duration
-	deferred []*pendingRequest
+	options *Routed
+	loadAt  time.Duration
 	// relayed are the heartbeats that this node took for the leader since it last told it.
 	relayed        map[string]*schema.Heartbeat
 	heartbeatTo    string
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -25,7 +25,7 @@
 // before it is left.
 func planEntryAssignments(t *turn, signer signer) {
 	released := func(index uint64) (bool, uint64) { return t.fleet.Released(t.State, raft.Index(index)) }
-	for _, record := range failover.Plan(t.View, t.Table, released) {
+	for _, record := range failover.PlanEntries(t.View, t.Table, released) {
 		signer.sign(t.Now, record)
 		t.propose(record)
 	}
@@ -33,7 +33,7 @@
 
 // planGroupAssignments proposes the failover assignments of a fleet of routes, each with the evidence that it rests on.
 func planGroupAssignments(t *turn, signer signer) {
-	for _, record := range failover.PlanPlaces(t.View, t.Table) {
+	for _, record := range failover.PlanRoutes(t.View, t.Table) {
 		signer.sign(t.Now, record)
 		if t.propose(record) {
 			t.logger.Info("failover assignment changes", "change", record.Reason, "evidence", record.Evidence)
