--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -33,7 +33,7 @@
 
 // state gives the replicated state as it is applied now.
 func (c *Machine) state() leader.State {
-	return leader.State{Now: c.now, System: c.system, View: c.view, Table: c.table}
+	return leader.State{Now: c.now, System: c.bootstrap.System(), View: c.view, Table: c.table}
 }
 
 // lead takes up, performs or gives up the leader's duties.
--- a/internal/controlplane/routed.go
+++ b/internal/controlplane/routed.go
@@ -39,14 +39,10 @@
 	relayed        map[string]*schema.Heartbeat
 	heartbeatTo    string
 	heartbeatState schema.NodeState
-	// disks are the seeds that answered, and whether they have one; founder is who shall found the system if none has.
-	disks   map[string]bool
-	founder string
-	bornAt  time.Duration
 }
 
 func newRoutedState(options Options) *routedState {
-	return &routedState{options: options.Routed, relayed: map[string]*schema.Heartbeat{}, disks: map[string]bool{}}
+	return &routedState{options: options.Routed, relayed: map[string]*schema.Heartbeat{}}
 }
 
 func (r *routedState) takeLoad(now time.Duration) []*schema.ShardLoad {
--- a/internal/leader/endpoints.go
+++ b/internal/leader/endpoints.go
@@ -12,7 +12,7 @@
 	read *discovery.ListRead
 }
 
-func newEntryEndpoints() *entryEndpoints { return &entryEndpoints{list: discovery.New()} }
+func newEntryEndpoints() *entryEndpoints { return &entryEndpoints{list: discovery.NewEndpoints()} }
 
 func (e *entryEndpoints) plan(t *turn) {
 	read := e.read
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -22,17 +22,17 @@
 type Log interface {
 	// Propose appends a record; it fails at a node that doesn't lead.
 	Propose(now time.Duration, record *schema.Record) (raft.Index, raft.Term, error)
-	// Members are those of the newest change, committed or not, and MembersIndex is its index.
+	// Members are those of the newest change, committed or not, and MembershipIndex is its index.
 	Members() *schema.Members
-	MembersIndex() raft.Index
-	// Match is the index up to which a member's disk is known to have the log, and Heard is when it last answered.
+	MembershipIndex() raft.Index
+	// Match is the index up to which a member's disk is known to have the log, and LastContact is when it last answered.
 	Match(id string) raft.Index
-	Heard(id string) time.Duration
-	// Commit and Last are the indexes of the newest committed item and of the newest item.
-	Commit() raft.Index
-	Last() raft.Index
-	// Contact is the latest instant at which a majority certainly still followed this leader.
-	Contact() time.Duration
+	LastContact(id string) time.Duration
+	// CommitIndex and LastIndex are the indexes of the newest committed item and of the newest item.
+	CommitIndex() raft.Index
+	LastIndex() raft.Index
+	// LeadershipConfirmedAt is the latest instant at which a majority certainly still followed this leader.
+	LeadershipConfirmedAt() time.Duration
 	// Term is the term in which this node leads, or led.
 	Term() raft.Term
 }
@@ -167,7 +167,7 @@
 	if !isInPlace || record.Version < newestFence {
 		return 0
 	}
-	length := l.options.Log.Contact() + constants.LeaseDuration - state.Now
+	length := l.options.Log.LeadershipConfirmedAt() + constants.LeaseDuration - state.Now
 	if length <= 0 {
 		return 0
 	}
@@ -235,9 +235,9 @@
 		return MemberProgress{}
 	}
 	log := l.options.Log
-	match, heard := log.Match(id), log.Heard(id)
-	hasMembers := match >= log.MembersIndex()
-	hasNearlyAll := match+constants.LearnerGap >= log.Commit()
+	match, heard := log.Match(id), log.LastContact(id)
+	hasMembers := match >= log.MembershipIndex()
+	hasNearlyAll := match+constants.LearnerGap >= log.CommitIndex()
 	return MemberProgress{
 		SinceHeard:  now - max(heard, l.fleet.electedAt),
 		HasCaughtUp: hasMembers && hasNearlyAll && now-heard < memberAnswersWithin,
--- a/internal/leader/shards.go
+++ b/internal/leader/shards.go
@@ -49,7 +49,7 @@
 		Table:     t.Table,
 		IsLeading: true,
 		ElectedAt: t.fleet.electedAt,
-		LeaseAt:   t.log.Contact(),
+		LeaseAt:   t.log.LeadershipConfirmedAt(),
 		Load:      s.loads.sum(t.Now),
 		Dead:      func(instance string) bool { return s.hasEnded(t.View, instance) },
 	})
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -118,7 +118,7 @@
 
 func (l *Leader) planVersion(state State) {
 	log := l.options.Log
-	next := l.version.next(state, readers(state, l.fleet, log.Members()), log.Last())
+	next := l.version.next(state, readers(state, l.fleet, log.Members()), log.LastIndex())
 	if next == 0 {
 		return
 	}
