--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -328,7 +328,7 @@
 		c.peerSampler.Learn(body.DiscoverRequest.Node)
 		c.answerDiscovery(f.Address, body.DiscoverRequest)
 	case *schema.Frame_DiscoverResponse:
-		if c.guard(body.DiscoverResponse.FleetVersion) != nil {
+		if c.guard(protocolversion.Version(body.DiscoverResponse.FleetVersion)) != nil {
 			return
 		}
 		c.peerSampler.Learn(body.DiscoverResponse.Nodes...)
--- a/internal/controlplane/version.go
+++ b/internal/controlplane/version.go
@@ -15,7 +15,7 @@
 	}
 }
 
-func (c *Machine) guard(fleet uint32) error {
+func (c *Machine) guard(fleet protocolversion.Version) error {
 	if err := protocolversion.CheckFleet(c.speaks, fleet); err != nil {
 		c.refuse(err)
 	}
@@ -27,7 +27,7 @@
 	if c.view.Fleet == protocolversion.First {
 		return 0
 	}
-	return c.view.Fleet
+	return uint32(c.view.Fleet)
 }
 
 func (c *Machine) spoken(node *schema.Node) *schema.Node {
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -18,10 +18,10 @@
 	// riseAfter is how long all must have been able to read a version.
 	riseAfter time.Duration
 	// risingTo is the version that all have been able to read since risingSince.
-	risingTo    uint32
+	risingTo    protocolversion.Version
 	risingSince time.Duration
 	// proposed is the version of the newest proposal.
-	proposed uint32
+	proposed protocolversion.Version
 	// refused are the incarnations of nodes that were refused and logged.
 	refused map[string]uint64
 }
@@ -34,7 +34,7 @@
 }
 
 // check tells why a node may not take part: it doesn't speak the version in use, or the one that the fleet is about to use.
-func (v *versionRise) check(inUse uint32, isRising bool, node *schema.Node) error {
+func (v *versionRise) check(inUse protocolversion.Version, isRising bool, node *schema.Node) error {
 	if isRising {
 		inUse = max(inUse, v.proposed)
 	}
@@ -56,7 +56,7 @@
 
 // next gives the version that the fleet should use now, or 0 if it stays. All readers must have been able to read it for long enough, and
 // nothing may be under way in the log, so that nobody joins between the decision and the record.
-func (v *versionRise) next(state State, readers []protocolversion.Reader, lastIndex raft.Index) uint32 {
+func (v *versionRise) next(state State, readers []protocolversion.Reader, lastIndex raft.Index) protocolversion.Version {
 	next, _ := protocolversion.Rise(state.View.Fleet, v.speaks, readers)
 	if next != v.risingTo || next == state.View.Fleet {
 		v.risingTo, v.risingSince = next, state.Now
@@ -123,7 +123,7 @@
 		return
 	}
 	rise := newChange(state.Table, "the fleet's version rises")
-	rise.put(store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: next}))
+	rise.put(store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: uint32(next)}))
 	if l.options.Proposer.Propose(state.Now, rise.result()) {
 		l.version.proposed = next
 		l.log.Info("the fleet's version rises", "version", next)
