--- a/cmd/testfleet/scenario.go
+++ b/cmd/testfleet/scenario.go
@@ -1,407 +1,142 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"maps"
-	"net/http"
-	"net/url"
-	"os"
-	"os/exec"
 	"slices"
-	"strconv"
 	"strings"
-	"syscall"
 	"time"
-
-	"topazshed/internal/checker"
 )
 
+// leaderName stands for the machine that leads, wherever a machine is named.
+const leaderName = "leader"
+
+// goodState ends a fault of a disk or of the list.
+const goodState = "good"
+
 // Step is one thing that a scenario does at a time.
 type Step struct {
+	// At is counted from the start of the load.
 	At   time.Duration
 	Line int
 	Verb string
 	Args []string
 }
 
-var verbs = map[string]int{"kill": 1, "reload": 1, "start": 1, "stop": 1, "restart": 1, "freeze": 1, "thaw": 1, "wipe": 1, "move": 1, "killzone": 1, "startzone": 1, "killall": 0, "startall": 0, "startdead": 0,
-	"cut": 2, "heal": 2, "isolate": 1, "rejoin": 1, "cutregion": 1, "healregion": 1, "empty": 1, "restore": 1, "put": 0, "race": 0, "bad": 0, "show": 0, "release": 1, "replace": 1, "crash": 1,
-	"disk": 2, "mode": 2, "list": 1, "hot": 1, "reuse": 1, "doctor": 1, "rolling": 0}
-
 var (
-	diskFaults = []string{"good", "fail", "full"}
-	listFaults = []string{"good", "empty", "short", "repeat"}
-	modes      = map[string]Mode{"good": modeGood, "lose": modeLose, "garbage": modeGarbage, "wrongseal": modeWrongSeal, "truncate": modeTruncate, "slow": modeSlow, "oversize": modeOversize}
+	// diskFaults are the faults of a disk beside a time for each sync.
+	diskFaults = []string{goodState, "fail", "full"}
+	// listFaults are the faults of the list in a scenario's words.
+	listFaults = []string{goodState, string(listEmpty), string(listShort), string(listRepeat)}
+	// modes are the modes of back ends in a scenario's words.
+	modes = map[string]Mode{
+		"good":      modeGood,
+		"lose":      modeLose,
+		"garbage":   modeGarbage,
+		"wrongseal": modeWrongSeal,
+		"truncate":  modeTruncate,
+		"slow":      modeSlow,
+		"oversize":  modeOversize,
+	}
 )
 
-// ReadScenario reads steps, one a line: TIME VERB ARGS; every fault is told with its line.
+// argument checks one word behind a verb and says what is wrong with it, or nothing.
+type argument func(word string, f *Fleet) string
+
+// ReadScenario reads steps, one a line: TIME VERB ARGS; # begins a comment. The error joins every fault, each with its
+// line.
 func ReadScenario(text string, f *Fleet) ([]Step, error) {
 	var steps []Step
-	var faults []error
+	var errs []error
 	for i, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
 		words := strings.Fields(line)
 		if len(words) == 0 {
 			continue
 		}
-		add := func(form string, args ...any) {
-			faults = append(faults, fmt.Errorf("line %d: %s", i+1, fmt.Sprintf(form, args...)))
-		}
-		at, err := time.ParseDuration(words[0])
-		if err != nil || at < 0 {
-			add("%q is no time; write 10s or 1500ms", words[0])
-			continue
-		}
-		if len(words) < 2 {
-			add("no step follows the time; use one of the verbs in docs/faults.md")
-			continue
-		}
-		count, isKnown := verbs[words[1]]
-		if !isKnown {
-			add("step %q is unknown; use one of the verbs in docs/faults.md", words[1])
-			continue
-		}
-		if len(words)-2 != count {
-			add("step %q takes %d words, not %d", words[1], count, len(words)-2)
-			continue
-		}
-		if slices.Contains([]string{"kill", "reload", "start", "stop", "restart", "freeze", "thaw", "wipe", "move", "isolate", "rejoin", "cut", "heal"}, words[1]) {
-			for _, name := range words[2:] {
-				if f != nil && name != "leader" && f.find(name) == nil {
-					add("machine %q is unknown; names are like north-a-1", name)
-				}
-			}
+		step, faults := readStep(words, f)
+		if n := len(steps); n > 0 && steps[n-1].At > step.At && step.Verb != "" {
+			faults = append(faults, fmt.Sprintf("time %v is before the line above; put steps in order", step.At))
 		}
-		if words[1] == "disk" {
-			if m := f.find(words[2]); words[2] != "leader" && (m == nil || !m.hasDisk) {
-				add("machine %q has no disk; those with one are like north-a-1, or leader", words[2])
-			}
-			if _, err := time.ParseDuration(words[3]); err != nil && !slices.Contains(diskFaults, words[3]) {
-				add("disk fault %q is unknown; use one of %v, or a time for each sync such as 800ms", words[3], diskFaults)
-			}
+		for _, fault := range faults {
+			errs = append(errs, fmt.Errorf("line %d: %s", i+1, fault))
 		}
-		if words[1] == "mode" && modes[words[3]] == 0 && words[3] != "good" {
-			add("mode %q is unknown; use one of %v", words[3], slices.Sorted(maps.Keys(modes)))
+		if step.Verb != "" {
+			step.Line = i + 1
+			steps = append(steps, step)
 		}
-		if words[1] == "list" && !slices.Contains(listFaults, words[2]) {
-			add("list fault %q is unknown; use one of %v", words[2], listFaults)
-		}
-		if slices.Contains([]string{"killzone", "startzone", "empty", "restore"}, words[1]) && !slices.ContainsFunc(places, func(p place) bool { return p.zone == words[2] }) {
-			add("district %q is unknown; names are like north-a", words[2])
-		}
-		if n := len(steps); n > 0 && steps[n-1].At > at {
-			add("time %v is before the line above; put steps in order", at)
-		}
-		steps = append(steps, Step{at, i + 1, words[1], words[2:]})
-	}
-	return steps, errors.Join(faults...)
-}
-
-// Runner carries out steps against the fleet and the world.
-type Runner struct {
-	fleet   *Fleet
-	world   *World
-	callers *Callers
-	history *checker.History
-	dep     Deployment
-	base    uint64
-	extra   int
-	leader  *Machine
-}
-
-func (r *Runner) operator(what, method, path string, query url.Values, body []byte, entries []checker.EntrySeen, zone string) (int, uint64) {
-	for range 40 {
-		m := r.fleet.machines[r.callers.draw(len(r.fleet.machines))]
-		at := r.history.Now()
-		status, header, text, err := r.fleet.adminCall(m, method, path, query, body)
-		if err != nil || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout && what != "put" {
-			time.Sleep(250 * time.Millisecond)
-			continue
-		}
-		var reply struct{ Version uint64 }
-		json.Unmarshal(text, &reply)
-		if version, err := strconv.ParseUint(header.Get("Topazshed-Version"), 10, 64); err == nil {
-			reply.Version = version
-		}
-		checker.Record(r.history, &r.history.Operators, checker.OperatorEvent{At: at, End: r.history.Now(), What: what, Zone: zone, Version: reply.Version, Status: status, Entries: entries, Node: m.name})
-		return status, reply.Version
 	}
-	return 0, 0
+	return steps, errors.Join(errs...)
 }
 
-func (r *Runner) document() ([]byte, []checker.EntrySeen) {
-	var document struct {
-		Entries []map[string]any `json:"entries"`
+// readStep reads the words of one line and gives what is wrong with them. The step has no verb if it can't be read.
+func readStep(words []string, f *Fleet) (Step, []string) {
+	at, err := time.ParseDuration(words[0])
+	if err != nil || at < 0 {
+		return Step{}, []string{fmt.Sprintf("%q is no time; write 10s or 1500ms", words[0])}
 	}
-	json.Unmarshal([]byte(r.dep.Document), &document)
-	if r.extra > 0 {
-		kind := r.dep.Kinds[0]
-		document.Entries = append(document.Entries, map[string]any{"service": kind.Service, "path": fmt.Sprintf("/extra-%d", r.extra), "methods": []string{"GET"}, "repeat_safe": []string{"GET"}})
+	if len(words) < 2 {
+		return Step{}, []string{"no step follows the time; use one of the verbs in docs/faults.md"}
 	}
-	text, _ := json.MarshalIndent(document, "", " ")
-	var seen struct {
-		Entries []struct {
-			Service, Path string
-			Methods       []string
-			Homes         []string `json:"home_regions"`
-			Safe          []string `json:"repeat_safe"`
-		} `json:"entries"`
+	name, args := words[1], words[2:]
+	v, isKnown := verbs[name]
+	if !isKnown {
+		return Step{}, []string{fmt.Sprintf("step %q is unknown; use one of the verbs in docs/faults.md", name)}
 	}
-	json.Unmarshal(text, &seen)
-	var entries []checker.EntrySeen
-	for _, e := range seen.Entries {
-		entries = append(entries, checker.EntrySeen{Service: e.Service, Path: e.Path, Methods: e.Methods, Safe: e.Safe, Homes: e.Homes})
-	}
-	return text, entries
-}
-
-func (r *Runner) put() bool {
-	text, entries := r.document()
-	status, version := r.operator("put", http.MethodPut, "/v1/configuration", url.Values{"base": {strconv.FormatUint(r.base, 10)}}, text, entries, "")
-	if status == http.StatusOK {
-		r.base = version
-		r.extra++
-		return true
+	if len(args) != len(v.arguments) {
+		return Step{}, []string{fmt.Sprintf("step %q takes %d words, not %d", name, len(v.arguments), len(args))}
 	}
-	if status == http.StatusConflict {
-		r.base = version
-	}
-	return false
-}
-
-func (r *Runner) each(zone string, do func(*Machine)) {
-	for _, m := range r.fleet.machines {
-		if zone == "" || m.place.zone == zone {
-			do(m)
+	var faults []string
+	for i, check := range v.arguments {
+		if fault := check(args[i], f); fault != "" {
+			faults = append(faults, fault)
 		}
 	}
+	return Step{At: at, Verb: name, Args: args}, faults
 }
 
-func (r *Runner) cutRegion(region string, isCut bool) {
-	for _, a := range r.fleet.machines {
-		for _, b := range r.fleet.machines {
-			if (a.place.region == region) != (b.place.region == region) {
-				r.fleet.links.cut(a.name, b.name, isCut)
-			}
-		}
+// anyWord takes every word: the names of services and regions, and numbers.
+func anyWord(string, *Fleet) string { return "" }
+
+func machineName(word string, f *Fleet) string {
+	if word == leaderName || f.find(word) != nil {
+		return ""
 	}
+	return fmt.Sprintf("machine %q is unknown; names are like north-a-1", word)
 }
 
-func (r *Runner) isolate(name string, isCut bool) {
-	for _, m := range r.fleet.machines {
-		if m.name != name {
-			r.fleet.links.cut(m.name, name, isCut)
-			r.fleet.links.cut(name, m.name, isCut)
-		}
+func diskMachineName(word string, f *Fleet) string {
+	if m := f.find(word); word == leaderName || m != nil && m.hasDisk {
+		return ""
 	}
+	return fmt.Sprintf("machine %q has no disk; those with one are like north-a-1, or leader", word)
 }
 
-func (r *Runner) busiest(service string) []*Backend {
-	list := r.world.of(service)
-	counts := map[string]int{}
-	since := r.history.Now() - 3*time.Second
-	r.history.Lock()
-	for _, a := range r.history.Arrivals {
-		if a.Service == service && a.At > since {
-			counts[a.Instance]++
-		}
+func diskFaultName(word string, _ *Fleet) string {
+	if _, err := time.ParseDuration(word); err == nil || slices.Contains(diskFaults, word) {
+		return ""
 	}
-	r.history.Unlock()
-	slices.SortStableFunc(list, func(a, b *Backend) int { return counts[b.instance] - counts[a.instance] })
-	return list
+	return fmt.Sprintf("disk fault %q is unknown; use one of %v, or a time for each sync such as 800ms", word, diskFaults)
 }
 
-func (r *Runner) machine(verb, name string) *Machine {
-	if name != "leader" {
-		return r.fleet.find(name)
+func modeName(word string, _ *Fleet) string {
+	if _, isKnown := modes[word]; isKnown {
+		return ""
 	}
-	if verb == "thaw" || verb == "start" {
-		return r.leader
-	}
-	for _, m := range r.fleet.machines {
-		var told struct{ Role string }
-		if _, _, text, err := r.fleet.adminCall(m, http.MethodGet, "/v1/status", nil, nil); err == nil && json.Unmarshal(text, &told) == nil && told.Role == "leader" {
-			r.leader = m
-		}
-	}
-	return r.leader
+	return fmt.Sprintf("mode %q is unknown; use one of %v", word, slices.Sorted(maps.Keys(modes)))
 }
 
-func (r *Runner) replace(b *Backend) error {
-	if _, err := r.world.add(b.service, b.zone, "", b.keyed, true); err != nil {
-		return err
+func listFaultName(word string, _ *Fleet) string {
+	if slices.Contains(listFaults, word) {
+		return ""
 	}
-	time.Sleep(1500 * time.Millisecond)
-	r.world.drain(b)
-	time.Sleep(4 * time.Second)
-	b.crash()
-	r.world.remove(b)
-	return nil
+	return fmt.Sprintf("list fault %q is unknown; use one of %v", word, listFaults)
 }
 
-// Do carries out one step.
-func (r *Runner) Do(s Step) error {
-	arg := func(i int) string { return s.Args[i] }
-	switch s.Verb {
-	case "kill":
-		r.fleet.kill(r.machine(s.Verb, arg(0)))
-	case "reload":
-		return r.fleet.signal(r.machine(s.Verb, arg(0)), syscall.SIGHUP)
-	case "start":
-		return r.fleet.start(r.machine(s.Verb, arg(0)))
-	case "stop":
-		return r.fleet.stop(r.machine(s.Verb, arg(0)))
-	case "restart":
-		m := r.machine(s.Verb, arg(0))
-		return errors.Join(r.fleet.stop(m), r.fleet.start(m))
-	case "freeze":
-		return r.fleet.signal(r.machine(s.Verb, arg(0)), syscall.SIGSTOP)
-	case "thaw":
-		return r.fleet.signal(r.machine(s.Verb, arg(0)), syscall.SIGCONT)
-	case "wipe":
-		m := r.machine(s.Verb, arg(0))
-		r.fleet.kill(m)
-		return os.RemoveAll(m.data)
-	case "move":
-		m := r.machine(s.Verb, arg(0))
-		r.fleet.kill(m)
-		if err := os.RemoveAll(m.data); err != nil {
-			return err
-		}
-		m.version++
-		return errors.Join(r.fleet.relay(m), r.fleet.start(m))
-	case "killzone":
-		r.each(arg(0), r.fleet.kill)
-	case "startzone":
-		var faults []error
-		r.each(arg(0), func(m *Machine) { faults = append(faults, r.fleet.start(m)) })
-		return errors.Join(faults...)
-	case "killall":
-		r.each("", r.fleet.kill)
-	case "startall":
-		var faults []error
-		r.each("", func(m *Machine) { faults = append(faults, r.fleet.start(m)) })
-		return errors.Join(faults...)
-	case "startdead":
-		dead := 0
-		for _, m := range r.fleet.machines {
-			if r.fleet.await(m, time.Millisecond) != nil && m.command.ProcessState != nil {
-				dead++
-				if err := r.fleet.start(m); err != nil {
-					return err
-				}
-			}
-		}
-		if dead == 0 {
-			return fmt.Errorf("no process had ended")
-		}
-	case "rolling":
-		for _, m := range r.fleet.machines {
-			if err := errors.Join(r.fleet.stop(m), r.fleet.start(m)); err != nil {
-				return err
-			}
-			time.Sleep(1500 * time.Millisecond)
-		}
-	case "cut":
-		r.fleet.links.cut(arg(0), arg(1), true)
-	case "heal":
-		r.fleet.links.cut(arg(0), arg(1), false)
-	case "isolate", "rejoin":
-		r.isolate(arg(0), s.Verb == "isolate")
-	case "cutregion", "healregion":
-		r.cutRegion(arg(0), s.Verb == "cutregion")
-	case "empty", "restore":
-		if status, _ := r.operator(s.Verb, http.MethodPost, "/v1/districts/"+arg(0)+"/"+s.Verb, url.Values{"reason": {"scenario"}}, nil, nil, arg(0)); status != http.StatusOK {
-			return fmt.Errorf("%s %s got status %d", s.Verb, arg(0), status)
-		}
-	case "put":
-		for range 2 {
-			if r.put() {
-				return nil
-			}
-		}
-		return fmt.Errorf("put was not accepted")
-	case "race":
-		done := make(chan bool)
-		base := r.base
-		for i := range 2 {
-			other := &Runner{fleet: r.fleet, world: r.world, callers: r.callers, history: r.history, dep: r.dep, base: base, extra: r.extra + 100*(i+1)}
-			go func() { done <- other.put() }()
-		}
-		wins := 0
-		for range 2 {
-			if <-done {
-				wins++
-			}
-		}
-		r.base = base + 1
-		if wins != 1 {
-			return fmt.Errorf("%d of two racing puts were accepted", wins)
-		}
-	case "bad":
-		r.operator("bad-put", http.MethodPut, "/v1/configuration", url.Values{"base": {strconv.FormatUint(r.base, 10)}}, []byte(`{"entries":[{"service":"nobody","path":"x","methods":[],"repeat_safe":["PUT"],"home_regions":["moon"],"colour":1}]}`), nil, "")
-	case "show":
-		if status, version := r.operator("show", http.MethodGet, "/v1/configuration", nil, nil, nil, ""); status != http.StatusOK {
-			return fmt.Errorf("show got status %d", status)
-		} else if version < r.base {
-			return fmt.Errorf("show gave version %d after %d", version, r.base)
-		}
-	case "release":
-		for _, b := range r.world.of(arg(0)) {
-			if err := r.replace(b); err != nil {
-				return err
-			}
-		}
-	case "replace":
-		if list := r.busiest(arg(0)); len(list) > 0 {
-			return r.replace(list[0])
-		}
-	case "crash":
-		if list := r.busiest(arg(0)); len(list) > 0 {
-			list[0].crash()
-			r.world.remove(list[0])
-		}
-	case "reuse":
-		if list := r.busiest(arg(0)); len(list) > 0 {
-			b := list[0]
-			b.crash()
-			r.world.remove(b)
-			for name := range r.dep.Services {
-				if name != b.service {
-					_, err := r.world.add(name, b.zone, b.address, r.dep.Keyed[name], false)
-					return err
-				}
-			}
-		}
-	case "disk":
-		if arg(0) == "leader" && arg(1) == "good" {
-			return os.WriteFile(r.fleet.faults(r.leader), []byte(arg(1)), 0o600)
-		}
-		return os.WriteFile(r.fleet.faults(r.machine(s.Verb, arg(0))), []byte(arg(1)), 0o600)
-	case "mode":
-		mode := modes[arg(1)]
-		for i, b := range r.busiest(arg(0)) {
-			if mode == modeGood || i < 2 {
-				b.setMode(mode)
-			}
-		}
-	case "list":
-		r.world.lock.Lock()
-		r.world.fault = arg(0)
-		if arg(0) == "good" {
-			r.world.fault = ""
-		}
-		r.world.lock.Unlock()
-	case "doctor":
-		command := exec.Command(r.fleet.program, "doctor", "-clock-span", "0", "-door", r.fleet.machines[0].shown(7003))
-		text, err := command.CombinedOutput()
-		if code := command.ProcessState.ExitCode(); strconv.Itoa(code) != arg(0) {
-			return fmt.Errorf("doctor ended with %d (%v): %s", code, err, text)
-		}
-	case "hot":
-		r.callers.hotKey = arg(0) == "on"
+func zoneName(word string, _ *Fleet) string {
+	if slices.ContainsFunc(zonePlaces, func(p zonePlace) bool { return p.zone == word }) {
+		return ""
 	}
-	return nil
+	return fmt.Sprintf("zone %q is unknown; names are like north-a", word)
 }
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -160,9 +160,9 @@
 	changes            []*schema.FailoverChange
 	speaks             protocolversion.Span
 	refused            error
-	risingTo           uint32
+	risingTo           protocolversion.Version
 	risingFrom         time.Duration
-	proposed           uint32
+	proposed           protocolversion.Version
 	refusedNodes       map[string]uint64
 }
 
@@ -353,7 +353,7 @@
 		c.peerSampler.Learn(body.DiscoverRequest.Node)
 		c.answerDiscovery(f.Address, body.DiscoverRequest)
 	case *schema.Frame_DiscoverResponse:
-		if c.guard(body.DiscoverResponse.FleetVersion) != nil {
+		if c.guard(protocolversion.Version(body.DiscoverResponse.FleetVersion)) != nil {
 			return
 		}
 		c.peerSampler.Learn(body.DiscoverResponse.Nodes...)
