--- a/internal/controlplane/health_test.go
+++ b/internal/controlplane/health_test.go
@@ -72,16 +72,3 @@
 		})
 	}
 }
-
-func TestRelaysJoinTheWordsOfOneNode(t *testing.T) {
-	peer := &schema.Node{Id: "b", Address: "b", Zone: "d", Region: "r", State: schema.NodeState_NODE_READY}
-	core := New(time.Hour, Options{Self: &schema.Node{Id: "a", Address: "a", Zone: "d", Region: "r", Disk: true, State: schema.NodeState_NODE_READY}, Seeds: []string{"s"}, System: "x",
-		Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
-	for _, id := range []string{"i-1", "i-2"} {
-		core.takeHeartbeatRouted(nil, &schema.Heartbeat{Node: peer, Health: []*schema.HealthReport{{Instance: id, Failing: true}}})
-	}
-	core.takeHeartbeatRouted(nil, &schema.Heartbeat{Node: peer})
-	if notified := core.routed.relayed["b"].GetHealth(); len(notified) != 2 {
-		t.Fatalf("the relay tells %v", notified)
-	}
-}
--- a/internal/controlplane/known.go
+++ b/internal/controlplane/known.go
@@ -16,6 +16,9 @@
 // HasState tells whether the node holds rows of its system.
 func (v fleetView) HasState() bool { return v.machine.view.System != "" }
 
+// IsListed tells whether the rows have a node of that id.
+func (v fleetView) IsListed(id string) bool { return v.machine.view.Nodes[id] != nil }
+
 // Addresses gives the addresses of the other known nodes that fit.
 func (v fleetView) Addresses(isFit func(*schema.Node) bool) []string { return v.machine.known(isFit) }
 
@@ -31,15 +34,6 @@
 	return nodes
 }
 
-// pick draws one of the known nodes that fit, or a seed if there is none.
-func (c *Machine) pick(isFit func(*schema.Node) bool) string {
-	options := c.known(isFit)
-	if len(options) == 0 {
-		options = c.options.Seeds
-	}
-	return options[c.options.Draw(int64(len(options)))]
-}
-
 // known gives the addresses of the other nodes that fit, of the views and of the table.
 func (c *Machine) known(isFit func(*schema.Node) bool) []string {
 	var addresses []string
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -14,6 +14,7 @@
 	"topazshed/internal/constants"
 	"topazshed/internal/discovery"
 	"topazshed/internal/failover"
+	"topazshed/internal/heartbeat"
 	"topazshed/internal/inflight"
 	"topazshed/internal/membership"
 	"topazshed/internal/operations"
@@ -108,62 +109,55 @@
 
 // Machine is the machine.
 type Machine struct {
-	options            Options
-	timing             timing.Timing
-	log                *slog.Logger
-	self               *schema.Node
-	quorum             *raft.Node
-	table              *store.Table
-	view               *store.View
-	peerSampler        *membership.Sampler
-	bootstrap          *bootstrap.Machine
-	endpoints          *discovery.Endpoints
-	effects            Effects
-	now                time.Duration
-	tickedAt           time.Duration
-	thawedAt           time.Duration
-	leader             string
-	leaderAt           time.Duration
-	heartbeatAt        time.Duration
-	heartbeats         *inflight.Requests
-	serial             uint64
-	leaseUntil         time.Duration
-	freshAt            time.Duration
-	subscription       *replication.Subscription
-	publisher          *replication.Publisher
-	nodes              map[string]*nodeRecord
-	planAt             time.Duration
-	wasLeader          bool
-	electedAt          time.Duration
-	releasedAt         map[uint64]time.Duration
-	operations         *operations.Manager
-	staleResponses     uint64
-	listAt             time.Duration
-	listFault          string
-	listRead           *discovery.ListRead
-	healthReports      []*schema.HealthReport
-	reservationSet     uint64
-	isReservationReady bool
-	oldestIndex        uint64
-	peers              map[string]time.Duration
-	proposals          *proposals.Proposer
-	verdicts           map[uint64]string
-	snapshotAt         raft.Index
-	knownCommit        raft.Index
-	fences             map[string]time.Duration
-	behindAt           time.Duration
-	opened             map[string]time.Duration
-	openedAs           map[string]uint64
-	addresses          map[string]string
-	knownCommitAt      time.Duration
-	routed             *routedState
-	changes            []*schema.FailoverChange
-	speaks             protocolversion.Span
-	refused            error
-	risingTo           protocolversion.Version
-	risingFrom         time.Duration
-	proposed           protocolversion.Version
-	refusedNodes       map[string]uint64
+	options        Options
+	timing         timing.Timing
+	log            *slog.Logger
+	self           *schema.Node
+	quorum         *raft.Node
+	table          *store.Table
+	view           *store.View
+	peerSampler    *membership.Sampler
+	bootstrap      *bootstrap.Machine
+	endpoints      *discovery.Endpoints
+	effects        Effects
+	now            time.Duration
+	tickedAt       time.Duration
+	thawedAt       time.Duration
+	leader         string
+	leaderAt       time.Duration
+	heartbeats     *heartbeat.Sender
+	freshAt        time.Duration
+	subscription   *replication.Subscription
+	publisher      *replication.Publisher
+	nodes          map[string]*nodeRecord
+	planAt         time.Duration
+	wasLeader      bool
+	electedAt      time.Duration
+	releasedAt     map[uint64]time.Duration
+	operations     *operations.Manager
+	staleResponses uint64
+	listAt         time.Duration
+	listFault      string
+	listRead       *discovery.ListRead
+	peers          map[string]time.Duration
+	proposals      *proposals.Proposer
+	verdicts       map[uint64]string
+	snapshotAt     raft.Index
+	knownCommit    raft.Index
+	fences         map[string]time.Duration
+	behindAt       time.Duration
+	opened         map[string]time.Duration
+	openedAs       map[string]uint64
+	addresses      map[string]string
+	knownCommitAt  time.Duration
+	routed         *routedState
+	changes        []*schema.FailoverChange
+	speaks         protocolversion.Span
+	refused        error
+	risingTo       protocolversion.Version
+	risingFrom     time.Duration
+	proposed       protocolversion.Version
+	refusedNodes   map[string]uint64
 }
 
 // New restores a node from its journal, or makes an empty one.
@@ -193,7 +187,7 @@
 		c.timing = timing.ForRoutes(options.Routed.Quiet)
 		c.routed = newRoutedState(options)
 	}
-	c.heartbeats = inflight.New(c.firstSerial())
+	c.heartbeats = c.newHeartbeatSender(c.firstSerial())
 	c.subscription = c.newSubscription(c.firstSerial())
 	c.publisher = replication.NewPublisher(c.table, c.timing.DeltaInterval)
 	c.peerSampler = membership.New(membership.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Pace: c.timing.Sampler})
@@ -263,21 +257,22 @@
 	c.peerSampler.SetSeeds(c.options.Seeds)
 	c.subscription.SetSeeds(c.options.Seeds)
 	c.bootstrap.SetSeeds(c.options.Seeds)
+	c.heartbeats.SetSeeds(c.options.Seeds)
 	c.log.Info("other seeds are asked from now on", "seeds", seeds)
 }
 
 // SetHealthReports takes this node's probes of back ends.
 func (c *Machine) SetHealthReports(healthReports []*schema.HealthReport) {
-	c.healthReports = healthReports
+	c.heartbeats.SetHealthReports(healthReports)
 }
 
 // SetReservationReplica takes this node's state as a replica.
 func (c *Machine) SetReservationReplica(number uint64, isReady bool) {
-	c.reservationSet, c.isReservationReady = number, isReady
+	c.heartbeats.SetReservationReplica(number, isReady)
 }
 
 // SetOldestIndex takes the lowest snapshot version that a keyed attempt in flight was begun on; none is 0.
-func (c *Machine) SetOldestIndex(floor uint64) { c.oldestIndex = floor }
+func (c *Machine) SetOldestIndex(floor uint64) { c.heartbeats.SetOldestIndex(floor) }
 
 // Stop marks the node as stopping: it is told to the leader and no match names it any more.
 func (c *Machine) Stop(now time.Duration) {
@@ -380,7 +375,7 @@
 		}
 		c.takeHeartbeat(f, body.Heartbeat)
 	case *schema.Frame_HeartbeatResponse:
-		c.takeLease(f, body.HeartbeatResponse)
+		c.takeHeartbeatResponse(f.Address, body.HeartbeatResponse)
 	case *schema.Frame_Subscribe:
 		c.sendAll(c.publisher.Subscribe(now, c.confirmation(), f.Address, body.Subscribe))
 	case *schema.Frame_Delta:
@@ -433,7 +428,7 @@
 		c.lead()
 		c.refresh()
 	}
-	if now-c.heartbeatAt >= c.timing.HeartbeatInterval {
+	if c.heartbeats.IsDue(now) {
 		c.sendHeartbeat()
 	}
 	if c.quorum == nil {
@@ -447,38 +442,6 @@
 	}
 }
 
-func (c *Machine) sendHeartbeat() {
-	if c.bootstrap.System() == "" {
-		return
-	}
-	c.heartbeatAt = c.now
-	c.serial = c.heartbeats.Next()
-	b := &schema.Heartbeat{Node: c.spoken(c.peerSampler.Self()), Version: uint64(c.table.Version()), Health: c.healthReports, Suspects: c.peerSampler.Suspects(), Serial: c.serial, ReplicaSet: c.reservationSet, ReplicaReady: c.isReservationReady, OldestIndex: c.oldestIndex}
-	if c.routed != nil {
-		b.Load = c.routed.takeLoad(c.now)
-		if healthReports := c.routed.options.HealthReports; healthReports != nil {
-			b.Health = healthReports()
-		}
-		c.sendRelayedHeartbeat(b)
-		return
-	}
-	if c.quorum != nil && c.quorum.Role() == raft.Leader {
-		c.noteHeartbeatSent(c.self.Address)
-		c.takeHeartbeat(&schema.Frame{From: c.self.Id, Address: c.self.Address}, b)
-		return
-	}
-	to := c.leader
-	if to == "" || to == c.self.Address || c.now-c.leaderAt > constants.RaftElectionLeast*2 && c.serial%2 == 0 {
-		to = c.pick(func(node *schema.Node) bool { return node.Disk })
-	}
-	c.noteHeartbeatSent(to)
-	c.send(to, &schema.Frame{Body: &schema.Frame_Heartbeat{Heartbeat: b}})
-}
-
-func (c *Machine) noteHeartbeatSent(to string) {
-	c.heartbeats.Sent(c.now, to)
-}
-
 func (c *Machine) takeHeartbeat(f *schema.Frame, b *schema.Heartbeat) {
 	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: uint64(c.table.Version())}
 	isLeader := c.IsLeading() && c.isFitNode(b.Node)
@@ -511,30 +474,12 @@
 		}
 	}
 	if f.From == c.self.Id {
-		c.takeLease(f, response)
+		c.takeHeartbeatResponse(f.Address, response)
 		return
 	}
 	c.send(f.Address, &schema.Frame{Body: &schema.Frame_HeartbeatResponse{HeartbeatResponse: response}})
 }
 
-func (c *Machine) takeLease(f *schema.Frame, o *schema.HeartbeatResponse) {
-	if !o.Accepted {
-		if o.Leader != "" && o.Leader != c.leader && o.Leader != f.Address {
-			c.leader, c.leaderAt = o.Leader, c.now
-			c.heartbeatAt = 0
-		}
-		return
-	}
-	c.leader, c.leaderAt = f.Address, c.now
-	sentAt, isKnown := c.heartbeats.Match(o.Serial, f.Address)
-	if !isKnown {
-		return
-	}
-	if o.LeaseMs > 0 {
-		c.leaseUntil = max(c.leaseUntil, sentAt+time.Duration(o.LeaseMs)*time.Millisecond)
-	}
-}
-
 func (c *Machine) publish(changed []*schema.Row) {
 	if len(changed) == 0 && c.view.Version == c.table.Version() {
 		return
@@ -546,7 +491,7 @@
 	if slices.ContainsFunc(changed, func(row *schema.Row) bool {
 		return row.Key == store.HeadKey || strings.HasPrefix(row.Key, "district/")
 	}) {
-		c.heartbeatAt = 0
+		c.heartbeats.Hasten()
 	}
 	c.noteFences(changed)
 	c.bootstrap.Adopt(c.view.System)
@@ -592,10 +537,10 @@
 
 // Local gives what the hot path may rely on now.
 func (c *Machine) Local() *Local {
-	l := &Local{View: c.view, HeldPrefixes: c.subscription.Held(), IsFull: c.isFull(), FreshAt: c.rowsFreshAt(), LeaseUntil: c.leaseUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
+	l := &Local{View: c.view, HeldPrefixes: c.subscription.Held(), IsFull: c.isFull(), FreshAt: c.rowsFreshAt(), LeaseUntil: c.heartbeats.LeaseUntil(), Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
 		Leader: c.leader, System: c.bootstrap.System(), ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
 		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader",
-		StaleResponses: c.staleResponses + c.heartbeats.Stale() + c.subscription.StaleResponses() + c.operations.StaleResponses()}
+		StaleResponses: c.staleResponses + c.heartbeats.StaleResponses() + c.subscription.StaleResponses() + c.operations.StaleResponses()}
 	if c.quorum != nil {
 		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), uint64(c.quorum.Term()), uint64(c.quorum.CommitIndex()), c.quorum.Members(), uint64(c.quorum.SnapshotIndex())
 		if c.quorum.Role() == raft.Leader {
--- a/internal/controlplane/routed.go
+++ b/internal/controlplane/routed.go
@@ -53,16 +53,11 @@
 	listing       *discovery.Listing
 	incarnation   uint64
 	loads         map[string][]nodeLoad
-	loadAt        time.Duration
 	dead          map[string]bool
-	// relayed are the heartbeats that this node took for the leader since it last told it.
-	relayed        map[string]*schema.Heartbeat
-	heartbeatTo    string
-	heartbeatState schema.NodeState
 }
 
 func newRoutedState(options Options) *routedState {
-	r := &routedState{options: options.Routed, loads: map[string][]nodeLoad{}, dead: map[string]bool{}, relayed: map[string]*schema.Heartbeat{}}
+	r := &routedState{options: options.Routed, loads: map[string][]nodeLoad{}, dead: map[string]bool{}}
 	r.resign(options)
 	return r
 }
@@ -77,15 +72,6 @@
 	r.dead = map[string]bool{}
 }
 
-func (r *routedState) takeLoad(now time.Duration) []*schema.ShardLoad {
-	if r.options.Load == nil || now-r.loadAt < constants.LoadEvery {
-		return nil
-	}
-	span := now - r.loadAt
-	r.loadAt = now
-	return r.options.Load(span)
-}
-
 func (r *routedState) noteLoad(now time.Duration, node string, loads []*schema.ShardLoad) {
 	reports := append(r.loads[node], nodeLoad{now, loads})
 	r.loads[node] = reports[max(0, len(reports)-constants.LoadReports):]
