--- a/internal/sim/node_start.go
+++ b/internal/sim/node_start.go
@@ -92,10 +92,10 @@
 			return nil, false
 		}
 	}
-	options.Hard, options.Snapshot, options.Items = state.Hard, state.Snapshot, state.Items
-	options.System, options.Restart = state.Hard.System, state.Hard.Id != ""
+	options.Hard, options.Snapshot, options.Items = state.HardState, state.Snapshot, state.Entries
+	options.System, options.Restart = state.HardState.System, state.HardState.Id != ""
 	if options.Restart {
-		n.id = state.Hard.Id
+		n.id = state.HardState.Id
 		options.Self.Id = n.id
 	}
 	return opened, true
