--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,6 +16,7 @@
 	"topazshed/internal/adminapi"
 	"topazshed/internal/controlplane"
 	"topazshed/internal/journal"
+	"topazshed/internal/leader"
 	"topazshed/internal/schema"
 	"topazshed/internal/settings"
 	"topazshed/internal/store"
@@ -84,7 +85,7 @@
 	// drain refuses new requests, waits for those in flight and returns early with the error that ended the process.
 	drain() error
 	// grantLease begins a call to a back end about a shard lease; the owner calls it.
-	grantLease(call controlplane.LeaseCall)
+	grantLease(call leader.LeaseCall)
 }
 
 // Start brings a process up. Whoever gets a node calls Wait, which also ends it.
