--- a/internal/controlplane/routed.go
+++ b/internal/controlplane/routed.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"topazshed/internal/constants"
 	"topazshed/internal/discovery"
 	"topazshed/internal/leader"
 	"topazshed/internal/schema"
@@ -34,24 +33,10 @@
 
 type routedState struct {
 	options *Routed
-	loadAt  time.Duration
-	// relayed are the heartbeats that this node took for the leader since it last told it.
-	relayed        map[string]*schema.Heartbeat
-	heartbeatTo    string
-	heartbeatState schema.NodeState
 }
 
 func newRoutedState(options Options) *routedState {
-	return &routedState{options: options.Routed, relayed: map[string]*schema.Heartbeat{}}
-}
-
-func (r *routedState) takeLoad(now time.Duration) []*schema.ShardLoad {
-	if r.options.Load == nil || now-r.loadAt < constants.LoadEvery {
-		return nil
-	}
-	span := now - r.loadAt
-	r.loadAt = now
-	return r.options.Load(span)
+	return &routedState{options: options.Routed}
 }
 
 // SetListing takes a read of the platform's list of a routed fleet; only the leader uses it.
