--- a/internal/discovery/list_limiter.go
+++ b/internal/discovery/list_limiter.go
@@ -63,7 +63,7 @@
 	burst := max(1, int(l.rate))
 	if len(l.calls) >= burst {
 		period := time.Duration(float64(burst) / l.rate * float64(time.Second))
-		at = max(at, l.calls[len(l.calls)-burst]+max(constants.ListSecond, period))
+		at = max(at, l.calls[len(l.calls)-burst]+max(constants.ListWindow, period))
 	}
 	l.calls = append(l.calls, at)
 	l.calls = l.calls[max(0, len(l.calls)-burst):]
--- a/internal/gateway/slow_start.go
+++ b/internal/gateway/slow_start.go
@@ -16,14 +16,14 @@
 // MayCold counts a request to a cold back end if this node's share, one of so many, allows it. An earlier process of this node may have
 // spent the share of the second that this one began in.
 func (l *Loads) MayCold(now time.Duration, id string, policy *schema.ServicePolicy, shares int) bool {
-	if now-l.begun < constants.ColdSecond {
+	if now-l.begun < constants.ColdWindow {
 		return false
 	}
 	allowed := l.ColdRate(policy) / max(1, shares)
 	s := l.lockStripe(id)
 	defer s.lock.Unlock()
 	i := s.instance(id)
-	for len(i.coldSends) > 0 && now-i.coldSends[0] >= constants.ColdSecond {
+	for len(i.coldSends) > 0 && now-i.coldSends[0] >= constants.ColdWindow {
 		i.coldSends = i.coldSends[1:]
 	}
 	if len(i.coldSends) >= allowed {
--- a/internal/gateway/slow_start_test.go
+++ b/internal/gateway/slow_start_test.go
@@ -59,7 +59,7 @@
 	}{
 		{"just begun", 0, 0},
 		{"nine tenths of a second", 900 * time.Millisecond, 0},
-		{"the second of its former life is over", constants.ColdSecond, 3},
+		{"the second of its former life is over", constants.ColdWindow, 3},
 		{"old", time.Hour, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
