--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -10,6 +10,7 @@
 
 	"topazshed/internal/controlplane"
 	"topazshed/internal/gateway"
+	"topazshed/internal/idempotency"
 	"topazshed/internal/proxy"
 	"topazshed/internal/schema"
 )
@@ -30,7 +31,7 @@
 	// Stats gives the node's counters of requests by their result.
 	Stats func() map[string]uint64
 	// Replica gives the state of the node's replica of reservations; nil in a fleet of routes.
-	Replica func() (number uint64, isMember, isReady bool, reservations int)
+	Replica func() idempotency.Status
 	// Disk gives the state of the data folder; it is called only on a node with a disk.
 	Disk func() Disk
 	// Match serves GET /v1/match in a fleet of entries.
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -12,6 +12,7 @@
 
 	"topazshed/internal/constants"
 	"topazshed/internal/controlplane"
+	"topazshed/internal/idempotency"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -34,7 +35,7 @@
 			}
 			return response, fault
 		},
-		Stats: func() map[string]uint64 { return nil }, Replica: func() (uint64, bool, bool, int) { return 1, true, true, 0 }, Disk: func() Disk { return Disk{} }, Match: http.NotFoundHandler()})
+		Stats: func() map[string]uint64 { return nil }, Replica: func() idempotency.Status { return idempotency.Status{SetNumber: 1, IsMember: true, IsReady: true} }, Disk: func() Disk { return Disk{} }, Match: http.NotFoundHandler()})
 }
 
 func TestServer(t *testing.T) {
--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -78,8 +78,8 @@
 		status.ListMs = (now - local.ListAt).Milliseconds()
 	}
 	if s.options.Replica != nil {
-		number, isMember, isReady, reservations := s.options.Replica()
-		status.Replica = &ReplicaStatus{Reservations: reservations, Member: isMember, Number: number, Ready: isReady}
+		replica := s.options.Replica()
+		status.Replica = &ReplicaStatus{Reservations: replica.Reservations, Member: replica.IsMember, Number: replica.SetNumber, Ready: replica.IsReady}
 	}
 	if s.options.Resting != nil {
 		status.Resting = s.options.Resting()
--- a/internal/node/entry_service.go
+++ b/internal/node/entry_service.go
@@ -87,8 +87,8 @@
 	if set := current.View.ReplicaSets[n.self.Region]; set != nil {
 		s.replica.Adopt(n.Now(), set)
 	}
-	number, isMember, isReady, _ := s.replica.State()
-	n.machine.SetReservationReplica(number, isMember && isReady)
+	status := s.replica.Status()
+	n.machine.SetReservationReplica(status.SetNumber, status.IsMember && status.IsReady)
 	n.machine.SetOldestIndex(s.loads.Floor())
 }
 
@@ -118,7 +118,7 @@
 		}
 	case *schema.Frame_ReservationCopyRequest:
 		if isOwnSystem {
-			copied := s.replica.Copy(s.node.Now(), body.ReservationCopyRequest)
+			copied := s.replica.AnswerCopy(s.node.Now(), body.ReservationCopyRequest)
 			response = &schema.Frame{Body: &schema.Frame_ReservationCopyResponse{ReservationCopyResponse: copied}}
 		}
 	case *schema.Frame_ReplayRequest:
@@ -139,7 +139,7 @@
 func (s *entryService) reserve(local *controlplane.Local, request *schema.ReservationRequest) *schema.Frame {
 	now := s.node.Now()
 	isLeased := now < local.LeaseUntil
-	reserved := s.replica.Take(now, request, isLeased)
+	reserved := s.replica.Reserve(now, request, isLeased)
 	return &schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: reserved}}
 }
 
@@ -163,21 +163,21 @@
 			return
 		case <-ticker.C:
 		}
-		for _, asking := range s.replica.Ask(s.node.Now()) {
-			s.node.tasks.Go(func() { s.copyFrom(ctx, asking) })
+		for _, task := range s.replica.DueCopies(s.node.Now()) {
+			s.node.tasks.Go(func() { s.copyFrom(ctx, task) })
 		}
 	}
 }
 
-func (s *entryService) copyFrom(ctx context.Context, asking idempotency.Asking) {
+func (s *entryService) copyFrom(ctx context.Context, task idempotency.CopyTask) {
 	ctx, cancel := context.WithTimeout(ctx, constants.ReservationWait)
 	defer cancel()
-	request := &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: asking.Message}}
-	response, err := s.call(ctx, asking.Member.Address, request)
+	request := &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: task.Request}}
+	response, err := s.call(ctx, task.Member.Address, request)
 	if err != nil || response.GetReservationCopyResponse() == nil {
 		return
 	}
-	s.replica.Copied(s.node.Now(), asking.Member.Id, response.GetReservationCopyResponse())
+	s.replica.TakeCopy(s.node.Now(), task.Member.Id, response.GetReservationCopyResponse())
 }
 
 func (s *entryService) adminHandler() http.Handler {
@@ -189,7 +189,7 @@
 		Local:   n.local.Load,
 		Operate: n.operate,
 		Stats:   s.executor.Stats,
-		Replica: s.replica.State,
+		Replica: s.replica.Status,
 		Disk:    n.diskState,
 		Match:   finder,
 	})
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -278,8 +278,8 @@
 			if set := n.core.Local().View.ReplicaSets[n.Region]; set != nil {
 				n.replica.Adopt(f.clock(n), set)
 			}
-			number, isMember, isReady, _ := n.replica.State()
-			n.core.SetReservationReplica(number, isMember && isReady)
+			status := n.replica.Status()
+			n.core.SetReservationReplica(status.SetNumber, status.IsMember && status.IsReady)
 			if f.Options.Fault != "keys" {
 				n.core.SetOldestIndex(n.loads.Floor())
 			}
@@ -344,10 +344,10 @@
 	f.on(n, boot, func() {
 		n.core.Tick(f.clock(n))
 		f.perform(n)
-		for _, asking := range n.replica.Ask(f.clock(n)) {
-			f.call(n, asking.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: asking.Message}}, func(o *schema.Frame) {
+		for _, task := range n.replica.DueCopies(f.clock(n)) {
+			f.call(n, task.Member.Address, &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: task.Request}}, func(o *schema.Frame) {
 				if result := o.GetReservationCopyResponse(); result != nil {
-					n.replica.Copied(f.clock(n), asking.Member.Id, result)
+					n.replica.TakeCopy(f.clock(n), task.Member.Id, result)
 				}
 			})
 		}
@@ -475,7 +475,7 @@
 	case *schema.Frame_ReservationRequest:
 		reply(&schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: f.take(n, body.ReservationRequest)}})
 	case *schema.Frame_ReservationCopyRequest:
-		reply(&schema.Frame{Body: &schema.Frame_ReservationCopyResponse{ReservationCopyResponse: n.replica.Copy(f.clock(n), body.ReservationCopyRequest)}})
+		reply(&schema.Frame{Body: &schema.Frame_ReservationCopyResponse{ReservationCopyResponse: n.replica.AnswerCopy(f.clock(n), body.ReservationCopyRequest)}})
 	case *schema.Frame_ReplayRequest:
 		reply(&schema.Frame{Body: &schema.Frame_ReplayResponse{ReplayResponse: n.kept.Replay(body.ReplayRequest)}})
 	default:
@@ -489,7 +489,7 @@
 		return &schema.ReservationResponse{State: schema.ReservationState_RESERVATION_TAKEN, Owner: c.Owner, ReplicaSet: c.ReplicaSet}
 	}
 	now := f.clock(n)
-	return n.replica.Take(now, c, now < n.core.Local().LeaseUntil || f.Options.Fault == "grants")
+	return n.replica.Reserve(now, c, now < n.core.Local().LeaseUntil || f.Options.Fault == "grants")
 }
 
 func (f *Fleet) call(n *Node, to string, frame *schema.Frame, take func(*schema.Frame)) {
