--- a/internal/idempotency/reservation.go
+++ b/internal/idempotency/reservation.go
@@ -65,7 +65,9 @@
 }
 
 // reserve fills in the response to a request at a replica that is ready.
-func (s *shard) reserve(now time.Duration, request *schema.ReservationRequest, response *schema.ReservationResponse, knownSince time.Duration) {
+func (s *shard) reserve(
+	now time.Duration, request *schema.ReservationRequest, response *schema.ReservationResponse, knownSince time.Duration,
+) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.evictIfDue(now)
