--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -55,15 +55,13 @@
 }
 
 func (h operatorHost) ToleratedLosses() (count uint32, unresponsive []string) {
-	return h.machine.toleratedLosses()
+	return h.machine.duties.ToleratedLosses(h.machine.state())
 }
 
 func (h operatorHost) Unconfirmed(index raft.Index) []string {
 	var zones []string
-	for id, node := range h.machine.view.Nodes {
-		record := h.machine.nodes[id]
-		isConfirmed := record != nil && raft.Index(record.version) >= index
-		if node.State != schema.NodeState_NODE_STOPPING && !isConfirmed && !slices.Contains(zones, node.Zone) {
+	for _, node := range h.machine.duties.Fleet().Unreached(h.machine.view, index) {
+		if !slices.Contains(zones, node.Zone) {
 			zones = append(zones, node.Zone)
 		}
 	}
@@ -88,11 +86,11 @@
 	if id == c.self.Id {
 		return &schema.NodeReport{Id: id, Index: uint64(c.table.Version())}
 	}
-	record := c.nodes[id]
-	if record == nil || record.heard == 0 {
+	record := c.duties.Fleet().Node(id)
+	if record == nil || record.LastHeard == 0 {
 		return &schema.NodeReport{Id: id, NeverHeard: true}
 	}
-	return &schema.NodeReport{Id: id, Index: record.version, HeardMs: uint32((c.now - record.heard).Milliseconds())}
+	return &schema.NodeReport{Id: id, Index: uint64(record.Version), HeardMs: uint32((c.now - record.LastHeard).Milliseconds())}
 }
 
 func (h operatorHost) Send(to string, frame *schema.Frame) { h.machine.send(to, frame) }
