--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -49,7 +49,7 @@
 	driver  *controlplane.Driver
 	replica *idempotency.Replica
 	loads   *proxy.Loads
-	kept    *proxy.Kept
+	kept    *proxy.ResponseCache
 	// failedChecks counts the failed health checks in a row by back end.
 	failedChecks map[string]int
 	// serial numbers calls and requests; pendingCalls are the calls without an answer, inFlight the proxy's requests.
--- a/internal/sim/proxy_request.go
+++ b/internal/sim/proxy_request.go
@@ -55,10 +55,10 @@
 	f.onNode(n, n.Boot, func() {
 		request, fault := proxy.ReadRequest(httpRequest)
 		if fault != nil {
-			respond(proxy.Tell(n.id, httpRequest.Header.Get(proxy.HeaderAttempt), nil, fault), "")
+			respond(proxy.CallerResult(n.id, httpRequest.Header.Get(proxy.HeaderAttempt), nil, fault), "")
 			return
 		}
-		request.Seal()
+		request.SetDigest()
 		n.serial++
 		r := &proxyRequest{fleet: f, node: n, nodeBoot: n.Boot, id: n.serial, request: request, respond: respond}
 		r.machine = proxy.NewRequestMachine(proxy.RequestOptions{
@@ -118,7 +118,7 @@
 		if order.Fault != nil {
 			f.Counts[order.Fault.Result+" "+order.Fault.Kind]++
 		}
-		r.answer(proxy.Tell(n.id, r.request.Attempt, order.Result, order.Fault), "")
+		r.answer(proxy.CallerResult(n.id, r.request.Attempt, order.Result, order.Fault), "")
 	case proxy.OrderWait:
 		if order.Wanted != "" {
 			n.machine.Want(f.clock(n), order.Wanted)
