--- a/internal/sim/backend_work.go
+++ b/internal/sim/backend_work.go
@@ -177,7 +177,7 @@
 // result makes a whole answer with its digest and notes the digest in the history.
 func (r *backendRequest) result(status int, text string) *proxy.Result {
 	result := &proxy.Result{Status: status, Body: []byte(text), Header: http.Header{}}
-	r.arrival.Digest = proxy.Seal(result.Body)
+	r.arrival.Digest = proxy.ContentDigest(result.Body)
 	result.Header.Set(proxy.HeaderAttempt, r.arrival.Attempt)
 	result.Header.Set(proxy.HeaderService, r.backend.Service)
 	result.Header.Set(proxy.HeaderInstance, r.backend.Instance)
@@ -202,11 +202,11 @@
 	case ModeForeign:
 		result.Body = []byte(strings.ReplaceAll(string(result.Body), r.arrival.Attempt, otherAttempt))
 		result.Header.Set(proxy.HeaderAttempt, otherAttempt)
-		result.Header.Set(proxy.HeaderDigest, proxy.Seal(result.Body))
+		result.Header.Set(proxy.HeaderDigest, proxy.ContentDigest(result.Body))
 	}
 	if isSealForged {
 		result.Header.Set(proxy.HeaderAttempt, r.arrival.Attempt)
-		result.Header.Set(proxy.HeaderDigest, proxy.Seal(result.Body))
+		result.Header.Set(proxy.HeaderDigest, proxy.ContentDigest(result.Body))
 	}
 	return event
 }
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -108,7 +108,7 @@
 		response := f.takeReservation(n, body.ReservationRequest)
 		f.reply(n, frame, &schema.Frame{Body: &schema.Frame_ReservationResponse{ReservationResponse: response}})
 	case *schema.Frame_ReservationCopyRequest:
-		response := n.replica.Copy(f.clock(n), body.ReservationCopyRequest)
+		response := n.replica.AnswerCopy(f.clock(n), body.ReservationCopyRequest)
 		f.reply(n, frame, &schema.Frame{Body: &schema.Frame_ReservationCopyResponse{ReservationCopyResponse: response}})
 	case *schema.Frame_ReplayRequest:
 		response := n.kept.Replay(body.ReplayRequest)
@@ -145,7 +145,7 @@
 	}
 	now := f.clock(n)
 	hasLease := now < n.machine.Local().LeaseUntil || f.Options.Fault == FaultLeases
-	return n.replica.Take(now, request, hasLease)
+	return n.replica.Reserve(now, request, hasLease)
 }
 
 // call sends a request to a machine; take gets the answer, if one comes. A machine answers its own reservations at once.
