--- a/internal/node/lease_calls.go
+++ b/internal/node/lease_calls.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"topazshed/internal/constants"
-	"topazshed/internal/controlplane"
+	"topazshed/internal/leader"
 )
 
 // grantLease carries out a call to a back end about a shard lease and gives its result to the control machine.
-func (s *routeService) grantLease(call controlplane.LeaseCall) {
+func (s *routeService) grantLease(call leader.LeaseCall) {
 	n := s.node
 	n.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(n.ctx, call.Timeout)
