--- a/internal/controlplane/driver.go
+++ b/internal/controlplane/driver.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"topazshed/internal/journal"
+	"topazshed/internal/leader"
 	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
@@ -17,7 +18,7 @@
 	Now     func() time.Duration
 	Send    func(to string, f *schema.Frame)
 	Answer  func(LocalResponse)
-	Leased  func(LeaseCall)
+	Leased  func(leader.LeaseCall)
 	Synced  func(took time.Duration, err error)
 	Publish func()
 	Write   func(work func() error, done func(error))
@@ -73,7 +74,7 @@
 		}
 		return d.Journal.Append(effects.Hard, effects.Quorum.Entries)
 	}, func(err error) {
-		var full *journal.FullError
+		var full *journal.RingFullError
 		switch {
 		case errors.As(err, &full) && !isAgain:
 			d.compact(func() { d.store(effects, true) })
--- a/internal/controlplane/world_test.go
+++ b/internal/controlplane/world_test.go
@@ -17,6 +17,7 @@
 	"topazshed/internal/constants"
 	"topazshed/internal/controlplane"
 	"topazshed/internal/journal"
+	"topazshed/internal/leader"
 	"topazshed/internal/operations"
 	"topazshed/internal/schema"
 	"topazshed/internal/sim"
@@ -205,15 +206,15 @@
 			w.t.Fatal(err)
 		}
 		opened = j
-		options.Hard, options.Snapshot, options.Items = state.Hard, state.Snapshot, state.Items
-		options.System, options.Restart = state.Hard.System, state.Hard.Id != ""
+		options.Hard, options.Snapshot, options.Items = state.HardState, state.Snapshot, state.Entries
+		options.System, options.Restart = state.HardState.System, state.HardState.Id != ""
 		if options.Restart {
-			self.Id = state.Hard.Id
+			self.Id = state.HardState.Id
 		}
 	}
 	m.core = controlplane.New(w.now, options)
 	m.driver = &controlplane.Driver{Core: m.core, Journal: opened, Now: func() time.Duration { return w.now }, Send: m.send, Publish: func() {}, Synced: func(time.Duration, error) {}, Write: m.write,
-		Leased: func(controlplane.LeaseCall) {}, Answer: func(o controlplane.LocalResponse) {
+		Leased: func(leader.LeaseCall) {}, Answer: func(o controlplane.LocalResponse) {
 			if answer := m.answers[o.Ticket]; answer != nil {
 				delete(m.answers, o.Ticket)
 				answer(o.Response)
--- a/internal/node/entry_service.go
+++ b/internal/node/entry_service.go
@@ -10,6 +10,7 @@
 	"topazshed/internal/controlplane"
 	"topazshed/internal/directory"
 	"topazshed/internal/idempotency"
+	"topazshed/internal/leader"
 	"topazshed/internal/proxy"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
@@ -21,7 +22,7 @@
 	node     *Node
 	replica  *idempotency.Replica
 	loads    *proxy.Loads
-	kept     *proxy.Kept
+	kept     *proxy.ResponseCache
 	pool     *proxy.Pool
 	executor *proxy.Executor
 }
@@ -36,7 +37,7 @@
 	s.pool = proxy.NewPool(n.settings.Proxy)
 	n.cleanup.push("pool", s.pool.Close)
 	s.loads = proxy.NewLoads(n.Now)
-	s.kept = proxy.NewKept()
+	s.kept = proxy.NewResponseCache()
 	s.executor = proxy.NewExecutor(proxy.Options{
 		Self:  n.self,
 		Now:   n.Now,
@@ -89,7 +90,7 @@
 	}
 	number, isMember, isReady, _ := s.replica.State()
 	n.machine.SetReservationReplica(number, isMember && isReady)
-	n.machine.SetOldestIndex(s.loads.Floor())
+	n.machine.SetOldestIndex(s.loads.OldestVersion())
 }
 
 func (s *entryService) forgetConnections(previous, current *store.View) {
@@ -196,7 +197,7 @@
 }
 
 // grantLease is never called: a fleet of entries has no shards.
-func (s *entryService) grantLease(controlplane.LeaseCall) {}
+func (s *entryService) grantLease(leader.LeaseCall) {}
 
 // drain accepts requests until callers have had time to learn that this node stops, then finishes those in flight.
 func (s *entryService) drain() error {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,6 +16,7 @@
 	"topazshed/internal/adminapi"
 	"topazshed/internal/controlplane"
 	"topazshed/internal/journal"
+	"topazshed/internal/leader"
 	"topazshed/internal/schema"
 	"topazshed/internal/settings"
 	"topazshed/internal/store"
@@ -84,7 +85,7 @@
 	// drain refuses new requests, waits for those in flight and returns early with the error that ended the process.
 	drain() error
 	// grantLease begins a call to a back end about a shard lease; the owner calls it.
-	grantLease(call controlplane.LeaseCall)
+	grantLease(call leader.LeaseCall)
 }
 
 // Start brings a process up. Whoever gets a node calls Wait, which also ends it.
@@ -137,10 +138,10 @@
 		if err != nil {
 			return err
 		}
-		options.Hard, options.Snapshot, options.Items = state.Hard, state.Snapshot, state.Items
-		options.System, options.Restart = state.Hard.System, state.Hard.Id != ""
+		options.Hard, options.Snapshot, options.Items = state.HardState, state.Snapshot, state.Entries
+		options.System, options.Restart = state.HardState.System, state.HardState.Id != ""
 		if options.Restart {
-			n.self.Id = state.Hard.Id
+			n.self.Id = state.HardState.Id
 		}
 	}
 	n.log = n.log.With("node", n.self.Id)
