--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -91,19 +91,6 @@
 	return true
 }
 
-func (c *Machine) newestFence() uint64 {
-	var newest uint64
-	for key := range c.fences {
-		newest = max(newest, c.table.Get(key).GetIndex())
-	}
-	for region, set := range c.view.ReplicaSets {
-		if set.Fenced {
-			newest = max(newest, c.table.Get(store.ReplicaSetKey(region)).GetIndex())
-		}
-	}
-	return newest
-}
-
 func (c *Machine) planNodes() {
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: "nodes"}
 	put := func(key string, row *schema.Row) {
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -4,16 +4,13 @@
 import (
 	"fmt"
 	"log/slog"
-	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
 	"topazshed/internal/discovery"
-	"topazshed/internal/failover"
 	"topazshed/internal/inflight"
 	"topazshed/internal/membership"
 	"topazshed/internal/operations"
@@ -22,6 +19,7 @@
 	"topazshed/internal/raft"
 	"topazshed/internal/replication"
 	"topazshed/internal/schema"
+	"topazshed/internal/statemachine"
 	"topazshed/internal/store"
 	"topazshed/internal/timing"
 )
@@ -114,6 +112,7 @@
 	self               *schema.Node
 	system             string
 	quorum             *raft.Node
+	state              *statemachine.Machine
 	table              *store.Table
 	view               *store.View
 	peerSampler        *membership.Sampler
@@ -128,7 +127,6 @@
 	heartbeats         *inflight.Requests
 	serial             uint64
 	leaseUntil         time.Duration
-	freshAt            time.Duration
 	subscription       *replication.Subscription
 	publisher          *replication.Publisher
 	nodes              map[string]*nodeRecord
@@ -152,17 +150,8 @@
 	oldestIndex        uint64
 	peers              map[string]time.Duration
 	proposals          *proposals.Proposer
-	verdicts           map[uint64]string
-	snapshotAt         raft.Index
-	knownCommit        raft.Index
-	fences             map[string]time.Duration
-	behindAt           time.Duration
-	opened             map[string]time.Duration
-	openedAs           map[string]uint64
 	addresses          map[string]string
-	knownCommitAt      time.Duration
 	routed             *routedState
-	changes            []*schema.FailoverChange
 	speaks             protocolversion.Span
 	refused            error
 	risingTo           uint32
@@ -178,24 +167,20 @@
 		log:          options.Log,
 		self:         proto.Clone(options.Self).(*schema.Node),
 		system:       options.System,
-		table:        store.NewTable(),
-		view:         store.NewView(),
+		state:        statemachine.New(options.Speaks.OrOwn()),
 		endpoints:    discovery.New(),
 		nodes:        map[string]*nodeRecord{},
 		releasedAt:   map[uint64]time.Duration{},
 		seeds:        map[string]time.Duration{},
 		empties:      map[string]bool{},
 		peers:        map[string]time.Duration{},
-		verdicts:     map[uint64]string{},
-		fences:       map[string]time.Duration{},
-		opened:       map[string]time.Duration{},
-		openedAs:     map[string]uint64{},
 		addresses:    map[string]string{},
 		now:          now,
 		tickedAt:     now,
 		speaks:       options.Speaks.OrOwn(),
 		refusedNodes: map[string]uint64{},
 	}
+	c.table, c.view = c.state.Table(), c.state.View()
 	c.timing = timing.ForEntries()
 	if options.Routed != nil {
 		c.timing = timing.ForRoutes(options.Routed.Quiet)
@@ -206,17 +191,12 @@
 	c.publisher = replication.NewPublisher(c.table, c.timing.DeltaInterval)
 	c.peerSampler = membership.New(membership.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Pace: c.timing.Sampler})
 	if options.Self.Disk {
-		if options.Snapshot != nil {
-			c.table.Restore(options.Snapshot)
-		}
+		c.guardState(c.state.Load(now, options.Snapshot))
 		c.quorum = raft.New(now, raft.Options{ID: c.self.Id, Hard: c.restored(options.Hard), Snapshot: options.Snapshot, Items: options.Items, Draw: options.Draw, Whole: c.Whole, Pace: c.timing.Raft})
 		c.proposals = proposals.New(c.quorum, c.table)
 	}
 	c.operations = newOperations(c)
 	if c.quorum != nil {
-		c.view = store.Compile(c.table)
-		c.noteFences(c.table.Rows(store.All))
-		c.guard(c.view.Fleet)
 		c.apply()
 		c.learnMembers()
 	}
@@ -352,7 +332,7 @@
 		if c.quorum.LeaderID() == f.From {
 			c.leader, c.leaderAt = f.Address, now
 			if body.Raft.Kind == schema.RaftKind_RAFT_APPEND {
-				c.knownCommit, c.knownCommitAt = raft.Index(body.Raft.Commit), now
+				c.state.ObserveCommit(now, raft.Index(body.Raft.Commit))
 			}
 		}
 	case *schema.Frame_DiscoverRequest:
@@ -458,7 +438,7 @@
 	if c.quorum != nil {
 		c.quorum.Tick(now)
 		c.lead()
-		c.refresh()
+		c.state.Refresh(c.now)
 	}
 	if now-c.heartbeatAt >= c.timing.HeartbeatInterval {
 		c.sendHeartbeat()
@@ -576,7 +556,7 @@
 		isKnown := row != nil && row.State != schema.NodeState_NODE_LOST && b.Node.State == row.State
 		if isKnown {
 			left := c.quorum.Contact() + constants.LeaseDuration - c.now
-			if left > 0 && b.Version >= c.newestFence() {
+			if left > 0 && b.Version >= uint64(c.state.NewestFence()) {
 				response.LeaseMs = uint32(left.Milliseconds())
 				g.until = c.now + left + constants.LeaseClockMargin
 			}
@@ -609,66 +589,32 @@
 	}
 }
 
+// publish takes rows that have changed into the view.
 func (c *Machine) publish(changed []*schema.Row) {
-	if len(changed) == 0 && c.view.Version == c.table.Version() {
-		return
-	}
-	c.view = c.view.With(c.table, changed)
-	if c.guard(c.view.Fleet) != nil {
+	isOperatorChange, err := c.state.Publish(c.now, changed)
+	if c.guardState(err) != nil {
 		return
 	}
-	if slices.ContainsFunc(changed, func(row *schema.Row) bool {
-		return row.Key == store.HeadKey || strings.HasPrefix(row.Key, "district/")
-	}) {
+	if isOperatorChange {
 		c.heartbeatAt = 0
 	}
-	c.noteFences(changed)
 	if c.system == "" && c.view.System != "" {
 		c.system = c.view.System
 	}
 }
 
-func (c *Machine) noteFences(changed []*schema.Row) {
-	isCloned := false
-	for _, row := range changed {
-		isFenced := false
-		switch {
-		case strings.Contains(row.Key, "/standing/"):
-			isFenced = store.DecodeRow[schema.FailoverAssignment](row).GetFenced()
-		case strings.Contains(row.Key, "/entity/"):
-			entity := store.DecodeRow[schema.Entity](row)
-			isFenced = entity.GetFenced()
-			c.noteOpened(row.Key, entity)
-		default:
-			continue
-		}
-		if _, isNoted := c.fences[row.Key]; !isFenced && !isNoted {
-			continue
-		}
-		if !isCloned {
-			c.fences = maps.Clone(c.fences)
-			isCloned = true
-		}
-		if isFenced {
-			c.fences[row.Key] = c.now
-		} else {
-			delete(c.fences, row.Key)
-		}
-	}
-}
-
-func (c *Machine) noteOpened(key string, entity *schema.Entity) {
-	if entity == nil || entity.Fenced || c.openedAs[key] == entity.Number {
-		return
+// guardState takes the newest view after the state has changed; an error of the state ends this node's part.
+func (c *Machine) guardState(err error) error {
+	c.view = c.state.View()
+	if err != nil {
+		c.refuse(err)
 	}
-	c.openedAs[key] = entity.Number
-	c.opened = maps.Clone(c.opened)
-	c.opened[key] = c.now
+	return c.refused
 }
 
 // Local gives what the hot path may rely on now.
 func (c *Machine) Local() *Local {
-	l := &Local{View: c.view, HeldPrefixes: c.subscription.Held(), IsFull: c.isFull(), FreshAt: c.rowsFreshAt(), LeaseUntil: c.leaseUntil, Fences: c.fences, Opened: c.opened, BehindAt: c.behindAt, ThawedAt: c.thawedAt, TickAt: c.tickedAt,
+	l := &Local{View: c.view, HeldPrefixes: c.subscription.Held(), IsFull: c.isFull(), FreshAt: c.rowsFreshAt(), LeaseUntil: c.leaseUntil, Fences: c.state.Fences(), Opened: c.state.Opened(), BehindAt: c.state.BehindSince(), ThawedAt: c.thawedAt, TickAt: c.tickedAt,
 		Leader: c.leader, System: c.system, ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
 		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader",
 		StaleResponses: c.staleResponses + c.heartbeats.Stale() + c.subscription.StaleResponses() + c.operations.StaleResponses()}
@@ -729,7 +675,7 @@
 func (c *Machine) TakeUnbound() Effects {
 	if c.quorum != nil {
 		c.apply()
-		c.refresh()
+		c.state.Refresh(c.now)
 		c.publishDeltas()
 	}
 	if c.refused != nil {
@@ -770,17 +716,12 @@
 		return
 	}
 	if effects.Quorum.Snapshot != nil {
-		c.table.Restore(effects.Quorum.Snapshot)
-		c.view = store.Compile(c.table)
-		c.fences = map[string]time.Duration{}
-		c.noteFences(effects.Quorum.Snapshot.Rows)
-		c.snapshotAt = raft.Index(effects.Quorum.Snapshot.Index)
-		if c.guard(c.view.Fleet) != nil {
+		if c.guardState(c.state.Restore(now, effects.Quorum.Snapshot)) != nil {
 			return
 		}
 	}
 	c.quorum.Synced(now, effects.Quorum)
-	defer c.refresh()
+	defer c.state.Refresh(now)
 	c.apply()
 	for _, ticket := range effects.Quorum.Reads {
 		c.operations.ReadConfirmed(now, ticket)
@@ -791,64 +732,49 @@
 	c.publishDeltas()
 }
 
-func (c *Machine) refresh() {
-	switch {
-	case c.table.Version() >= c.knownCommit:
-		c.behindAt = 0
-		if c.knownCommit > 0 {
-			c.freshAt = c.knownCommitAt
-		}
-	case c.behindAt == 0:
-		c.behindAt = c.now
-	}
-}
-
+// apply applies what is committed. A node that doesn't know a record, or the fleet's version, applies nothing any more.
 func (c *Machine) apply() {
+	items := c.quorum.Committed()
+	if c.refused != nil {
+		return
+	}
+	applied, err := c.state.Apply(items)
 	var changed []*schema.Row
-	for _, item := range c.quorum.Committed() {
-		if c.refused == nil {
-			if _, isKnown := schema.RecordKind_name[int32(item.Record.GetKind())]; !isKnown {
-				c.refuse(&protocolversion.KindError{Kind: int32(item.Record.GetKind()), Index: item.Index})
-			}
-		}
-		if c.refused != nil {
-			return
-		}
-		before := c.numbersOf(item.Record)
-		rows, err := c.table.Apply(raft.Index(item.Index), item.Record, failover.Check)
-		if err != nil {
-			c.verdicts[item.Index] = err.Error()
-			c.log.Info("record void", "index", item.Index, "reason", err.Error())
-		}
-		if uint64(c.table.Version()) < item.Index {
-			continue
-		}
-		changed = append(changed, rows...)
-		c.noteChanges(item, before, rows)
-		if item.Record.Kind == schema.RecordKind_RECORD_MEMBERS {
-			c.log.Info("members", "voters", len(item.Record.Members.Voters), "learners", len(item.Record.Members.Learners), "reason", item.Record.Reason)
-		}
-		_, isVoid := c.verdicts[item.Index]
-		delete(c.verdicts, item.Index)
-		if c.operations.Applied(c.now, proposals.Position{Index: raft.Index(item.Index), Term: raft.Term(item.Term)}, isVoid) {
-			c.planAt = 0
-		}
-		c.noteOwners(rows)
+	for _, item := range applied {
+		c.noteApplied(item)
+		changed = append(changed, item.Rows...)
+	}
+	if err != nil {
+		c.refuse(err)
+		return
 	}
 	c.publish(changed)
 	c.operations.Resume(c.now)
 }
 
+// noteApplied tells the parts that wait for it that an item of the log is applied.
+func (c *Machine) noteApplied(applied statemachine.AppliedItem) {
+	item := applied.Item
+	if applied.Void != nil {
+		c.log.Info("record void", "index", item.Index, "reason", applied.Void.Error())
+	}
+	if members := item.Record.Members; item.Record.Kind == schema.RecordKind_RECORD_MEMBERS {
+		c.log.Info("members", "voters", len(members.Voters), "learners", len(members.Learners), "reason", item.Record.Reason)
+	}
+	position := proposals.Position{Index: raft.Index(item.Index), Term: raft.Term(item.Term)}
+	if c.operations.Applied(c.now, position, applied.Void != nil) {
+		c.planAt = 0
+	}
+	c.noteOwners(applied.Rows)
+}
+
 // Compactable tells whether a new snapshot should be written.
 func (c *Machine) Compactable() bool {
-	if c.quorum == nil || c.table.Version() <= c.snapshotAt {
-		return false
-	}
-	return c.table.Version() >= c.snapshotAt+constants.RaftSnapshotEvery || c.quorum.LogBytes() > constants.RaftLogBytes
+	return c.quorum != nil && c.state.NeedsSnapshot(c.quorum.LogBytes())
 }
 
 // Compacted tells that a snapshot of that index is on disk.
 func (c *Machine) Compacted(index raft.Index) {
-	c.snapshotAt = index
+	c.state.SnapshotWritten(index)
 	c.quorum.Compact(index)
 }
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -46,7 +46,7 @@
 
 func (h operatorHost) View() *store.View { return h.machine.view }
 
-func (h operatorHost) Changes() []*schema.FailoverChange { return h.machine.changes }
+func (h operatorHost) Changes() []*schema.FailoverChange { return h.machine.state.Changes() }
 
 func (h operatorHost) Leader() (address string, isReachable bool) {
 	c := h.machine
--- a/internal/controlplane/replicate.go
+++ b/internal/controlplane/replicate.go
@@ -37,7 +37,7 @@
 	if !c.isFull() {
 		return replication.Confirmation{}
 	}
-	confirmation := replication.Confirmation{IsMember: true, Age: c.now - c.freshAt}
+	confirmation := replication.Confirmation{IsMember: true, Age: c.now - c.state.FreshAt()}
 	if c.quorum.Role() == raft.Leader {
 		confirmation.Age = c.now - c.quorum.Contact()
 	}
@@ -77,7 +77,7 @@
 	if c.quorum == nil {
 		return c.subscription.FreshAt()
 	}
-	return c.freshAt
+	return c.state.FreshAt()
 }
 
 func (c *Machine) sendAll(envelopes []frame.Envelope) {
