--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -12,6 +12,7 @@
 	"topazshed/internal/constants"
 	"topazshed/internal/discovery"
 	"topazshed/internal/inflight"
+	"topazshed/internal/leader"
 	"topazshed/internal/membership"
 	"topazshed/internal/operations"
 	"topazshed/internal/proposals"
@@ -59,7 +60,7 @@
 	Hard      *schema.HardState
 	Sends     []Send
 	Responses []LocalResponse
-	Calls     []LeaseCall
+	Calls     []leader.LeaseCall
 	IsWork    bool
 }
 
@@ -92,18 +93,6 @@
 	StaleResponses uint64
 }
 
-type nodeRecord struct {
-	until              time.Duration
-	oldestIndex        uint64
-	version            uint64
-	heard              time.Duration
-	suspects           []string
-	reservationSet     uint64
-	isReservationReady bool
-	firstHeard         time.Duration
-	node               *schema.Node
-}
-
 // Machine is the machine.
 type Machine struct {
 	options            Options
@@ -116,7 +105,6 @@
 	view               *store.View
 	peerSampler        *membership.Sampler
 	bootstrap          *bootstrap.Machine
-	endpoints          *discovery.Endpoints
 	effects            Effects
 	now                time.Duration
 	tickedAt           time.Duration
@@ -129,48 +117,35 @@
 	leaseUntil         time.Duration
 	subscription       *replication.Subscription
 	publisher          *replication.Publisher
-	nodes              map[string]*nodeRecord
-	planAt             time.Duration
-	wasLeader          bool
-	electedAt          time.Duration
-	releasedAt         map[uint64]time.Duration
 	operations         *operations.Manager
 	staleResponses     uint64
 	listAt             time.Duration
 	listFault          string
-	listRead           *discovery.ListRead
 	healthReports      []*schema.HealthReport
 	reservationSet     uint64
 	isReservationReady bool
 	oldestIndex        uint64
 	peers              map[string]time.Duration
 	proposals          *proposals.Proposer
+	duties             *leader.Leader
 	addresses          map[string]string
 	routed             *routedState
 	speaks             protocolversion.Span
 	refused            error
-	risingTo           protocolversion.Version
-	risingFrom         time.Duration
-	proposed           protocolversion.Version
-	refusedNodes       map[string]uint64
 }
 
 // New restores a node from its journal, or makes an empty one.
 func New(now time.Duration, options Options) *Machine {
 	c := &Machine{
-		options:      options,
-		log:          options.Log,
-		self:         proto.Clone(options.Self).(*schema.Node),
-		state:        statemachine.New(options.Speaks.OrOwn()),
-		endpoints:    discovery.NewEndpoints(),
-		nodes:        map[string]*nodeRecord{},
-		releasedAt:   map[uint64]time.Duration{},
-		peers:        map[string]time.Duration{},
-		addresses:    map[string]string{},
-		now:          now,
-		tickedAt:     now,
-		speaks:       options.Speaks.OrOwn(),
-		refusedNodes: map[string]uint64{},
+		options:   options,
+		log:       options.Log,
+		self:      proto.Clone(options.Self).(*schema.Node),
+		state:     statemachine.New(options.Speaks.OrOwn()),
+		peers:     map[string]time.Duration{},
+		addresses: map[string]string{},
+		now:       now,
+		tickedAt:  now,
+		speaks:    options.Speaks.OrOwn(),
 	}
 	c.table, c.view = c.state.Table(), c.state.View()
 	c.timing = timing.ForEntries()
@@ -196,6 +171,7 @@
 		})
 		c.proposals = proposals.New(c.quorum, c.table)
 	}
+	c.duties = c.newDuties()
 	c.operations = newOperations(c)
 	if c.quorum != nil {
 		c.apply()
@@ -293,8 +269,7 @@
 	if sweep.IsWhole {
 		c.listAt = now
 	}
-	c.listRead = &sweep
-	c.planAt = 0
+	c.duties.Take(now, leader.ListRead{ListRead: sweep})
 }
 
 // SlowDisk tells that a sync took too long or failed; a leader hands over.
@@ -469,34 +444,10 @@
 
 func (c *Machine) takeHeartbeat(f *schema.Frame, b *schema.Heartbeat) {
 	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: uint64(c.table.Version())}
-	isLeader := c.IsLeading() && c.isFitNode(b.Node)
-	if isLeader {
+	if c.IsLeading() && c.duties.TakeHeartbeat(c.leaderState(), b) {
 		response.Leader, response.Accepted = c.self.Address, true
-		g := c.nodes[b.Node.Id]
-		if g == nil {
-			g = &nodeRecord{firstHeard: c.now}
-			c.nodes[b.Node.Id] = g
-		}
-		g.heard, g.version, g.suspects, g.node = c.now, b.Version, b.Suspects, b.Node
-		g.reservationSet, g.isReservationReady = b.ReplicaSet, b.ReplicaReady
-		if g.oldestIndex = b.Version; b.OldestIndex > 0 {
-			g.oldestIndex = min(b.OldestIndex, b.Version)
-		}
-		c.endpoints.Report(b.Node.Id, b.Health)
-		if c.routed != nil && len(b.Load) > 0 {
-			c.routed.noteLoad(c.now, b.Node.Id, b.Load)
-		}
-		row := c.view.Nodes[b.Node.Id]
-		isKnown := row != nil && row.State != schema.NodeState_NODE_LOST && b.Node.State == row.State
-		if isKnown {
-			left := c.quorum.LeadershipConfirmedAt() + constants.LeaseDuration - c.now
-			if left > 0 && b.Version >= uint64(c.state.NewestFence()) {
-				response.LeaseMs = uint32(left.Milliseconds())
-				g.until = c.now + left + constants.LeaseClockMargin
-			}
-		} else {
-			c.planAt = 0
-		}
+		lease := c.duties.GrantLease(c.leaderState(), b.Node.Id, c.state.NewestFence())
+		response.LeaseMs = uint32(lease.Milliseconds())
 	}
 	if f.From == c.self.Id {
 		c.takeLease(f, response)
@@ -622,8 +573,8 @@
 	if address := c.addresses[id]; address != "" {
 		return address
 	}
-	if g := c.nodes[id]; g != nil && c.now-g.heard < constants.NodeLostAfter {
-		return g.node.Address
+	if record := c.duties.Fleet().Node(id); record != nil && c.now-record.LastHeard < constants.NodeLostAfter {
+		return record.Node.Address
 	}
 	for _, node := range c.peerSampler.Known() {
 		if node.Id == id {
@@ -695,9 +646,9 @@
 	}
 	position := proposals.Position{Index: raft.Index(item.Index), Term: raft.Term(item.Term)}
 	if c.operations.Applied(c.now, position, applied.Void != nil) {
-		c.planAt = 0
+		c.duties.PlanNow()
 	}
-	c.noteOwners(applied.Rows)
+	c.duties.RowsApplied(applied.Rows)
 }
 
 // Compactable tells whether a new snapshot should be written.
--- a/internal/node/entry_service.go
+++ b/internal/node/entry_service.go
@@ -10,6 +10,7 @@
 	"topazshed/internal/controlplane"
 	"topazshed/internal/directory"
 	"topazshed/internal/idempotency"
+	"topazshed/internal/leader"
 	"topazshed/internal/proxy"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
@@ -196,7 +197,7 @@
 }
 
 // grantLease is never called: a fleet of entries has no shards.
-func (s *entryService) grantLease(controlplane.LeaseCall) {}
+func (s *entryService) grantLease(leader.LeaseCall) {}
 
 // drain accepts requests until callers have had time to learn that this node stops, then finishes those in flight.
 func (s *entryService) drain() error {
