--- a/internal/sim/node_start.go
+++ b/internal/sim/node_start.go
@@ -47,7 +47,7 @@
 	}
 	n.replica = idempotency.NewReplica(n.id, options.Restart)
 	n.loads = proxy.NewLoads(func() time.Duration { return f.clock(n) })
-	n.kept = proxy.NewKept()
+	n.kept = proxy.NewResponseCache()
 	n.failedChecks = map[string]int{}
 	n.pendingCalls = map[uint64]func(*schema.Frame){}
 	n.machine = controlplane.New(f.clock(n), options)
@@ -128,6 +128,6 @@
 	number, isMember, isReady, _ := n.replica.State()
 	n.machine.SetReservationReplica(number, isMember && isReady)
 	if f.Options.Fault != FaultKeys {
-		n.machine.SetOldestIndex(n.loads.Floor())
+		n.machine.SetOldestIndex(n.loads.OldestVersion())
 	}
 }
