--- a/internal/sim/node_start.go
+++ b/internal/sim/node_start.go
@@ -125,8 +125,8 @@
 	if set := n.machine.Local().View.ReplicaSets[n.Region]; set != nil {
 		n.replica.Adopt(f.clock(n), set)
 	}
-	number, isMember, isReady, _ := n.replica.State()
-	n.machine.SetReservationReplica(number, isMember && isReady)
+	status := n.replica.Status()
+	n.machine.SetReservationReplica(status.SetNumber, status.IsMember && status.IsReady)
 	if f.Options.Fault != FaultKeys {
 		n.machine.SetOldestIndex(n.loads.OldestVersion())
 	}
