--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -165,7 +165,7 @@
 	c.heartbeats = c.newHeartbeatSender(c.firstSerial())
 	c.subscription = c.newSubscription(c.firstSerial())
 	c.publisher = replication.NewPublisher(c.table, c.timing.DeltaInterval)
-	c.peerSampler = membership.New(membership.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Pace: c.timing.Sampler})
+	c.peerSampler = membership.New(membership.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Timing: c.timing.Sampler, PrefersHome: c.routed != nil})
 	c.bootstrap = c.newBootstrap()
 	if options.Self.Disk {
 		if options.Snapshot != nil {
--- a/internal/membership/sampler.go
+++ b/internal/membership/sampler.go
@@ -1,4 +1,3 @@
-// Package membership keeps a node's partial views of the fleet and shuffles them with other nodes.
 package membership
 
 import (
@@ -12,212 +11,123 @@
 	"topazshed/internal/schema"
 )
 
-// Options make a machine; Draw gives a number below its argument from the seeded source.
-type Options struct {
-	Self  *schema.Node
-	Seeds []string
-	Draw  func(int64) int64
-	Pace  Pace
-}
-
-// Pace is how often peers are probed and shuffled, and whether those of the own region are taken first; the zero value is the pace of the constants.
-type Pace struct {
-	Probe   time.Duration
-	Wait    time.Duration
-	Shuffle time.Duration
-	IsNear  bool
-}
-
-// Send is a message to an address.
-type Send struct {
-	To    string
-	Frame *schema.Frame
-}
-
+// peer is a node of the active view.
 type peer struct {
-	node     *schema.Node
-	heard    time.Duration
-	probedAt time.Duration
-	since    time.Duration
+	node *schema.Node
+	// activeSince is when it joined the view, heardAt when it last gave a sign, probedAt when it was last probed.
+	activeSince time.Duration
+	heardAt     time.Duration
+	probedAt    time.Duration
 }
 
-// Sampler is one node's machine.
+// Sampler is one node's views of the fleet.
 type Sampler struct {
-	options   Options
-	self      *schema.Node
-	active    map[string]*peer
-	passive   map[string]*schema.Node
-	suspects  map[string]time.Duration
-	shuffleAt time.Duration
-	serial    uint64
-	sends     []Send
+	options Options
+	self    *schema.Node
+	active  map[string]*peer
+	passive map[string]*schema.Node
+	// suspects is when each active node that stopped answering was taken out.
+	suspects    map[string]time.Duration
+	shuffleAt   time.Duration
+	probeSerial uint64
 }
 
-// New makes a node that knows only its seeds.
+// New makes a Sampler that knows only its seeds.
 func New(options Options) *Sampler {
-	if options.Pace == (Pace{}) {
-		options.Pace = Pace{Probe: constants.ProbeEvery, Wait: constants.ProbeWait, Shuffle: constants.ShuffleEvery}
+	if options.Timing == (Timing{}) {
+		options.Timing = DefaultTiming()
+	}
+	return &Sampler{
+		options:  options,
+		self:     options.Self,
+		active:   map[string]*peer{},
+		passive:  map[string]*schema.Node{},
+		suspects: map[string]time.Duration{},
 	}
-	return &Sampler{options: options, self: options.Self, active: map[string]*peer{}, passive: map[string]*schema.Node{}, suspects: map[string]time.Duration{}}
 }
 
 // Self gives a copy of this node's description as it stands now: frames wait to be written while the description changes.
-func (n *Sampler) Self() *schema.Node { return proto.Clone(n.self).(*schema.Node) }
+func (s *Sampler) Self() *schema.Node { return proto.Clone(s.self).(*schema.Node) }
 
 // SetSeeds takes other seeds than before.
-func (n *Sampler) SetSeeds(seeds []string) { n.options.Seeds = seeds }
-
-// Learn puts nodes into the passive view.
-func (n *Sampler) Learn(nodes ...*schema.Node) {
-	for _, node := range nodes {
-		if node.GetId() == "" || node.Id == n.self.Id || node.Address == "" {
-			if node.GetId() == n.self.Id && node.State == schema.NodeState_NODE_LOST && node.Incarnation >= n.self.Incarnation {
-				n.self.Incarnation = node.Incarnation + 1
-			}
-			continue
-		}
-		if p := n.active[node.Id]; p != nil {
-			if node.Incarnation >= p.node.Incarnation && node.State != schema.NodeState_NODE_LOST {
-				p.node = node
-			}
-			continue
-		}
-		if node.State == schema.NodeState_NODE_LOST {
-			if old := n.passive[node.Id]; old != nil && old.Incarnation <= node.Incarnation {
-				delete(n.passive, node.Id)
-			}
-			continue
-		}
-		if old := n.passive[node.Id]; old == nil || old.Incarnation <= node.Incarnation {
-			n.passive[node.Id] = node
-		}
-	}
-	for len(n.passive) > constants.PassiveView {
-		ids := slices.Sorted(maps.Keys(n.passive))
-		delete(n.passive, ids[n.options.Draw(int64(len(ids)))])
-	}
-}
+func (s *Sampler) SetSeeds(seeds []string) { s.options.Seeds = seeds }
 
-// Heard tells that a node spoke, so that it is alive.
-func (n *Sampler) Heard(now time.Duration, id string) {
-	if p := n.active[id]; p != nil {
-		p.heard = now
-	}
-	delete(n.suspects, id)
-}
+// Suspects are the ids of the probed nodes that did not answer, in order.
+func (s *Sampler) Suspects() []string { return slices.Sorted(maps.Keys(s.suspects)) }
 
-// Suspects are the probed nodes that did not answer.
-func (n *Sampler) Suspects() []string { return slices.Sorted(maps.Keys(n.suspects)) }
+// Size is the count of nodes of both views.
+func (s *Sampler) Size() int { return len(s.active) + len(s.passive) }
 
-// Known gives every node of both views, in order of ids.
-func (n *Sampler) Known() []*schema.Node {
+// Known gives the nodes of the active view in order of their ids, then those of the passive one.
+func (s *Sampler) Known() []*schema.Node {
 	var nodes []*schema.Node
-	for _, id := range slices.Sorted(maps.Keys(n.active)) {
-		nodes = append(nodes, n.active[id].node)
+	for _, id := range slices.Sorted(maps.Keys(s.active)) {
+		nodes = append(nodes, s.active[id].node)
 	}
-	for _, id := range slices.Sorted(maps.Keys(n.passive)) {
-		nodes = append(nodes, n.passive[id])
+	for _, id := range slices.Sorted(maps.Keys(s.passive)) {
+		nodes = append(nodes, s.passive[id])
 	}
 	return nodes
 }
 
-// Size is the count of nodes of both views.
-func (n *Sampler) Size() int { return len(n.active) + len(n.passive) }
-
-// Sample is this node and some that it knows.
-func (n *Sampler) Sample() []*schema.Node {
-	nodes := n.Known()
+// Sample gives this node and some that it knows, constants.ShuffleSample together at the most.
+func (s *Sampler) Sample() []*schema.Node {
+	nodes := s.Known()
 	for i := len(nodes) - 1; i > 0; i-- {
-		j := n.options.Draw(int64(i + 1))
+		j := s.options.Draw(int64(i + 1))
 		nodes[i], nodes[j] = nodes[j], nodes[i]
 	}
-	nodes = append([]*schema.Node{n.Self()}, nodes...)
+	nodes = append([]*schema.Node{s.Self()}, nodes...)
 	return nodes[:min(len(nodes), constants.ShuffleSample)]
 }
 
-// Tick probes the active view, refills it and shuffles once in a while.
-func (n *Sampler) Tick(now time.Duration) []Send {
-	for _, id := range slices.Sorted(maps.Keys(n.active)) {
-		p := n.active[id]
-		if now-p.heard > n.options.Pace.Wait && now-p.since > n.options.Pace.Wait {
-			n.suspects[id] = now
-			delete(n.active, id)
-			continue
-		}
-		if now-p.probedAt >= n.options.Pace.Probe {
-			p.probedAt = now
-			n.serial++
-			n.send(p.node.Address, &schema.Frame{Body: &schema.Frame_Probe{Probe: &schema.Probe{Subject: id, Serial: n.serial}}})
-		}
+// Heard notes that a frame of a node came, so that it is alive.
+func (s *Sampler) Heard(now time.Duration, id string) {
+	if active := s.active[id]; active != nil {
+		active.heardAt = now
 	}
-	for id, at := range n.suspects {
-		if now-at > 4*n.options.Pace.Wait {
-			delete(n.suspects, id)
-		}
+	delete(s.suspects, id)
+}
+
+// Learn takes what others tell of nodes into the views.
+func (s *Sampler) Learn(nodes ...*schema.Node) {
+	for _, node := range nodes {
+		s.learn(node)
 	}
-	for len(n.active) < constants.ActiveView && len(n.passive) > 0 {
-		ids := n.candidates()
-		if len(ids) == 0 {
-			break
-		}
-		id := ids[n.options.Draw(int64(len(ids)))]
-		n.active[id] = &peer{node: n.passive[id], heard: now, since: now}
-		delete(n.passive, id)
+	for len(s.passive) > constants.PassiveView {
+		delete(s.passive, s.drawID(slices.Sorted(maps.Keys(s.passive))))
 	}
-	if now >= n.shuffleAt {
-		n.shuffleAt = now + n.options.Pace.Shuffle
-		if n.Size() < constants.ShuffleSample {
-			n.shuffleAt = now + min(n.options.Pace.Shuffle, constants.ShuffleEvery)
+}
+
+func (s *Sampler) learn(node *schema.Node) {
+	isLost := node.GetState() == schema.NodeState_NODE_LOST
+	switch {
+	case node.GetId() == s.self.Id:
+		s.refute(node)
+	case node.GetId() == "" || node.Address == "":
+		// It could not be reached.
+	case s.active[node.Id] != nil:
+		if active := s.active[node.Id]; !isLost && node.Incarnation >= active.node.Incarnation {
+			active.node = node
 		}
-		to := n.options.Seeds[n.options.Draw(int64(len(n.options.Seeds)))]
-		if len(n.active) > 0 && n.options.Draw(4) > 0 {
-			ids := slices.Sorted(maps.Keys(n.active))
-			id := ids[n.options.Draw(int64(len(ids)))]
-			to = n.active[id].node.Address
-			if len(n.active) == constants.ActiveView && len(n.passive) > 0 {
-				n.passive[id] = n.active[id].node
-				delete(n.active, id)
-			}
+	case isLost:
+		if known := s.passive[node.Id]; known != nil && known.Incarnation <= node.Incarnation {
+			delete(s.passive, node.Id)
 		}
-		if to != n.self.Address {
-			n.send(to, &schema.Frame{Body: &schema.Frame_Shuffle{Shuffle: &schema.Shuffle{Nodes: n.Sample()}}})
+	default:
+		if known := s.passive[node.Id]; known == nil || known.Incarnation <= node.Incarnation {
+			s.passive[node.Id] = node
 		}
 	}
-	sends := n.sends
-	n.sends = nil
-	return sends
 }
 
-// candidates are those that may join the active view: of the own region while there are any, and then few of the others.
-func (n *Sampler) candidates() []string {
-	ids := slices.Sorted(maps.Keys(n.passive))
-	if !n.options.Pace.IsNear {
-		return ids
+// refute raises this node's incarnation above one that others take for lost, so that they see it is alive.
+func (s *Sampler) refute(claim *schema.Node) {
+	if claim.GetState() == schema.NodeState_NODE_LOST && claim.Incarnation >= s.self.Incarnation {
+		s.self.Incarnation = claim.Incarnation + 1
 	}
-	near := slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return n.passive[id].Region != n.self.Region })
-	if len(near) > 0 {
-		return near
-	}
-	far := 0
-	for _, p := range n.active {
-		if p.node.Region != n.self.Region {
-			far++
-		}
-	}
-	if far >= constants.FarPeers {
-		return nil
-	}
-	return ids
 }
 
-func (n *Sampler) send(to string, frame *schema.Frame) { n.sends = append(n.sends, Send{to, frame}) }
-
-// Shuffle takes another node's sample and answers with one of its own.
-func (n *Sampler) Shuffle(from string, shuffle *schema.Shuffle) []Send {
-	sample := n.Sample()
-	n.Learn(shuffle.Nodes...)
-	if shuffle.Reply {
-		return nil
-	}
-	return []Send{{from, &schema.Frame{Body: &schema.Frame_Shuffle{Shuffle: &schema.Shuffle{Nodes: sample, Reply: true}}}}}
+func (s *Sampler) drawID(ids []string) string {
+	return ids[s.options.Draw(int64(len(ids)))]
 }
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -12,9 +12,9 @@
 
 // Timing is the set of intervals and time-outs that all parts of a node's control plane share. Every node of a fleet must use the same one.
 type Timing struct {
-	// Sampler is how often the peer sampler probes a peer and shuffles its views, and how long it waits for an answer. The zero value is the
-	// sampler's own default.
-	Sampler membership.Pace
+	// Sampler is how often the peer sampler probes a peer and shuffles its views, and how long it waits for an answer. The zero value
+	// is that of membership.DefaultTiming.
+	Sampler membership.Timing
 	// Raft is the interval of heartbeats between members of the log and the time-out of elections. The zero value is raft's own default.
 	Raft raft.Timing
 	// HeartbeatInterval is the pause between two heartbeats of a node to the leader or to the relay in front of it.
@@ -47,11 +47,10 @@
 // keep every promise again; it shortens elections and the search for a source where it is small. 0 means that it is not known.
 func ForRoutes(recoveryBound time.Duration) Timing {
 	return Timing{
-		Sampler: membership.Pace{
-			Probe:   constants.RoutedProbe,
-			Wait:    constants.RoutedProbeWait,
-			Shuffle: constants.RoutedShuffle,
-			IsNear:  true,
+		Sampler: membership.Timing{
+			ProbeInterval:   constants.RoutedProbe,
+			ProbeTimeout:    constants.RoutedProbeWait,
+			ShuffleInterval: constants.RoutedShuffle,
 		},
 		Raft:              raftForRoutes(recoveryBound),
 		HeartbeatInterval: constants.RoutedHeartbeat,
