--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -79,8 +79,8 @@
 	f.onNode(n, boot, func() {
 		n.machine.Tick(f.clock(n))
 		f.perform(n)
-		for _, asking := range n.replica.Ask(f.clock(n)) {
-			f.copyReservations(n, asking.Member, asking.Message)
+		for _, task := range n.replica.DueCopies(f.clock(n)) {
+			f.copyReservations(n, task.Member, task.Request)
 		}
 		f.after(constants.Tick, func() { f.tick(n, boot) })
 	})
@@ -91,7 +91,7 @@
 	frame := &schema.Frame{Body: &schema.Frame_ReservationCopyRequest{ReservationCopyRequest: request}}
 	f.call(n, member.Address, frame, func(response *schema.Frame) {
 		if page := response.GetReservationCopyResponse(); page != nil {
-			n.replica.Copied(f.clock(n), member.Id, page)
+			n.replica.TakeCopy(f.clock(n), member.Id, page)
 		}
 	})
 }
