--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -28,7 +28,7 @@
 	return table, store.Compile(table)
 }
 
-func TestReadTellsEveryFault(t *testing.T) {
+func TestReadReturnsEveryFault(t *testing.T) {
 	_, view := world(t)
 	var text strings.Builder
 	for _, c := range []struct{ name, document string }{
@@ -65,7 +65,7 @@
 		}
 		record, _, err := Plan(table, entries, document, 0, "")
 		if err == nil {
-			Assignments(view, table, record)
+			AddAssignments(view, table, record)
 		}
 		return record, err
 	}
@@ -84,7 +84,7 @@
 		t.Fatal("both racing records were applied")
 	}
 	if assignment := store.DecodeRow[schema.FailoverAssignment](table.Get(store.AssignmentKey("ledger", "/balances", "north"))); assignment.GetNumber() != 100 {
-		t.Fatalf("the standing does not come with the configuration: %v", assignment)
+		t.Fatalf("the failover assignment does not come with the configuration: %v", assignment)
 	}
 	if _, err := plan(); err == nil || !strings.Contains(err.Error(), "newest configuration is version 1") {
 		t.Fatalf("a put on an old base got %v", err)
--- a/internal/operations/entries.go
+++ b/internal/operations/entries.go
@@ -31,6 +31,6 @@
 	if err != nil {
 		return refuseOnState(conflict(head.GetVersion(), "", "").causedBy(err))
 	}
-	catalog.Assignments(view, table, record)
+	catalog.AddAssignments(view, table, record)
 	return propose{record, version}
 }
