--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -2,9 +2,7 @@
 
 import (
 	"topazshed/internal/leader"
-	"topazshed/internal/raft"
 	"topazshed/internal/schema"
-	"topazshed/internal/store"
 )
 
 // newDuties makes the leader's duties; a node that keeps no log has them too, but never leads.
@@ -31,8 +29,8 @@
 	return leader.New(options)
 }
 
-// state gives the replicated state as it is applied now.
-func (c *Machine) state() leader.State {
+// leaderState gives the replicated state as it is applied now.
+func (c *Machine) leaderState() leader.State {
 	return leader.State{Now: c.now, System: c.bootstrap.System(), View: c.view, Table: c.table}
 }
 
@@ -44,25 +42,11 @@
 		}
 		return
 	}
-	if c.duties.Elect(c.state()) {
+	if c.duties.Elect(c.leaderState()) {
 		c.sendHeartbeat()
 	}
 	c.leader, c.leaderAt = c.self.Address, c.now
-	c.effects.Calls = append(c.effects.Calls, c.duties.Step(c.state())...)
+	c.effects.Calls = append(c.effects.Calls, c.duties.Step(c.leaderState())...)
 }
 
 func (c *Machine) propose(record *schema.Record) bool { return c.proposals.Propose(c.now, record) }
-
-// newestFence is the index of the newest row that is fenced: a node gets no lease before it has applied it.
-func (c *Machine) newestFence() raft.Index {
-	var newest raft.Index
-	for key := range c.fences {
-		newest = max(newest, raft.Index(c.table.Get(key).GetIndex()))
-	}
-	for region, set := range c.view.ReplicaSets {
-		if set.Fenced {
-			newest = max(newest, raft.Index(c.table.Get(store.ReplicaSetKey(region)).GetIndex()))
-		}
-	}
-	return newest
-}
