--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -15,7 +15,7 @@
 	"topazshed/internal/schema"
 )
 
-// retryAfter (seconds) is what a caller is told to wait after a 503.
+// retryAfter (seconds) is what a caller is told to wait after a 503, in the Retry-After header.
 const retryAfter = "1"
 
 // Options are what a Server asks its node. All functions may be called by any goroutine.
