--- a/cmd/testfleet/routed_test.go
+++ b/cmd/testfleet/routed_test.go
@@ -13,7 +13,7 @@
 	"github.com/google/subcommands"
 )
 
-func TestRoutedTellsEveryFaultOfItsArguments(t *testing.T) {
+func TestRoutedRefusesFaultyArguments(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "program")
 	if err := os.WriteFile(program, nil, 0o700); err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestRoutedStandInsWatchOverKeys(t *testing.T) {
+func TestRoutedBackEndsCheckLeasesOfKeys(t *testing.T) {
 	type step struct {
 		instance    int
 		path        string
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestRoutedStandInRunsOnlyWhatIsItsOwn(t *testing.T) {
+func TestRoutedBackEndRunsOnlyWhatIsItsOwn(t *testing.T) {
 	for _, c := range []struct {
 		name, instance, key string
 		once                bool
