--- /dev/null
+++ b/internal/controlplane/state.go
@@ -0,0 +1,84 @@
+package controlplane
+
+import (
+	"topazshed/internal/proposals"
+	"topazshed/internal/raft"
+	"topazshed/internal/schema"
+	"topazshed/internal/statemachine"
+)
+
+// Whole gives the snapshot at the applied index, for a follower or for the disk.
+func (c *Machine) Whole() *schema.Snapshot {
+	whole := c.table.Whole()
+	c.quorum.DescribeSnapshot(whole)
+	whole.Version = c.shownFleet()
+	return whole
+}
+
+// publish takes rows that have changed into the view.
+func (c *Machine) publish(changed []*schema.Row) {
+	isOperatorChange, err := c.state.Publish(c.now, changed)
+	if c.guardState(err) != nil {
+		return
+	}
+	if isOperatorChange {
+		c.heartbeats.Hasten()
+	}
+	c.bootstrap.Adopt(c.view.System)
+}
+
+// guardState takes the newest view after the state has changed; an error of the state ends this node's part.
+func (c *Machine) guardState(err error) error {
+	c.view = c.state.View()
+	if err != nil {
+		c.refuse(err)
+	}
+	return c.refused
+}
+
+// apply applies what is committed. A node that doesn't know a record, or the fleet's version, applies nothing any more.
+func (c *Machine) apply() {
+	items := c.quorum.Committed()
+	if c.refused != nil {
+		return
+	}
+	applied, err := c.state.Apply(items)
+	var changed []*schema.Row
+	for _, item := range applied {
+		c.noteApplied(item)
+		changed = append(changed, item.Rows...)
+	}
+	if err != nil {
+		c.refuse(err)
+		return
+	}
+	c.publish(changed)
+	c.operations.Resume(c.now)
+}
+
+// noteApplied tells the parts that wait for it that an item of the log is applied.
+func (c *Machine) noteApplied(applied statemachine.AppliedItem) {
+	item := applied.Item
+	if applied.Void != nil {
+		c.log.Info("record void", "index", item.Index, "reason", applied.Void.Error())
+	}
+	if members := item.Record.Members; item.Record.Kind == schema.RecordKind_RECORD_MEMBERS {
+		c.log.Info("members", "voters", len(members.Voters), "learners", len(members.Learners), "reason", item.Record.Reason)
+	}
+	position := proposals.Position{Index: raft.Index(item.Index), Term: raft.Term(item.Term)}
+	if c.operations.Applied(c.now, position, applied.Void != nil) {
+		c.duties.PlanNow()
+	}
+	c.duties.RowsApplied(applied.Rows)
+}
+
+// Compactable tells whether a new snapshot should be written.
+func (c *Machine) Compactable() bool {
+	return c.quorum != nil && c.state.NeedsSnapshot(c.quorum.LogBytes())
+}
+
+// Compacted tells that a snapshot of that index is on disk.
+func (c *Machine) Compacted(index raft.Index) {
+	c.state.SnapshotWritten(index)
+	c.quorum.Compact(index)
+}
