--- a/internal/catalog/read.go
+++ b/internal/catalog/read.go
@@ -110,9 +110,11 @@
 func (c *checker) checkName(index int, entry Entry) {
 	service := c.view.Services[entry.Service]
 	if !serviceForm().MatchString(entry.Service) {
-		c.faults.Add(entryPath(index, "service"), "%q is no service name; use up to 41 small letters, digits and hyphens, a letter first", entry.Service)
+		const form = "%q is no service name; use up to 41 small letters, digits and hyphens, a letter first"
+		c.faults.Add(entryPath(index, "service"), form, entry.Service)
 	} else if service == nil || len(service.Backends) == 0 {
-		c.faults.Add(entryPath(index, "service"), "service %q has no back end in the platform's list; start one first or mend the name", entry.Service)
+		const form = "service %q has no back end in the platform's list; start one first or mend the name"
+		c.faults.Add(entryPath(index, "service"), form, entry.Service)
 	}
 	path := entryPath(index, "path")
 	if !pathForm().MatchString(entry.Path) || strings.Contains(entry.Path, "//") || strings.Contains(entry.Path, "/.") {
--- a/internal/routes/read_test.go
+++ b/internal/routes/read_test.go
@@ -28,12 +28,12 @@
 			[]string{"limits.body_bytes: is not a whole number", "routes[0].home_regions: is not a list", "routes[0].host: is not a text", "routes[0].priority: is not a whole number", "routes[0].repeatable: is not true or false",
 				"routes[0].target_ms: is not a whole number", "routes[0].targets[0].weight: is not a whole number", "routes[0].timeout_ms: is not a whole number", "services[0].cold_rate: is not a number", "services[0].keyed: is not true or false"}},
 		{"a route without anything", `{"routes":[{}]}`, []string{"routes[0].host: ", "routes[0].prefix: ", "routes[0].timeout_ms: ", "routes[0].targets: have no weight; give"}},
-		{"an unknown service", `{"routes":[` + good + `]}`, []string{"routes[0].targets[0].service: service \"copper\" is not known; tell it"}},
+		{"an unknown service", `{"routes":[` + good + `]}`, []string{"routes[0].targets[0].service: service \"copper\" is not known; list it"}},
 		{"the same place twice, in other letters", `{"routes":[` + good + `,` + strings.Replace(good, "one", "ONE", 1) + `],` + services + `}`, []string{"routes[1].prefix: repeats the host and prefix of routes[0]; keep one"}},
 		{"a long time-out", `{"routes":[` + strings.Replace(good, "2000", "600001", 1) + `],` + services + `}`, []string{"routes[0].timeout_ms: "}},
 		{"a target far over the time-out", `{"routes":[` + strings.Replace(good, "300", "62000", 1) + `],` + services + `}`, []string{"routes[0].target_ms: "}},
 		{"weights of 0", `{"routes":[` + strings.Replace(good, `"weight":1`, `"weight":0`, 1) + `],` + services + `}`, []string{"routes[0].targets: have no weight; give"}},
-		{"a service told twice", `{"routes":[],"services":[{"service":"a"},{"service":"a"}]}`, []string{"services[1]: service \"a\" is told twice; keep one"}},
+		{"a service listed twice", `{"routes":[],"services":[{"service":"a"},{"service":"a"}]}`, []string{"services[1]: service \"a\" is listed twice; keep one"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			config, faults := Read([]byte(c.text), 4)
@@ -43,19 +43,19 @@
 				}
 				faults = Check(config, 4, store.NewView())
 			}
-			var told []string
+			var got []string
 			for _, fault := range faults {
-				told = append(told, fault.Path+": "+fault.Message)
+				got = append(got, fault.Path+": "+fault.Message)
 				if !strings.Contains(fault.Message, ";") {
 					t.Errorf("%s: %s: no remedy", fault.Path, fault.Message)
 				}
 			}
-			if len(told) != len(c.want) {
-				t.Fatalf("got %q, want %q", told, c.want)
+			if len(got) != len(c.want) {
+				t.Fatalf("got %q, want %q", got, c.want)
 			}
 			for i, want := range c.want {
-				if !strings.HasPrefix(told[i], want) {
-					t.Errorf("got %q, want %q", told[i], want)
+				if !strings.HasPrefix(got[i], want) {
+					t.Errorf("got %q, want %q", got[i], want)
 				}
 			}
 		})
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -61,7 +61,7 @@
 			faults := Check(config, 7, store.NewView())
 			switch {
 			case c.want == "" && len(faults) > 0:
-				t.Fatalf("declined: %v", faults)
+				t.Fatalf("refused: %v", faults)
 			case c.want != "" && (len(faults) != 1 || !strings.Contains(faults[0].Message, c.want) || faults[0].Path == ""):
 				t.Fatalf("faults %v, want one with %q", faults, c.want)
 			}
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestCheckTellsEveryFaultAtOnce(t *testing.T) {
+func TestCheckReturnsEveryFaultAtOnce(t *testing.T) {
 	config := good()
 	config.Version = 1
 	config.Routes[0].Prefix, config.Routes[0].TimeoutMs = "a", 700000
@@ -86,7 +86,7 @@
 	config := good()
 	config.Routes[0].Targets[0].Service = "zinc"
 	if faults := Check(config, 7, store.Compile(table)); len(faults) > 0 {
-		t.Fatalf("declined: %v", faults)
+		t.Fatalf("refused: %v", faults)
 	}
 }
 
@@ -132,7 +132,7 @@
 		{"one route moves to another service", func(c *schema.RouteConfig) { c.Routes[0].Targets[0].Service = "nickel" }, []string{"route/one.example/a/"}},
 		{"a route goes", func(c *schema.RouteConfig) { c.Routes = c.Routes[1:] }, []string{"-route/one.example/a/"}},
 		{"a route is added", func(c *schema.RouteConfig) { c.Routes = append(c.Routes, route("Six.Example", "/", "copper")) }, []string{"route/six.example/"}},
-		{"a service goes, its back ends and spans stay", func(c *schema.RouteConfig) {
+		{"a service goes, its back ends and shard ranges stay", func(c *schema.RouteConfig) {
 			c.Services, c.Routes[1].Targets[0].Service = c.Services[:1], "copper"
 		}, []string{"-s/nickel/policy", "route/one.example/a/b/"}},
 		{"the limits change", func(c *schema.RouteConfig) { c.Limits.BodyBytes = 5 }, []string{store.LimitsKey}},
@@ -180,7 +180,7 @@
 	}
 }
 
-// A program of before kept the last ones with the head alone: they are taken over by the next change.
+// An earlier version of the program remembered configurations in the head alone; the next change writes their rows.
 func TestConfigurationsOfAnEarlierProgramStayKnown(t *testing.T) {
 	table := store.NewTable()
 	head := &schema.CatalogHead{Version: 64}
@@ -209,7 +209,7 @@
 	}
 	head := store.DecodeRow[schema.CatalogHead](table.Get(store.HeadKey))
 	if len(head.Recent) != constants.RecentConfigs {
-		t.Fatalf("every node is told of %d", len(head.Recent))
+		t.Fatalf("every node gets %d", len(head.Recent))
 	}
 	for i, recent := range head.Recent {
 		if number := head.Version - uint64(i); recent.Version != number || string(recent.Digest) != fmt.Sprint("digest ", number-1) {
