--- a/internal/leader/voters_test.go
+++ b/internal/leader/voters_test.go
@@ -67,6 +67,8 @@
 			replacesByAddress: true, wantVoters: []string{"a", "c"}, reason: "back as x"},
 		{name: "an older process at its address replaces no voter", voters: []string{"a", "b", "c"}, learners: []string{"x"}, heard: heard(readyNode("x", withDisk, at("b", 1))),
 			rows: []*schema.Node{readyNode("b", withDisk, at("b", 2))}, replacesByAddress: true},
+		{name: "a process of the same incarnation at its address replaces no voter", voters: []string{"a", "b", "c"}, learners: []string{"x"}, heard: heard(readyNode("x", withDisk, at("b", 2))),
+			rows: []*schema.Node{readyNode("b", withDisk, at("b", 2))}, replacesByAddress: true},
 		{name: "a voter of unknown incarnation is not replaced", voters: []string{"a", "b", "c"}, learners: []string{"x"}, heard: heard(readyNode("x", withDisk, at("b", 2))), replacesByAddress: true},
 		{name: "a fleet of entries replaces none by address", voters: []string{"a", "b", "c"}, learners: []string{"x"}, heard: heard(readyNode("x", withDisk, at("b", 2))),
 			rows: []*schema.Node{readyNode("b", withDisk)}},
