--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -17,4 +17,4 @@
 	c.heartbeats.Relay(b)
 }
 
-func (c *Machine) noteHeartbeat(b *schema.Heartbeat) { c.duties.TakeHeartbeat(c.state(), b) }
+func (c *Machine) noteHeartbeat(b *schema.Heartbeat) { c.duties.TakeHeartbeat(c.leaderState(), b) }
