--- a/cmd/topazshed/admin_client.go
+++ b/cmd/topazshed/admin_client.go
@@ -32,7 +32,7 @@
 
 func (f *adminFlag) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&f.admin, "admin", "", "IP:port of any node's admin address (default "+defaultAdmin+")")
-	flags.StringVar(&f.door, "door", "", "old spelling of -admin")
+	flags.StringVar(&f.door, "door", "", "old spelling of -admin, accepted for one version")
 }
 
 // given is the address that the flags name, empty if they name none. Two different ones are a *settings.FaultsError.
--- a/cmd/topazshed/doctor.go
+++ b/cmd/topazshed/doctor.go
@@ -28,7 +28,7 @@
 }
 func (c *doctorCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.admin, "admin", "", "IP:port of any node's admin address: look at the live fleet")
-	flags.StringVar(&c.door, "door", "", "old spelling of -admin")
+	flags.StringVar(&c.door, "door", "", "old spelling of -admin, accepted for one version")
 	flags.DurationVar(&c.clockSpan, "clock-span", clockSpanDefault, "how long to compare the machines' clock rates; 0 leaves it out")
 	flags.StringVar(&c.file, "settings", "", "settings file to check, with its seeds")
 	flags.StringVar(&c.data, "data", "", "data folder of a stopped process")
--- a/cmd/topazshed/exit_codes_test.go
+++ b/cmd/topazshed/exit_codes_test.go
@@ -37,7 +37,7 @@
 		{"show", &showCommand{}, []string{"-admin", admin}, subcommands.ExitSuccess},
 		{"show from nobody", &showCommand{}, []string{"-admin", "127.0.0.1:1"}, subcommands.ExitFailure},
 		{"empty", &zoneCommand{isEmpty: true}, []string{"-admin", admin, "north-a"}, subcommands.ExitSuccess},
-		{"empty of an unknown district", &zoneCommand{isEmpty: true}, []string{"-admin", admin, "moon"}, subcommands.ExitFailure},
+		{"empty of an unknown zone", &zoneCommand{isEmpty: true}, []string{"-admin", admin, "moon"}, subcommands.ExitFailure},
 		{"empty of none", &zoneCommand{isEmpty: true}, []string{"-admin", admin}, subcommands.ExitUsageError},
 		{"empty by the old flag", &zoneCommand{isEmpty: true}, []string{"-door", admin, "north-a"}, subcommands.ExitSuccess},
 		{"show by both flags that agree", &showCommand{}, []string{"-door", admin, "-admin", admin}, subcommands.ExitSuccess},
--- a/cmd/topazshed/platform_test.go
+++ b/cmd/topazshed/platform_test.go
@@ -57,7 +57,7 @@
 			}
 			for _, want := range c.want {
 				if !strings.Contains(string(reported), want) {
-					t.Errorf("%q is not told in %q", want, reported)
+					t.Errorf("%q is missing in %q", want, reported)
 				}
 			}
 		})
--- a/cmd/topazshed/rollout_test.go
+++ b/cmd/topazshed/rollout_test.go
@@ -43,8 +43,8 @@
 		{"three voters of three", func(s *adminapi.Status) { s.Voters = s.Voters[:3] }, nil, nil, 2},
 		{"two voters", func(s *adminapi.Status) { s.Voters = s.Voters[:2] }, []string{"2 of 2 voters are well"}, nil, 2},
 		{"no leader", func(s *adminapi.Status) { s.LeaderUnreachable = "no leader is known" }, []string{"no leader answers"}, nil, 2},
-		{"a door without the voters", func(s *adminapi.Status) { s.Voters = nil }, []string{"ask the admin address of one with a disk"}, nil, 2},
-		{"an emptied district", func(s *adminapi.Status) { s.Zones = []adminapi.ZoneStatus{{Name: "mu-a", Emptied: true}} }, []string{"zone mu-a is emptied"}, nil, 2},
+		{"a node without the voters", func(s *adminapi.Status) { s.Voters = nil }, []string{"ask the admin address of one with a disk"}, nil, 2},
+		{"an emptied zone", func(s *adminapi.Status) { s.Zones = []adminapi.ZoneStatus{{Name: "mu-a", Emptied: true}} }, []string{"zone mu-a is emptied"}, nil, 2},
 		{"keys without a holder", func(s *adminapi.Status) {
 			s.Routed.Services = []adminapi.ServiceStatus{{Name: "nickel", Unheld: 9}}
 			s.Routed.Spans = []adminapi.SpanStatus{{Service: "nickel", Releasing: true}, {Service: "nickel"}}
--- a/internal/adminapi/metrics_test.go
+++ b/internal/adminapi/metrics_test.go
@@ -46,7 +46,7 @@
 				}
 				name, _, _ := strings.Cut(line, " ")
 				if notified[name] {
-					t.Errorf("%s is told twice", name)
+					t.Errorf("%s is there twice", name)
 				}
 				notified[name] = true
 			}
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -56,11 +56,11 @@
 		{"every fault has its path", "PUT", "/v1/configuration?base=4", "{}", &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_INVALID, Faults: []*schema.Fault{{Path: "entries[0].path", Message: "p"}, {Path: "entries[1].service", Message: "s"}}}, nil, 422, "entries[1].service"},
 		{"no leader", "GET", "/v1/configuration", "", &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_NO_LEADER}, nil, 503, "no_leader"},
 		{"a lost answer is doubtful", "PUT", "/v1/configuration?base=4", "{}", nil, errors.New("timed out"), 504, "doubtful"},
-		{"an unknown district", "POST", "/v1/districts/moon/empty", "", &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN}, nil, 404, "unknown"},
+		{"an unknown zone", "POST", "/v1/districts/moon/empty", "", &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_UNKNOWN}, nil, 404, "unknown"},
 		{"the empty configuration", "GET", "/v1/configuration", "", &schema.OperatorResponse{}, nil, 200, `{"entries":[]}`},
 		{"the document as it was put", "GET", "/v1/configuration", "", &schema.OperatorResponse{Version: 3, Document: []byte(`{"entries": [ ]}`)}, nil, 200, `{"entries": [ ]}`},
 		{"an unknown call", "GET", "/v2/everything", "", nil, nil, 404, "docs/operators.md"},
-		{"status tells why a standing is what it is", "GET", "/v1/status", "", nil, nil, 200, `"active":"north-b","number":202,"fenced":false,"reason":"all proxies of district north-a are lost or stopping"`},
+		{"status tells why an assignment is what it is", "GET", "/v1/status", "", nil, nil, 200, `"active":"north-b","number":202,"fenced":false,"reason":"all proxies of district north-a are lost or stopping"`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := httptest.NewRecorder()
--- a/internal/node/native_test.go
+++ b/internal/node/native_test.go
@@ -184,7 +184,7 @@
 		{"cut short", "PUT", "/v1/configuration?base=1", document[:50], 422, "send it whole"},
 		{"no base", "PUT", "/v1/configuration", document, 400, "?base=N"},
 		{"operator keys", "GET", "/v1/configuration/outcome?key=k", "", 404, "taken once"},
-		{"an unknown district", "POST", "/v1/districts/moon/empty", "", 404, "moon"},
+		{"an unknown zone", "POST", "/v1/districts/moon/empty", "", 404, "moon"},
 		{"an unknown region", "GET", "/v1/standings/moon", "", 404, "see status"},
 		{"an unknown call", "GET", "/v1/moon", "", 404, "docs/operators.md"},
 	} {
@@ -229,7 +229,7 @@
 		t.Fatalf("%d %s", status, text)
 	}
 	var after adminapi.AssignmentsAnswer
-	until(t, "the standing moves and tells why", func() bool {
+	until(t, "the failover assignment moves and tells why", func() bool {
 		machines[3].read(t, "/v1/standings/mu?service=copper", &after)
 		return after.Group != before.Group && len(after.Changes) > 0
 	})
@@ -238,7 +238,7 @@
 		last.From >= last.To || last.Was != before.Group || last.Is != after.Group || last.Leader == "" || last.Cause == "" {
 		t.Errorf("%+v: %v", last, err)
 	}
-	until(t, "an emptied district's back end gets nothing", func() bool {
+	until(t, "an emptied zone's back end gets nothing", func() bool {
 		for range 8 {
 			if status, text := machines[0].ask("/c/x", ""); status != 200 || !strings.HasPrefix(text, "c-2") {
 				return false
@@ -247,7 +247,7 @@
 		return true
 	})
 	var status adminapi.Status
-	until(t, "every machine is told to have the configuration", func() bool {
+	until(t, "every machine is reported to have the configuration", func() bool {
 		machines[1].read(t, "/v1/status", &status)
 		for _, n := range status.Nodes {
 			if !n.InForce || n.HeardMs < 0 {
@@ -262,7 +262,7 @@
 	if status, _, text := machines[3].admin("POST", "/v1/districts/mu-a/restore", ""); status != 200 {
 		t.Fatalf("%d %s", status, text)
 	}
-	until(t, "the standing is back", func() bool {
+	until(t, "the failover assignment is back", func() bool {
 		machines[0].read(t, "/v1/standings/mu?service=copper", &after)
 		return after.Group == before.Group
 	})
--- a/internal/node/routed_test.go
+++ b/internal/node/routed_test.go
@@ -47,7 +47,7 @@
 	t.Logf("%s: after %v", what, time.Since(at).Round(10*time.Millisecond))
 }
 
-// owner is a stand-in back end; of a keyed service it runs only what it holds.
+// ownerStandIn stands in for a back end; of a keyed service it runs only requests for keys that it owns.
 type ownerStandIn struct {
 	id     string
 	server *httptest.Server
@@ -99,7 +99,7 @@
 	fmt.Fprintf(w, "%s %s %s", h.id, r.URL.Path, body)
 }
 
-// platform is the stand-in list and the way to the back ends' leases.
+// platformSide is the stand-in list and the way to the back ends' leases.
 type platformSide struct {
 	lock   sync.Mutex
 	items  []discovery.Listed
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -32,9 +32,9 @@
 	flags.StringVar(&line.given.Platform, "platform", "", "http URL of the platform's list of back ends")
 	flags.StringVar(&line.given.LogLevel, "log-level", "", "debug, info, warn or error (default info)")
 	flags.BoolVar(&line.isRouted, "routes", false, "carry routes, with the default bounds if the file gives none")
-	flags.StringVar(&line.old.Admin, "door", "", "old spelling of -admin")
-	flags.StringVar(&line.old.AdminShown, "door-shown", "", "old spelling of -admin-shown")
-	flags.StringVar(&line.old.Zone, "district", "", "old spelling of -zone")
+	flags.StringVar(&line.old.Admin, "door", "", "old spelling of -admin, accepted for one version")
+	flags.StringVar(&line.old.AdminShown, "door-shown", "", "old spelling of -admin-shown, accepted for one version")
+	flags.StringVar(&line.old.Zone, "district", "", "old spelling of -zone, accepted for one version")
 	return line.read
 }
 
