--- a/internal/controlplane/join.go
+++ b/internal/controlplane/bootstrap.go
@@ -1,6 +1,9 @@
 package controlplane
 
 import (
+	"slices"
+	"time"
+
 	"topazshed/internal/bootstrap"
 	"topazshed/internal/schema"
 )
@@ -47,3 +50,17 @@
 	response.FleetVersion = c.shownFleet()
 	c.send(from, &schema.Frame{Body: &schema.Frame_DiscoverResponse{DiscoverResponse: response}})
 }
+
+// SetSeeds takes the seeds of changed settings: a node that knows nobody asks them, and the former ones may all be gone.
+func (c *Machine) SetSeeds(now time.Duration, seeds []string) {
+	c.now = now
+	if len(seeds) == 0 || slices.Equal(seeds, c.options.Seeds) {
+		return
+	}
+	c.options.Seeds = slices.Clone(seeds)
+	c.peerSampler.SetSeeds(c.options.Seeds)
+	c.subscription.SetSeeds(c.options.Seeds)
+	c.bootstrap.SetSeeds(c.options.Seeds)
+	c.heartbeats.SetSeeds(c.options.Seeds)
+	c.log.Info("other seeds are asked from now on", "seeds", seeds)
+}
--- a/internal/controlplane/changes_test.go
+++ b/internal/controlplane/changes_test.go
@@ -33,7 +33,7 @@
 		s.core.Tick(s.now)
 		if s.core.IsLeading() {
 			for _, zone := range zones {
-				s.core.noteHeartbeat(&schema.Heartbeat{Version: uint64(s.core.table.Version()), Node: &schema.Node{Id: "of-" + zone, Address: zone, Proxy: zone, Admin: zone, Zone: zone, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
+				s.core.takeRelayed(&schema.Heartbeat{Version: uint64(s.core.table.Version()), Node: &schema.Node{Id: "of-" + zone, Address: zone, Proxy: zone, Admin: zone, Zone: zone, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
 			}
 		}
 		for range 8 {
--- a/internal/controlplane/health_test.go
+++ b/internal/controlplane/health_test.go
@@ -46,9 +46,9 @@
 					}
 					core.SetListing(now, discovery.Listing{Items: items, BegunAt: now, IsWhole: true})
 					for i := range 4 {
-						core.noteHeartbeat(&schema.Heartbeat{Node: node(fmt.Sprint("idle-", i))})
+						core.takeRelayed(&schema.Heartbeat{Node: node(fmt.Sprint("idle-", i))})
 					}
-					core.takeHeartbeatRouted(nil, &schema.Heartbeat{Node: node("b"), Health: c.straight, Relayed: []*schema.Heartbeat{{Node: node("c"), Health: c.relayed}}})
+					core.receiveHeartbeat(nil, &schema.Heartbeat{Node: node("b"), Health: c.straight, Relayed: []*schema.Heartbeat{{Node: node("c"), Health: c.relayed}}})
 				}
 				for range 8 {
 					effects := core.Take()
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -211,33 +211,6 @@
 	}
 }
 
-// SetSeeds takes the seeds of changed settings: a node that knows nobody asks them, and the former ones may all be gone.
-func (c *Machine) SetSeeds(now time.Duration, seeds []string) {
-	c.now = now
-	if len(seeds) == 0 || slices.Equal(seeds, c.options.Seeds) {
-		return
-	}
-	c.options.Seeds = slices.Clone(seeds)
-	c.peerSampler.SetSeeds(c.options.Seeds)
-	c.subscription.SetSeeds(c.options.Seeds)
-	c.bootstrap.SetSeeds(c.options.Seeds)
-	c.heartbeats.SetSeeds(c.options.Seeds)
-	c.log.Info("other seeds are asked from now on", "seeds", seeds)
-}
-
-// SetHealthReports takes this node's probes of back ends.
-func (c *Machine) SetHealthReports(healthReports []*schema.HealthReport) {
-	c.heartbeats.SetHealthReports(healthReports)
-}
-
-// SetReservationReplica takes this node's state as a replica.
-func (c *Machine) SetReservationReplica(number uint64, isReady bool) {
-	c.heartbeats.SetReservationReplica(number, isReady)
-}
-
-// SetOldestIndex takes the lowest snapshot version that a keyed attempt in flight was begun on; none is 0.
-func (c *Machine) SetOldestIndex(floor uint64) { c.heartbeats.SetOldestIndex(floor) }
-
 // Stop marks the node as stopping: it is told to the leader and no match names it any more.
 func (c *Machine) Stop(now time.Duration) {
 	c.now = now
@@ -249,14 +222,6 @@
 	}
 }
 
-// Want asks for a service's slice.
-func (c *Machine) Want(now time.Duration, service string) {
-	c.now = now
-	if c.quorum == nil {
-		c.sendAll(c.subscription.Want(now, service))
-	}
-}
-
 // SetListRead takes a read of the platform's list; only the leader uses it.
 func (c *Machine) SetListRead(now time.Duration, sweep discovery.ListRead) {
 	c.now = now
@@ -332,11 +297,7 @@
 		c.send(f.Address, &schema.Frame{Body: &schema.Frame_ProbeResponse{ProbeResponse: &schema.ProbeResponse{Subject: c.self.Id, Serial: body.Probe.Serial, Incarnation: c.self.Incarnation}}})
 	case *schema.Frame_ProbeResponse:
 	case *schema.Frame_Heartbeat:
-		if c.routed != nil {
-			c.takeHeartbeatRouted(f, body.Heartbeat)
-			return
-		}
-		c.takeHeartbeat(f, body.Heartbeat)
+		c.receiveHeartbeat(f, body.Heartbeat)
 	case *schema.Frame_HeartbeatResponse:
 		c.takeHeartbeatResponse(f.Address, body.HeartbeatResponse)
 	case *schema.Frame_Subscribe:
@@ -405,20 +366,6 @@
 	}
 }
 
-func (c *Machine) takeHeartbeat(f *schema.Frame, b *schema.Heartbeat) {
-	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: uint64(c.table.Version())}
-	if c.IsLeading() && c.duties.TakeHeartbeat(c.leaderState(), b) {
-		response.Leader, response.Accepted = c.self.Address, true
-		lease := c.duties.GrantLease(c.leaderState(), b.Node.Id, c.state.NewestFence())
-		response.LeaseMs = uint32(lease.Milliseconds())
-	}
-	if f.From == c.self.Id {
-		c.takeHeartbeatResponse(f.Address, response)
-		return
-	}
-	c.send(f.Address, &schema.Frame{Body: &schema.Frame_HeartbeatResponse{HeartbeatResponse: response}})
-}
-
 // publish takes rows that have changed into the view.
 func (c *Machine) publish(changed []*schema.Row) {
 	isOperatorChange, err := c.state.Publish(c.now, changed)
--- a/internal/controlplane/replicate.go
+++ b/internal/controlplane/replication.go
@@ -84,3 +84,11 @@
 		c.send(envelope.To, envelope.Frame)
 	}
 }
+
+// Want asks for the rows of a service for the next minutes; a node that keeps the log has all rows.
+func (c *Machine) Want(now time.Duration, service string) {
+	c.now = now
+	if c.quorum == nil {
+		c.sendAll(c.subscription.Want(now, service))
+	}
+}
--- a/internal/controlplane/zones_test.go
+++ b/internal/controlplane/zones_test.go
@@ -19,7 +19,7 @@
 		if core.IsLeading() {
 			for i := range 182 {
 				name := fmt.Sprintf("n%03d", i)
-				core.noteHeartbeat(&schema.Heartbeat{Node: &schema.Node{Id: name, Address: name, Proxy: name, Admin: name, Zone: fmt.Sprintf("d%03d", i), Region: fmt.Sprintf("r%02d", i%46), Incarnation: 1, State: schema.NodeState_NODE_READY}})
+				core.takeRelayed(&schema.Heartbeat{Node: &schema.Node{Id: name, Address: name, Proxy: name, Admin: name, Zone: fmt.Sprintf("d%03d", i), Region: fmt.Sprintf("r%02d", i%46), Incarnation: 1, State: schema.NodeState_NODE_READY}})
 			}
 		}
 		for range 8 {
