--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -81,8 +81,11 @@
 type fakeLog struct {
 	members     *schema.Members
 	confirmedAt time.Duration
-	last        raft.Index
-	proposed    []*schema.Record
+	// last is the index of the newest item, which is committed; matched is that of each member's, and changedAt that of the newest change of members.
+	last, matched, changedAt raft.Index
+	// answeredAt is when each member last answered.
+	answeredAt time.Duration
+	proposed   []*schema.Record
 }
 
 func (l *fakeLog) Propose(_ time.Duration, record *schema.Record) (raft.Index, raft.Term, error) {
@@ -91,9 +94,9 @@
 }
 
 func (l *fakeLog) Members() *schema.Members             { return l.members }
-func (l *fakeLog) MembershipIndex() raft.Index          { return 1 }
-func (l *fakeLog) Match(string) raft.Index              { return l.last }
-func (l *fakeLog) LastContact(string) time.Duration     { return l.confirmedAt }
+func (l *fakeLog) MembershipIndex() raft.Index          { return l.changedAt }
+func (l *fakeLog) Match(string) raft.Index              { return l.matched }
+func (l *fakeLog) LastContact(string) time.Duration     { return l.answeredAt }
 func (l *fakeLog) CommitIndex() raft.Index              { return l.last }
 func (l *fakeLog) LastIndex() raft.Index                { return l.last }
 func (l *fakeLog) LeadershipConfirmedAt() time.Duration { return l.confirmedAt }
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -175,3 +175,71 @@
 		})
 	}
 }
+
+func TestHealthReportsCountUntilTheirNodeIsLost(t *testing.T) {
+	failing := []*schema.HealthReport{{Instance: "i", Failing: true}}
+	for _, c := range []struct {
+		name string
+		// since is how long ago the nodes were heard of.
+		since     time.Duration
+		isFailing bool
+	}{
+		{"heard of lately", 0, true},
+		{"lost", 5 * time.Second, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			proposer := &fakeProposer{}
+			l := newTestLeader(&fakeLog{members: &schema.Members{Voters: members("l")}}, proposer, nil)
+			backend := store.EncodeRow(store.BackendKey("s", "i"), &schema.Backend{Service: "s", Instance: "i", Address: "i", Zone: "z", State: schema.BackendState_BACKEND_READY})
+			state := newState(t, startedAt, systemRow, regionRow, zoneRow, nodeRow(readyNode("n")), nodeRow(readyNode("m")), backend)
+			l.Elect(state)
+			for _, id := range []string{"n", "m"} {
+				l.TakeHeartbeat(state, &schema.Heartbeat{Node: readyNode(id), Health: failing})
+			}
+			state.Now += constants.FailoverSettle + c.since
+			if c.since == 0 {
+				for _, id := range []string{"n", "m"} {
+					l.TakeHeartbeat(state, &schema.Heartbeat{Node: readyNode(id), Health: failing})
+				}
+			}
+			l.Step(state)
+			isFailing := slices.ContainsFunc(proposer.records, func(r *schema.Record) bool {
+				return slices.ContainsFunc(r.Rows, func(row *schema.Row) bool {
+					return row.Key == store.BackendKey("s", "i") && store.DecodeRow[schema.Backend](row).GetFailing()
+				})
+			})
+			if isFailing != c.isFailing {
+				t.Errorf("the back end is marked as failing: %v", isFailing)
+			}
+		})
+	}
+}
+
+func TestProgressOfMembers(t *testing.T) {
+	const now = startedAt + time.Minute
+	for _, c := range []struct {
+		name string
+		id   string
+		// matched, changedAt and last are indexes: of the member's log, of the newest change of members and of the log.
+		matched, changedAt, last raft.Index
+		answeredAt               time.Duration
+		want                     MemberProgress
+	}{
+		{"this leader itself", "l", 0, 9, 9, 0, MemberProgress{}},
+		{"it has all", "m", 9, 5, 9, now, MemberProgress{HasCaughtUp: true}},
+		{"it lacks the newest change of members", "m", 4, 5, 9, now, MemberProgress{}},
+		{"it lacks few items", "m", 9, 5, 9 + constants.LearnerGap, now, MemberProgress{HasCaughtUp: true}},
+		{"it lacks many items", "m", 9, 5, 10 + constants.LearnerGap, now, MemberProgress{}},
+		{"it has not answered lately", "m", 9, 5, 9, now - memberAnswersWithin, MemberProgress{SinceHeard: memberAnswersWithin}},
+		{"the time before the election doesn't count", "m", 9, 5, 9, 0, MemberProgress{SinceHeard: time.Minute}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			log := &fakeLog{members: &schema.Members{}, matched: c.matched, changedAt: c.changedAt, last: c.last, answeredAt: c.answeredAt}
+			l := newTestLeader(log, &fakeProposer{}, nil)
+			l.Elect(newState(t, startedAt, systemRow))
+			if got := l.progress(now, c.id); got != c.want {
+				t.Errorf("%+v, want %+v", got, c.want)
+			}
+		})
+	}
+}
