--- a/internal/controlplane/receive.go
+++ b/internal/controlplane/receive.go
@@ -68,11 +68,7 @@
 		c.send(f.Address, &schema.Frame{Body: &schema.Frame_ProbeResponse{ProbeResponse: &schema.ProbeResponse{Subject: c.self.Id, Serial: body.Probe.Serial, Incarnation: c.self.Incarnation}}})
 	case *schema.Frame_ProbeResponse:
 	case *schema.Frame_Heartbeat:
-		if c.routed != nil {
-			c.takeHeartbeatRouted(f, body.Heartbeat)
-			return
-		}
-		c.takeHeartbeat(f, body.Heartbeat)
+		c.receiveHeartbeat(f, body.Heartbeat)
 	case *schema.Frame_HeartbeatResponse:
 		c.takeHeartbeatResponse(f.Address, body.HeartbeatResponse)
 	case *schema.Frame_Subscribe:
@@ -100,17 +96,3 @@
 	}
 	return false
 }
-
-func (c *Machine) takeHeartbeat(f *schema.Frame, b *schema.Heartbeat) {
-	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: uint64(c.table.Version())}
-	if c.IsLeading() && c.duties.TakeHeartbeat(c.leaderState(), b) {
-		response.Leader, response.Accepted = c.self.Address, true
-		lease := c.duties.GrantLease(c.leaderState(), b.Node.Id, c.state.NewestFence())
-		response.LeaseMs = uint32(lease.Milliseconds())
-	}
-	if f.From == c.self.Id {
-		c.takeHeartbeatResponse(f.Address, response)
-		return
-	}
-	c.send(f.Address, &schema.Frame{Body: &schema.Frame_HeartbeatResponse{HeartbeatResponse: response}})
-}
