--- a/internal/constants/sharding.go
+++ b/internal/constants/sharding.go
@@ -6,10 +6,10 @@
 const (
 	// LastKey (key) is the greatest key of a service.
 	LastKey = 65535
-	// KeyHoldMost is the longest lease: an election fits between two renewals, and a lost owner's keys are back in 6 s.
-	KeyHoldMost = 4500 * time.Millisecond
-	// KeyHoldShare (percent) of the longest lease that back ends take is used, so that a shorter one still leaves a margin.
-	KeyHoldShare = 60
+	// KeyLeaseMost is the longest lease: an election fits between two renewals, and a lost owner's keys are back in 6 s.
+	KeyLeaseMost = 4500 * time.Millisecond
+	// KeyLeaseShare (percent) of the longest lease that back ends take is used, so that a shorter one still leaves a margin.
+	KeyLeaseShare = 60
 	// KeyRenewParts (parts) of a lease after one of which it is renewed: a failed renewal is sent again at once, several times
 	// within the rest.
 	KeyRenewParts = 3
@@ -26,8 +26,8 @@
 	// KeyArrivalMargin is how long after its caller gave up a call may still arrive: what is on its way when the caller resets
 	// its connection.
 	KeyArrivalMargin = 300 * time.Millisecond
-	// KeyHoldMargin is added to every lease for the steps of clocks and of this machine.
-	KeyHoldMargin = 100 * time.Millisecond
+	// KeyLeaseMargin is added to every lease for the steps of clocks and of this machine.
+	KeyLeaseMargin = 100 * time.Millisecond
 	// KeyClockSlow (percent) is how much slower a back end's clock may run.
 	KeyClockSlow = 2
 	// KeyAnswerLost is how long after its time-out a call without any result counts as unanswered.
@@ -53,9 +53,9 @@
 	// KeyLayoutSettle is how long the set of back ends must be unchanged before the first layout, so that one that is starting
 	// gets its part.
 	KeyLayoutSettle = 1500 * time.Millisecond
-	// KeyStripes (ranges) of a back end in the first layout, if there is room: busy keys are close together, so one range each
+	// KeyRangesAtFirst (ranges) of a back end in the first layout, if there is room: busy keys are close together, so one range each
 	// would give most of them to one back end.
-	KeyStripes = 3
+	KeyRangesAtFirst = 3
 	// KeyLeaveParts (parts) in which a draining owner's keys are released, one after the other.
 	KeyLeaveParts = 4
 	// KeyLeaveStep is the time between two such parts: all are on their way in 0.75 s of the 2.5 s that a draining back end
@@ -80,22 +80,22 @@
 	// KeyMoveDensity (fraction) of the hottest bucket's density that a bucket beside it must have to move with it: others stay,
 	// since moved keys cost money.
 	KeyMoveDensity = 0.5
-	// KeySpansMost (ranges) of a service above which only an owner far above the mean gives keys away: each range's lease is
+	// KeyRangesMost (ranges) of a service above which only an owner far above the mean gives keys away: each range's lease is
 	// renewed again and again.
-	KeySpansMost = 64
+	KeyRangesMost = 64
 	// KeyFarShare (factor on the mean) is the load above which a back end gives keys away however many ranges there are.
 	KeyFarShare = 2
-	// KeyGatherParts (parts) of KeySpansMost, one of which is kept free while load is even, so that load may move at once.
-	KeyGatherParts = 4
-	// KeyGatherPause is the time between two ranges that are merged, and after the last move for load: three reports of load.
-	KeyGatherPause = 1800 * time.Millisecond
-	// KeyGatherWarmth (fraction of the mean) is the most load of a range that is merged: hotter ones were cut out on purpose.
-	KeyGatherWarmth = 0.1
-	// KeyGatherShare (factor on the mean) is the load up to which merging fills a back end, and its inverse what it leaves at
+	// KeyCoalesceParts (parts) of KeyRangesMost, one of which is kept free while load is even, so that load may move at once.
+	KeyCoalesceParts = 4
+	// KeyCoalescePause is the time between two ranges that are merged, and after the last move for load: three reports of load.
+	KeyCoalescePause = 1800 * time.Millisecond
+	// KeyCoalesceLoad (fraction of the mean) is the most load of a range that is merged: hotter ones were cut out on purpose.
+	KeyCoalesceLoad = 0.1
+	// KeyCoalesceShare (factor on the mean) is the load up to which merging fills a back end, and its inverse what it leaves at
 	// least: well within what moves load.
-	KeyGatherShare = 1.15
-	// KeySpansParts (ranges) a back end may have on average in a large service.
-	KeySpansParts = 5
+	KeyCoalesceShare = 1.15
+	// KeyRangesPerOwner (ranges) a back end may have on average in a large service.
+	KeyRangesPerOwner = 5
 	// KeyWidthPart (fraction) is the weight of a range's share of keys, beside that of its load, when freed keys are spread.
 	KeyWidthPart = 0.1
 )
--- a/internal/failover/check.go
+++ b/internal/failover/check.go
@@ -61,6 +61,18 @@
 	kindRegion = "region"
 )
 
+// The prefixes and parts of row keys by which Check tells the kind of a row.
+const (
+	nodePrefix       = "node/"
+	zonePrefix       = "district/"
+	regionPrefix     = "region/"
+	groupPrefix      = "group/"
+	defaultPrefix    = "standing/"
+	replicaSetPrefix = "keepers/"
+	assignmentPart   = "/standing/"
+	entityPart       = "/entity/"
+)
+
 // Check is asked of every row before it is applied: numbers never fall, residues are never given anew, the fleet's
 // version never falls and every node reads it. Its errors are of the types of this file.
 func Check(table *store.Table, row *schema.Row) error {
@@ -68,15 +80,15 @@
 	switch {
 	case row.Key == store.VersionKey:
 		return checkFleetVersion(table, row)
-	case strings.HasPrefix(row.Key, "node/"):
+	case strings.HasPrefix(row.Key, nodePrefix):
 		return checkNode(table, row)
-	case strings.HasPrefix(row.Key, "district/"):
+	case strings.HasPrefix(row.Key, zonePrefix):
 		return checkZone(old, row)
-	case strings.HasPrefix(row.Key, "region/"):
+	case strings.HasPrefix(row.Key, regionPrefix):
 		return checkRegion(old, row)
-	case strings.HasPrefix(row.Key, "group/"):
+	case strings.HasPrefix(row.Key, groupPrefix):
 		return checkGroup(old, row)
-	case strings.HasPrefix(row.Key, "standing/"):
+	case strings.HasPrefix(row.Key, defaultPrefix):
 		return checkDefault(old, row)
 	}
 	return checkNumber(old, row)
@@ -129,13 +141,13 @@
 func checkNumber(old, row *schema.Row) error {
 	var was, is uint64
 	switch {
-	case strings.Contains(row.Key, "/standing/"):
+	case strings.Contains(row.Key, assignmentPart):
 		was = store.DecodeRow[schema.FailoverAssignment](old).GetNumber()
 		is = store.DecodeRow[schema.FailoverAssignment](row).GetNumber()
-	case strings.Contains(row.Key, "/entity/"):
+	case strings.Contains(row.Key, entityPart):
 		was = store.DecodeRow[schema.Entity](old).GetNumber()
 		is = store.DecodeRow[schema.Entity](row).GetNumber()
-	case strings.HasPrefix(row.Key, "keepers/"):
+	case strings.HasPrefix(row.Key, replicaSetPrefix):
 		was = store.DecodeRow[schema.ReplicaSet](old).GetNumber()
 		is = store.DecodeRow[schema.ReplicaSet](row).GetNumber()
 	case row.Key == store.HeadKey:
--- a/internal/sharding/layout.go
+++ b/internal/sharding/layout.go
@@ -40,8 +40,8 @@
 	if len(p.eligible) == 1 {
 		return 1
 	}
-	bound := p.maxShards() * (constants.KeyGatherParts - 1) / constants.KeyGatherParts / len(p.eligible)
-	return max(1, min(constants.KeyStripes, bound))
+	bound := p.maxShards() * (constants.KeyCoalesceParts - 1) / constants.KeyCoalesceParts / len(p.eligible)
+	return max(1, min(constants.KeyRangesAtFirst, bound))
 }
 
 // equalShards divides all keys into shards of equal width, which go to the eligible instances in turn.
--- a/internal/sharding/merge.go
+++ b/internal/sharding/merge.go
@@ -10,14 +10,14 @@
 // one shard after the other, and only in the calm, to keep the number of shards low enough that hot ranges can be cut
 // out when they must.
 func (b *balancer) coalesce() {
-	hasRoom := len(b.shards)*constants.KeyGatherParts <= b.maxShards()*(constants.KeyGatherParts-1)
-	if hasRoom || b.moves > 0 || b.facts.Now-b.state.unevenSince < constants.KeyGatherPause {
+	hasRoom := len(b.shards)*constants.KeyCoalesceParts <= b.maxShards()*(constants.KeyCoalesceParts-1)
+	if hasRoom || b.moves > 0 || b.facts.Now-b.state.unevenSince < constants.KeyCoalescePause {
 		return
 	}
 	best, target := -1, ""
 	for i, s := range b.shards {
 		load := b.keyLoad.sum(s.keyRange)
-		if !b.isSettled(s) || load > constants.KeyGatherWarmth*b.mean || best >= 0 && s.width() >= b.shards[best].width() {
+		if !b.isSettled(s) || load > constants.KeyCoalesceLoad*b.mean || best >= 0 && s.width() >= b.shards[best].width() {
 			continue
 		}
 		for _, side := range []int{i - 1, i + 1} {
@@ -38,7 +38,7 @@
 		return false
 	}
 	from, to := b.loads[s.owner], b.loads[adjacent.owner]
-	return to+load <= max(from, constants.KeyGatherShare*b.mean) && from-load >= min(to, b.mean/constants.KeyGatherShare)
+	return to+load <= max(from, constants.KeyCoalesceShare*b.mean) && from-load >= min(to, b.mean/constants.KeyCoalesceShare)
 }
 
 // merge joins adjacent settled shards of one owner, also of differing fences: the highest is not below any that the
--- a/internal/sharding/outstanding.go
+++ b/internal/sharding/outstanding.go
@@ -38,14 +38,14 @@
 // lapseAfter is how long after the arrival of a lease its owner may still use it: back ends' clocks may run slower
 // than the leader's.
 func lapseAfter(duration time.Duration) time.Duration {
-	return duration*100/(100-constants.KeyClockSlow) + constants.KeyHoldMargin
+	return duration*100/(100-constants.KeyClockSlow) + constants.KeyLeaseMargin
 }
 
 // inherit assumes that each range's owner has a lease for as long as the calls of the leader before may have given it one.
 func (m *LeaseManager) inherit(facts Facts) {
 	until := facts.Now + constants.KeyPredecessorMargin + lapseAfter(m.leaseDuration)
-	facts.Table.Each("s/", func(row *schema.Row) {
-		if !strings.Contains(row.Key, "/span/") {
+	facts.Table.Each(servicesPrefix, func(row *schema.Row) {
+		if !strings.Contains(row.Key, "/"+shardRangePart) {
 			return
 		}
 		r := store.DecodeRow[schema.ShardRange](row)
--- a/internal/sharding/planner.go
+++ b/internal/sharding/planner.go
@@ -26,7 +26,7 @@
 }
 
 func (p *planner) run() {
-	p.facts.Table.Each(store.ServicePrefix(p.service.Name)+"span/", func(row *schema.Row) {
+	p.facts.Table.Each(store.ServicePrefix(p.service.Name)+shardRangePart, func(row *schema.Row) {
 		if s, ok := newShard(row); ok {
 			p.shards = append(p.shards, s)
 		}
@@ -93,7 +93,7 @@
 
 // maxShards is the number of shards above which only a great difference of load divides further ones.
 func (p *planner) maxShards() int {
-	return max(constants.KeySpansMost, constants.KeySpansParts*len(p.eligible))
+	return max(constants.KeyRangesMost, constants.KeyRangesPerOwner*len(p.eligible))
 }
 
 // lightest returns the eligible instance with the least weight other than one, or "" if there is none.
--- a/internal/sharding/shard.go
+++ b/internal/sharding/shard.go
@@ -5,6 +5,12 @@
 	"topazshed/internal/store"
 )
 
+// The parts of the keys of shard ranges' rows.
+const (
+	servicesPrefix = "s/"
+	shardRangePart = "span/"
+)
+
 // shard is one shard range as its row in the table has it.
 type shard struct {
 	keyRange
--- a/internal/sharding/sharding.go
+++ b/internal/sharding/sharding.go
@@ -51,8 +51,8 @@
 
 // New returns a LeaseManager that does not lead.
 func New(options Options) *LeaseManager {
-	duration := constants.KeyHoldMost
-	if share := options.MaxLease * constants.KeyHoldShare / 100; options.MaxLease > 0 && share < duration {
+	duration := constants.KeyLeaseMost
+	if share := options.MaxLease * constants.KeyLeaseShare / 100; options.MaxLease > 0 && share < duration {
 		duration = share
 	}
 	m := &LeaseManager{leaseDuration: duration, withdrawn: map[string]uint64{}}
--- a/internal/sharding/sharding_test.go
+++ b/internal/sharding/sharding_test.go
@@ -220,7 +220,7 @@
 }
 
 func TestLeaseDurationIsBounded(t *testing.T) {
-	for _, c := range []struct{ most, hold time.Duration }{{0, constants.KeyHoldMost}, {time.Minute, constants.KeyHoldMost}, {10 * time.Second, constants.KeyHoldMost}, {5 * time.Second, 3 * time.Second}} {
+	for _, c := range []struct{ most, hold time.Duration }{{0, constants.KeyLeaseMost}, {time.Minute, constants.KeyLeaseMost}, {10 * time.Second, constants.KeyLeaseMost}, {5 * time.Second, 3 * time.Second}} {
 		if g := New(Options{MaxLease: c.most}); g.leaseDuration != c.hold {
 			t.Fatalf("the lease duration is %v of %v", g.leaseDuration, c.most)
 		}
