--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -73,20 +73,20 @@
 }
 
 func TestChecksCatchInjectedFaults(t *testing.T) {
-	for _, b := range Faults {
-		t.Run(string(b.Name)+" in "+b.Scenario, func(t *testing.T) {
+	for _, fault := range Faults {
+		t.Run(string(fault.Name)+" in "+fault.Scenario, func(t *testing.T) {
 			t.Parallel()
 			var seen []string
 			for seed := int64(1); seed <= 8; seed++ {
-				f, _ := Play(*Find(b.Scenario), seed, b.Name)
+				f, _ := Play(*Find(fault.Scenario), seed, fault.Name)
 				for _, text := range f.Violations {
-					if strings.Contains(text, b.Violation) {
+					if strings.Contains(text, fault.Violation) {
 						return
 					}
 				}
 				seen = append(seen, f.Violations...)
 			}
-			t.Fatalf("with %s, %q was not reported; seen: %.3000q", b.Description, b.Violation, seen)
+			t.Fatalf("with %s, %q was not reported; seen: %.3000q", fault.Description, fault.Violation, seen)
 		})
 	}
 }
