--- a/internal/directory/match.go
+++ b/internal/directory/match.go
@@ -3,7 +3,6 @@
 import (
 	"net/http"
 	"slices"
-	"strings"
 	"time"
 
 	"topazshed/internal/constants"
@@ -97,16 +96,10 @@
 
 // drawProxies gives a few ready proxies of a zone, from a drawn one on in the order of their ids.
 func drawProxies(view *store.View, zone string, draw func(int64) int64) []Proxy {
-	var nodes []*schema.Node
-	for _, node := range view.Nodes {
-		if node.Zone == zone && node.State == schema.NodeState_NODE_READY {
-			nodes = append(nodes, node)
-		}
-	}
+	nodes := proxy.ReadyNodes(view, zone)
 	if len(nodes) == 0 {
 		return nil
 	}
-	slices.SortFunc(nodes, func(a, b *schema.Node) int { return strings.Compare(a.Id, b.Id) })
 	first := int(draw(int64(len(nodes))))
 	var proxies []Proxy
 	for i := range min(len(nodes), constants.MatchProxies) {
--- a/internal/gateway/outliers.go
+++ b/internal/gateway/outliers.go
@@ -40,12 +40,24 @@
 // ejectionDoublings bounds how often the time of ejection doubles.
 const ejectionDoublings = 8
 
-// backendRecord is what is known of one back end.
-type backendRecord struct {
-	// good and bad count verdicts; older ones count less.
+// verdictCounts count verdicts; older ones count less.
+type verdictCounts struct {
 	good, bad float64
 	at        time.Duration
-	status    OutlierStatus
+}
+
+// decayTo lets the counts lose weight for the time since they were last changed.
+func (c *verdictCounts) decayTo(now time.Duration) {
+	factor := math.Exp2(-float64(now-c.at) / float64(constants.OutlierHalfLife))
+	c.good *= factor
+	c.bad *= factor
+	c.at = now
+}
+
+// backendRecord is what is known of one back end.
+type backendRecord struct {
+	verdictCounts
+	status OutlierStatus
 	// ejections counts those that were not forgiven; each is longer than the one before.
 	ejections    int
 	ejectedUntil time.Duration
@@ -61,8 +73,7 @@
 
 // serviceRecord is what is known of all back ends of a service together.
 type serviceRecord struct {
-	good, bad float64
-	at        time.Duration
+	verdictCounts
 	// usual is the moving average of the times that good attempts took.
 	usual time.Duration
 }
@@ -79,29 +90,10 @@
 	return &Outliers{backends: map[string]*backendRecord{}, services: map[string]*serviceRecord{}}
 }
 
-// decay is the factor by which verdicts count less after a span of time.
-func decay(span time.Duration) float64 {
-	return math.Exp2(-float64(span) / float64(constants.OutlierHalfLife))
-}
-
-func (b *backendRecord) decayTo(now time.Duration) {
-	factor := decay(now - b.at)
-	b.good *= factor
-	b.bad *= factor
-	b.at = now
-}
-
-func (s *serviceRecord) decayTo(now time.Duration) {
-	factor := decay(now - s.at)
-	s.good *= factor
-	s.bad *= factor
-	s.at = now
-}
-
 func (o *Outliers) backend(now time.Duration, id string) *backendRecord {
 	b := o.backends[id]
 	if b == nil {
-		b = &backendRecord{at: now}
+		b = &backendRecord{verdictCounts: verdictCounts{at: now}}
 		o.backends[id] = b
 	}
 	return b
@@ -110,7 +102,7 @@
 func (o *Outliers) service(now time.Duration, name string) *serviceRecord {
 	s := o.services[name]
 	if s == nil {
-		s = &serviceRecord{at: now}
+		s = &serviceRecord{verdictCounts: verdictCounts{at: now}}
 		o.services[name] = s
 	}
 	return s
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -67,7 +67,7 @@
 		*d = s.park(*d, "moved", "number %d makes zone %s the owner; ask the directory again", owner.Number, owner.Zone)
 		return false
 	}
-	d.Nodes = readyNodes(s.Local.View, owner.Zone)
+	d.Nodes = ReadyNodes(s.Local.View, owner.Zone)
 	if len(d.Nodes) == 0 {
 		*d = s.park(*d, "no-proxy", "zone %s has no ready proxy; ask the directory again", owner.Zone)
 		return false
@@ -76,8 +76,8 @@
 	return false
 }
 
-// readyNodes are the ready nodes of a zone in the order of their ids.
-func readyNodes(view *store.View, zone string) []*schema.Node {
+// ReadyNodes are the ready nodes of a zone in the order of their ids.
+func ReadyNodes(view *store.View, zone string) []*schema.Node {
 	var nodes []*schema.Node
 	for _, node := range view.Nodes {
 		if node.Zone == zone && node.State == schema.NodeState_NODE_READY {
