--- a/cmd/topazshed/status_test.go
+++ b/cmd/topazshed/status_test.go
@@ -30,10 +30,10 @@
 		{"all is well", nil, []string{
 			"node a (leader), term 3, leader 10.0.0.1:7001, index 40, configuration 5, fit true",
 			"disk     /d last sync 2 ms, worst 9 ms, fault none", "votes    voters [a], learners []", "list     read whole 120 ms ago, fault none", "emptied true new racks",
-			"machine  b ready     district mu-b       proxy  door  disk false, configuration in force, heard 300 ms ago",
+			"machine  b ready     zone mu-b       proxy  admin  disk false, configuration in force, heard 300 ms ago",
 			"change   2026-05-04T12:00:00.123Z every service in mu: mu (10000) -> mu:mu-b (20002): its open districts; evidence: mu-a is emptied (new racks); by a in term 3, index 38",
-			"change   - nickel in xi: xi (1) -> region mu (2): c; evidence: none told; by a configuration in term 3, index 39",
-			"service  copper               routes 1, back ends ready 2 (cold 1), draining 0\n", "draining 0, keys without a holder 0",
+			"change   - nickel in xi: xi (1) -> region mu (2): c; evidence: none recorded; by a configuration in term 3, index 39",
+			"service  copper               routes 1, back ends ready 2 (cold 1), draining 0\n", "draining 0, keys without an owner 0",
 			"keys     nickel                   0 to 32767 held by n-1 under 7", "32768 to 65535 being released by n-2 under 8", "resting  c-9 failed this machine"}, []string{"missing", "NOT in force", "not confirmed"}},
 		{"one machine is behind, one is silent", func(s *adminapi.Status) {
 			s.Nodes[0].InForce, s.Nodes[1].HeardMs, s.Unconfirmed = false, -1, []string{"mu-b"}
@@ -41,7 +41,7 @@
 		{"two of six voters are silent", func(s *adminapi.Status) { s.ToleratedLosses, s.UnresponsiveVoters = 0, []string{"b", "c"} }, []string{"losses   0 more voters may be lost before no order is taken, silent [b c]"}, nil},
 		{"all six are heard", func(s *adminapi.Status) { s.ToleratedLosses = 2 }, []string{"losses   2 more voters may be lost before no order is taken, silent []"}, nil},
 		{"no leader answers", func(s *adminapi.Status) { s.LeaderUnreachable, s.Role = "no leader is known; ask again", "follower" }, []string{"the leader's word is missing: no leader is known; ask again"}, []string{"in force", "list ", "losses "}},
-		{"a fleet of entries", func(s *adminapi.Status) { s.Routed, s.Changes, s.Resting, s.Disk = nil, nil, nil, nil }, []string{"standing "}, []string{"in force", "routes", "resting", "disk    "}},
+		{"a fleet of entries", func(s *adminapi.Status) { s.Routed, s.Changes, s.Resting, s.Disk = nil, nil, nil, nil }, []string{"failover "}, []string{"in force", "routes", "resting", "disk    "}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := routedStatus()
--- a/cmd/topazshed/status_text.go
+++ b/cmd/topazshed/status_text.go
@@ -18,14 +18,14 @@
 	p := statusPrinter{out}
 	p.printNode(s)
 	for _, zone := range s.Zones {
-		p.line("district %-12s region %-10s residue %2d emptied %v %s", zone.Name, zone.Region, zone.Residue, zone.Emptied, zone.Reason)
+		p.line("zone     %-12s region %-10s residue %2d emptied %v %s", zone.Name, zone.Region, zone.Residue, zone.Emptied, zone.Reason)
 	}
 	for _, node := range s.Nodes {
-		p.line("machine  %s %-9s district %-10s proxy %s door %s disk %v%s",
+		p.line("machine  %s %-9s zone %-10s proxy %s admin %s disk %v%s",
 			node.ID, node.State, node.Zone, node.Proxy, node.Admin, node.Disk, reportText(s, node))
 	}
 	for _, row := range s.Assignments {
-		p.line("standing %-20s %-6s %-10s -> %-14s number %d fenced %v: %s",
+		p.line("failover %-20s %-6s %-10s -> %-14s number %d fenced %v: %s",
 			row.Service+row.Path, row.Kind, row.Region, row.Active, row.Number, row.Fenced, row.Reason)
 	}
 	for _, change := range s.Changes {
@@ -40,7 +40,7 @@
 }
 
 func (p statusPrinter) printNode(s *adminapi.Status) {
-	p.line("node %s (%s), term %d, leader %s, index %d, configuration %d, fit %v, grant %d ms",
+	p.line("node %s (%s), term %d, leader %s, index %d, configuration %d, fit %v, lease %d ms",
 		s.Node, s.Role, s.Term, s.Leader, s.Index, s.Configuration, s.Fit, s.LeaseMs)
 	if s.LeaderUnreachable != "" {
 		p.line("the leader's word is missing: %s", s.LeaderUnreachable)
@@ -64,7 +64,7 @@
 func (p statusPrinter) printChange(change adminapi.Change) {
 	p.line("change   %s %s in %s: %s (%d) -> %s (%d): %s; evidence: %s; by %s in term %d, index %d",
 		cmp.Or(change.At, "-"), cmp.Or(change.Service+change.Path, "every service"), change.Region,
-		change.Was, change.From, change.Is, change.To, change.Cause, cmp.Or(change.Evidence, "none told"),
+		change.Was, change.From, change.Is, change.To, change.Cause, cmp.Or(change.Evidence, "none recorded"),
 		cmp.Or(change.Leader, "a configuration"), change.Term, change.Index)
 }
 
@@ -73,7 +73,7 @@
 	for _, service := range r.Services {
 		keys := ""
 		if service.Keyed {
-			keys = fmt.Sprintf(", keys without a holder %d", service.Unheld)
+			keys = fmt.Sprintf(", keys without an owner %d", service.Unheld)
 		}
 		p.line("service  %-20s routes %d, back ends ready %d (cold %d), draining %d%s",
 			service.Name, service.Routes, service.Ready, service.Cold, service.Draining, keys)
--- a/internal/adminapi/operators.go
+++ b/internal/adminapi/operators.go
@@ -66,7 +66,7 @@
 	if s.options.Routed != nil {
 		config, faults := routes.Read(document, base)
 		if len(faults) > 0 {
-			const message = "the configuration is declined whole; nothing changed"
+			const message = "the configuration is refused as a whole; nothing changed"
 			writeRefusal(w, &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_INVALID, Message: message, Faults: faults})
 			return
 		}
--- a/internal/adminapi/routed_status_test.go
+++ b/internal/adminapi/routed_status_test.go
@@ -65,7 +65,7 @@
 		wants                    []string
 	}{
 		{"a put is accepted", "PUT", "/v1/configuration?base=4", `{"routes":[]}`, ground{response: &schema.OperatorResponse{Version: 5}}, 200, []string{`"version":5`}},
-		{"a put of a wrong shape is not asked about", "PUT", "/v1/configuration?base=4", `{"entries":[],"routes":{}}`, ground{fault: errors.New("not to be asked")}, 422, []string{`"path":"entries"`, `"path":"routes"`, "declined whole"}},
+		{"a put of a wrong shape is not asked about", "PUT", "/v1/configuration?base=4", `{"entries":[],"routes":{}}`, ground{fault: errors.New("not to be asked")}, 422, []string{`"path":"entries"`, `"path":"routes"`, "refused as a whole"}},
 		{"above the limit", "PUT", "/v1/configuration?base=4", strings.Repeat(" ", constants.RoutesDocumentLimit+1), ground{}, 413, []string{"send less"}},
 		{"a lost race", "PUT", "/v1/configuration?base=4", `{"routes":[]}`, ground{response: &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Version: 7, Message: "m"}}, 409, []string{`"version":7`}},
 		{"nothing was put yet", "GET", "/v1/configuration", "", ground{response: &schema.OperatorResponse{}}, 200, []string{`{"routes":[]}`}},
