--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -126,33 +126,6 @@
 	}
 }
 
-// SetSeeds takes the seeds of changed settings: a node that knows nobody asks them, and the former ones may all be gone.
-func (c *Machine) SetSeeds(now time.Duration, seeds []string) {
-	c.now = now
-	if len(seeds) == 0 || slices.Equal(seeds, c.options.Seeds) {
-		return
-	}
-	c.options.Seeds = slices.Clone(seeds)
-	c.peerSampler.SetSeeds(c.options.Seeds)
-	c.subscription.SetSeeds(c.options.Seeds)
-	c.bootstrap.SetSeeds(c.options.Seeds)
-	c.heartbeats.SetSeeds(c.options.Seeds)
-	c.log.Info("other seeds are asked from now on", "seeds", seeds)
-}
-
-// SetHealthReports takes this node's probes of back ends.
-func (c *Machine) SetHealthReports(healthReports []*schema.HealthReport) {
-	c.heartbeats.SetHealthReports(healthReports)
-}
-
-// SetReservationReplica takes this node's state as a replica.
-func (c *Machine) SetReservationReplica(number uint64, isReady bool) {
-	c.heartbeats.SetReservationReplica(number, isReady)
-}
-
-// SetOldestIndex takes the lowest snapshot version that a keyed attempt in flight was begun on; none is 0.
-func (c *Machine) SetOldestIndex(floor uint64) { c.heartbeats.SetOldestIndex(floor) }
-
 // Stop marks the node as stopping: it is told to the leader and no match names it any more.
 func (c *Machine) Stop(now time.Duration) {
 	c.now = now
@@ -164,14 +137,6 @@
 	}
 }
 
-// Want asks for a service's slice.
-func (c *Machine) Want(now time.Duration, service string) {
-	c.now = now
-	if c.quorum == nil {
-		c.sendAll(c.subscription.Want(now, service))
-	}
-}
-
 // SetListRead takes a read of the platform's list; only the leader uses it.
 func (c *Machine) SetListRead(now time.Duration, sweep discovery.ListRead) {
 	c.now = now
