--- a/internal/adminapi/routed_status_test.go
+++ b/internal/adminapi/routed_status_test.go
@@ -65,7 +65,7 @@
 		wants                    []string
 	}{
 		{"a put is accepted", "PUT", "/v1/configuration?base=4", `{"routes":[]}`, ground{response: &schema.OperatorResponse{Version: 5}}, 200, []string{`"version":5`}},
-		{"a put of a wrong shape is not asked about", "PUT", "/v1/configuration?base=4", `{"entries":[],"routes":{}}`, ground{fault: errors.New("not to be asked")}, 422, []string{`"path":"entries"`, `"path":"routes"`, "declined whole"}},
+		{"a put of a wrong shape is not asked about", "PUT", "/v1/configuration?base=4", `{"entries":[],"routes":{}}`, ground{fault: errors.New("not to be asked")}, 422, []string{`"path":"entries"`, `"path":"routes"`, "refused as a whole"}},
 		{"above the limit", "PUT", "/v1/configuration?base=4", strings.Repeat(" ", constants.RoutesDocumentLimit+1), ground{}, 413, []string{"send less"}},
 		{"a lost race", "PUT", "/v1/configuration?base=4", `{"routes":[]}`, ground{response: &schema.OperatorResponse{Refusal: schema.RefusalKind_REFUSAL_CONFLICT, Version: 7, Message: "m"}}, 409, []string{`"version":7`}},
 		{"nothing was put yet", "GET", "/v1/configuration", "", ground{response: &schema.OperatorResponse{}}, 200, []string{`{"routes":[]}`}},
@@ -73,10 +73,10 @@
 		{"ready", "GET", "/v1/ready", "", ground{isReady: true}, 200, nil},
 		{"nobody to be named", "GET", "/v1/match?region=mu", "", ground{}, 503, []string{"ask another node"}},
 		{"a match", "GET", "/v1/match", "", ground{proxies: []string{"10.0.0.1:1"}}, 200, []string{`{"proxies":["10.0.0.1:1"],"live_ms":2000}`}},
-		{"all standings", "GET", "/v1/standings", "", ground{}, 200, []string{`"kind":"region","region":"mu","active":"mu:mu-b","number":20002`, `"kind":"service","region":"mu","active":"region xi","number":20003`}},
-		{"one standing with its changes only", "GET", "/v1/standings/mu?service=copper", "", ground{response: notified}, 200, []string{`"group":"mu:mu-b"`, `"trail":"20002"`, `"changes":[{"region":"mu","from":10000,"to":20002,"was":"mu","is":"mu:mu-b"`, `"leader":"n1","index":8,"term":3}]`}},
-		{"one standing while no leader answers", "GET", "/v1/standings/mu", "", ground{fault: errors.New("timed out")}, 200, []string{`"changes":[]`, `"leader_silent":"the leader did not answer in time (timed out); run doctor`}},
-		{"a standing that leads to nobody", "GET", "/v1/standings/mu?service=nickel", "", ground{}, 503, []string{"no-standing"}},
+		{"all failover assignments", "GET", "/v1/standings", "", ground{}, 200, []string{`"kind":"region","region":"mu","active":"mu:mu-b","number":20002`, `"kind":"service","region":"mu","active":"region xi","number":20003`}},
+		{"one assignment with its changes only", "GET", "/v1/standings/mu?service=copper", "", ground{response: notified}, 200, []string{`"group":"mu:mu-b"`, `"trail":"20002"`, `"changes":[{"region":"mu","from":10000,"to":20002,"was":"mu","is":"mu:mu-b"`, `"leader":"n1","index":8,"term":3}]`}},
+		{"one assignment while no leader answers", "GET", "/v1/standings/mu", "", ground{fault: errors.New("timed out")}, 200, []string{`"changes":[]`, `"leader_silent":"the leader did not answer in time (timed out); run doctor`}},
+		{"an assignment that leads to nobody", "GET", "/v1/standings/mu?service=nickel", "", ground{}, 503, []string{"no-standing"}},
 		{"status", "GET", "/v1/status", "", ground{response: notified}, 200, []string{`"unconfirmed":["mu-a"]`, `"index":9,"in_force":true`, `"heard_ms":-1`, `"at":"2026-05-04T12:00:00.123Z"`, `"evidence":"mu-a is emptied (new racks)"`,
 			`"resting":["c-1","c-9"]`, `"routes":1`, `{"name":"copper","routes":1,"ready":1,"draining":1,"cold":1}`, `"name":"nickel","keyed":true,"routes":0,"ready":0,"draining":0,"cold":0,"unheld":32768`,
 			`"spans":[{"service":"nickel","first":0,"last":32767,"instance":"i-1","fence":7}]`, `"state":"ready, cold"`}},
