--- a/internal/sharding/sharding_test.go
+++ b/internal/sharding/sharding_test.go
@@ -98,16 +98,16 @@
 		most   time.Duration
 		isSlow bool
 		moved  uint32
-		change func(w *world, backend *owner)
+		change func(w *world, backend *simulatedBackend)
 	}{
-		{"a draining owner", 1500 * ms, false, 16384, func(w *world, backend *owner) {
+		{"a draining owner", 1500 * ms, false, 16384, func(w *world, backend *simulatedBackend) {
 			backend.row = &schema.Backend{Service: "a", Instance: backend.row.Instance, Address: backend.row.Address, Zone: backend.row.Zone, State: schema.BackendState_BACKEND_DRAINING}
 			w.list(backend)
 		}},
-		{"an emptied zone", 1500 * ms, false, 32768, func(w *world, backend *owner) { w.empty(backend.row.Zone, true) }},
-		{"an ended process", 1200 * ms, true, 16384, func(w *world, backend *owner) { w.crash(backend) }},
-		{"an owner off the list", 8 * time.Second, true, 16384, func(w *world, backend *owner) { w.unlist(backend) }},
-		{"an owner out of reach", 12 * time.Second, true, 16384, func(w *world, backend *owner) { backend.cutUntil = w.now + time.Minute }},
+		{"an emptied zone", 1500 * ms, false, 32768, func(w *world, backend *simulatedBackend) { w.empty(backend.row.Zone, true) }},
+		{"an ended process", 1200 * ms, true, 16384, func(w *world, backend *simulatedBackend) { w.crash(backend) }},
+		{"an owner off the list", 8 * time.Second, true, 16384, func(w *world, backend *simulatedBackend) { w.unlist(backend) }},
+		{"an owner out of reach", 12 * time.Second, true, 16384, func(w *world, backend *simulatedBackend) { backend.cutUntil = w.now + time.Minute }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := settled(t, 4)
