--- a/internal/node/entry_service.go
+++ b/internal/node/entry_service.go
@@ -39,16 +39,16 @@
 	s.loads = proxy.NewLoads(n.Now)
 	s.kept = proxy.NewResponseCache()
 	s.executor = proxy.NewExecutor(proxy.Options{
-		Self:  n.self,
-		Now:   n.Now,
-		Local: n.local.Load,
-		Want:  n.want,
-		Call:  s.call,
-		Draw:  draw,
-		Pool:  s.pool,
-		Loads: s.loads,
-		Kept:  s.kept,
-		Log:   n.log.With("part", "proxy"),
+		Self:      n.self,
+		Now:       n.Now,
+		Local:     n.local.Load,
+		Want:      n.want,
+		Call:      s.call,
+		Draw:      draw,
+		Pool:      s.pool,
+		Loads:     s.loads,
+		Responses: s.kept,
+		Log:       n.log.With("part", "proxy"),
 	})
 	if err := n.openNetwork(); err != nil {
 		return err
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -12,11 +12,11 @@
 
 // The orders of a RequestMachine. Each but OrderReply is answered by one event.
 const (
-	// OrderReply: respond with Result, or else with Fault. The request has ended.
+	// OrderReply: respond with Result, or else with Refusal. The request has ended.
 	OrderReply OrderKind = iota
 	// OrderWait: wait so long; EventWoken follows. Wanted names a service whose rows this proxy lacks.
 	OrderWait
-	// OrderConnect: connect to Address, which must prove that it is Who; EventConnected follows.
+	// OrderConnect: connect to Address, which must prove that it is Identity; EventConnected follows.
 	OrderConnect
 	// OrderSend: send the request with Path and Header on the open connection; EventAnswered follows.
 	OrderSend
@@ -40,12 +40,12 @@
 type Order struct {
 	Kind OrderKind
 	// For is how long it may take, or how long to wait.
-	For     time.Duration
-	Wanted  string
-	Address string
-	Who     Identity
-	Path    string
-	Header  http.Header
+	For      time.Duration
+	Wanted   string
+	Address  string
+	Identity Identity
+	Path     string
+	Header   http.Header
 	// Limit bounds the response's body, in bytes.
 	Limit uint64
 	// IsBound says that the attempt ends when the caller leaves; others may run to their end.
@@ -53,9 +53,9 @@
 	Reservations []ReservationCall
 	Replay       *schema.ReplayRequest
 	Result       *Result
-	Fault        *RefusalError
-	// Keeps says that the open connection may be used again.
-	Keeps bool
+	Refusal      *RefusalError
+	// KeepsConn says that the open connection may be used again.
+	KeepsConn bool
 }
 
 // EventKind is what has happened to a request.
@@ -86,8 +86,8 @@
 	Kind   EventKind
 	Err    error
 	Result *Result
-	// IsTouched says that bytes were written, so that the request may have run.
-	IsTouched bool
+	// MayHaveRun says that bytes were written, so that the request may have run.
+	MayHaveRun bool
 	// IsGone says that the attempt failed because the caller has left or its wait is over.
 	IsGone   bool
 	Reserved *schema.ReservationResponse
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -25,7 +25,7 @@
 		defer sockets.AbortWhenDone(ctx, conn)()
 	}
 	conn.SetDeadline(time.Now().Add(order.For))
-	event.IsTouched = true
+	event.MayHaveRun = true
 	if err := request.Write(conn); err != nil {
 		event.Err = fmt.Errorf("write the request: %w", err)
 		return event, false
--- a/internal/proxy/execution.go
+++ b/internal/proxy/execution.go
@@ -32,10 +32,10 @@
 	for {
 		order := e.machine.Next(options.Now(), options.Local(), event)
 		if e.conn != nil && order.Kind != OrderSend {
-			e.releaseConn(order.Keeps)
+			e.releaseConn(order.KeepsConn)
 		}
 		if order.Kind == OrderReply {
-			return order.Result, order.Fault
+			return order.Result, order.Refusal
 		}
 		event = e.perform(ctx, &order)
 	}
@@ -90,11 +90,11 @@
 }
 
 func (e *execution) connect(ctx context.Context, order *Order) Event {
-	conn, err := e.executor.options.Pool.Get(ctx, order.Address, order.Who)
+	conn, err := e.executor.options.Pool.Get(ctx, order.Address, order.Identity)
 	e.conn = conn
 	e.isClean = true
 	if err != nil {
-		e.executor.options.Log.Debug("not reached", "instance", order.Who.Instance, "reason", err.Error())
+		e.executor.options.Log.Debug("not reached", "instance", order.Identity.Instance, "reason", err.Error())
 	}
 	return Event{Kind: EventConnected, Err: err}
 }
--- a/internal/proxy/executor.go
+++ b/internal/proxy/executor.go
@@ -26,11 +26,11 @@
 	// Call sends a frame to a node and gives its answer.
 	Call func(ctx context.Context, address string, frame *schema.Frame) (*schema.Frame, error)
 	// Draw gives a random number from 0 to below its argument.
-	Draw  func(int64) int64
-	Pool  *Pool
-	Loads *Loads
-	Kept  *ResponseCache
-	Log   *slog.Logger
+	Draw      func(int64) int64
+	Pool      *Pool
+	Loads     *Loads
+	Responses *ResponseCache
+	Log       *slog.Logger
 }
 
 // stats count how requests ended, and the attempts after the first.
@@ -121,13 +121,13 @@
 		executor: x,
 		request:  q,
 		machine: *NewRequestMachine(RequestOptions{
-			Self:    x.options.Self,
-			Loads:   x.options.Loads,
-			Kept:    x.options.Kept,
-			Draw:    x.options.Draw,
-			Request: q,
-			Begun:   begun,
-			Owner:   fmt.Sprintf("%s/%d", x.options.Self.Id, x.serial.Add(1)),
+			Self:      x.options.Self,
+			Loads:     x.options.Loads,
+			Responses: x.options.Responses,
+			Draw:      x.options.Draw,
+			Request:   q,
+			Begun:     begun,
+			Owner:     fmt.Sprintf("%s/%d", x.options.Self.Id, x.serial.Add(1)),
 		}),
 	}
 	return e.run(ctx)
--- a/internal/proxy/executor_test.go
+++ b/internal/proxy/executor_test.go
@@ -76,7 +76,7 @@
 	view := base(backends...).view()
 	pool := NewPool("127.0.0.1:0")
 	t.Cleanup(func() { pool.Close() })
-	x := NewExecutor(Options{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Now: now, Pool: pool, Loads: NewLoads(now), Kept: NewResponseCache(), Draw: func(int64) int64 { return 0 },
+	x := NewExecutor(Options{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Now: now, Pool: pool, Loads: NewLoads(now), Responses: NewResponseCache(), Draw: func(int64) int64 { return 0 },
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Want: func(string) {},
 		Local: func() *controlplane.Local {
 			l := fresh(view)
--- a/internal/proxy/machine_attempt.go
+++ b/internal/proxy/machine_attempt.go
@@ -19,7 +19,7 @@
 	m.Loads.BeginKey(backend.Service, m.Request.Key)
 	m.phase = phaseConnect
 	identity := Identity{Service: backend.Service, Instance: backend.Instance}
-	return Order{Kind: OrderConnect, For: constants.ConnectWait, Address: backend.Address, Who: identity}
+	return Order{Kind: OrderConnect, For: constants.ConnectWait, Address: backend.Address, Identity: identity}
 }
 
 func (m *RequestMachine) endAttempt() {
@@ -59,7 +59,7 @@
 // exclude gives the present back end no further attempt.
 func (m *RequestMachine) exclude(err error) {
 	m.tried[m.decision.Backend.Instance] = true
-	m.lastFault = err.Error()
+	m.reason = err.Error()
 }
 
 // countAttempt counts for the repeat budget; the first attempt of a forwarded request was counted by the proxy that forwarded it.
@@ -97,13 +97,13 @@
 		err = verify(e.Result, m.Request, d.Backend)
 	}
 	m.endAttempt()
-	m.isTouched = m.isTouched || e.IsTouched
+	m.mayHaveRun = m.mayHaveRun || e.MayHaveRun
 	m.endKeyed(err != nil)
 	if err == nil {
 		return m.sealed(e.Result)
 	}
 	m.exclude(err)
-	if m.now >= m.until || e.IsGone || !d.IsSafe && m.isTouched {
+	if m.now >= m.until || e.IsGone || !d.IsSafe && m.mayHaveRun {
 		return m.giveUp(newRefusalLater("failed", "%v", err))
 	}
 	return m.decide(false)
@@ -114,9 +114,9 @@
 	m.Loads.Report(m.decision.Backend.Instance, nil)
 	result := &Result{Status: received.Status, Header: responseHeader(received.Header), Body: received.Body}
 	if !m.decision.IsSafe {
-		m.Kept.Put(m.now, m.Request, result)
+		m.Responses.Put(m.now, m.Request, result)
 	}
-	return Order{Kind: OrderReply, Result: result, Keeps: true}
+	return Order{Kind: OrderReply, Result: result, KeepsConn: true}
 }
 
 // isStillValid tells whether what was decided still holds by the present view, of which a second check is given.
--- a/internal/proxy/machine_forward.go
+++ b/internal/proxy/machine_forward.go
@@ -45,7 +45,7 @@
 	m.Loads.Begin(node.Id)
 	m.forwards.node = node
 	m.phase = phaseForwardConnect
-	return Order{Kind: OrderConnect, For: constants.ConnectWait, Address: node.Proxy, Who: Identity{Service: proxyService, Instance: node.Id}}
+	return Order{Kind: OrderConnect, For: constants.ConnectWait, Address: node.Proxy, Identity: Identity{Service: proxyService, Instance: node.Id}}
 }
 
 // drawNode draws two proxies and takes the one with fewer attempts in flight. If that is bad, it takes the last one that is not.
@@ -105,11 +105,11 @@
 	result := e.Result
 	if result.Header.Get(HeaderOutcome) == ResultSealed {
 		sealed := &Result{Status: result.Status, Header: responseHeader(result.Header), Body: result.Body}
-		return Order{Kind: OrderReply, Result: sealed, Keeps: true}
+		return Order{Kind: OrderReply, Result: sealed, KeepsConn: true}
 	}
 	refusal := forwardedRefusal(result)
 	order := m.endForward(refusal, refusal.Result == ResultRefused && (refusal.Kind == kindMoved || refusal.Kind == kindBehind))
-	order.Keeps = true
+	order.KeepsConn = true
 	return order
 }
 
@@ -167,7 +167,7 @@
 	if refusal.Result == ResultAmbiguous && !m.Loads.MayRepeat(m.now, m.Request.Service, m.part()) {
 		return m.reply(refusal)
 	}
-	m.lastFault = refusal.Message
+	m.reason = refusal.Message
 	m.refusal = refusal
 	m.parkedAt = cmp.Or(m.parkedAt, m.now)
 	m.phase = phaseForwardPause
--- a/internal/proxy/machine_reservation.go
+++ b/internal/proxy/machine_reservation.go
@@ -157,7 +157,7 @@
 	proxy, _, _ := strings.Cut(m.reservation.otherOwner, "/")
 	m.reservation.otherOwner = ""
 	if proxy == m.Self.Id {
-		return m.replyWithEarlier(m.Kept.Get(m.Request.Attempt, m.Request.Digest))
+		return m.replyWithEarlier(m.Responses.Get(m.Request.Attempt, m.Request.Digest))
 	}
 	node := m.local.View.Nodes[proxy]
 	if proxy == "" || node == nil {
--- a/internal/proxy/request_machine.go
+++ b/internal/proxy/request_machine.go
@@ -28,11 +28,11 @@
 
 // RequestOptions make a RequestMachine.
 type RequestOptions struct {
-	Self    *schema.Node
-	Loads   *Loads
-	Kept    *ResponseCache
-	Draw    func(int64) int64
-	Request *Request
+	Self      *schema.Node
+	Loads     *Loads
+	Responses *ResponseCache
+	Draw      func(int64) int64
+	Request   *Request
 	// Owner names this request in its reservations: the proxy's id, a slash, and a number.
 	Owner string
 	// Begun is when the request came.
@@ -62,12 +62,12 @@
 	reservation reservation
 
 	attempts int
-	// isTouched says that a back end may have run the request.
-	isTouched bool
-	tried     map[string]bool
-	// lastFault is what went wrong last.
-	lastFault string
-	endKeyed  func(mayRun bool)
+	// mayHaveRun says that a back end may have run the request.
+	mayHaveRun bool
+	tried      map[string]bool
+	// reason is what went wrong last.
+	reason   string
+	endKeyed func(mayRun bool)
 
 	// refusal is given to the caller when the present phase leads to nothing better; isFinal says that the request then ends.
 	refusal *RefusalError
@@ -167,7 +167,7 @@
 	}
 	m.decision = d
 	order := m.begin(d)
-	order.Keeps = order.Keeps || keepsConn
+	order.KeepsConn = order.KeepsConn || keepsConn
 	return order
 }
 
@@ -195,19 +195,19 @@
 }
 
 func (m *RequestMachine) reply(refusal *RefusalError) Order {
-	return Order{Kind: OrderReply, Fault: refusal}
+	return Order{Kind: OrderReply, Refusal: refusal}
 }
 
 // giveUp ends the request with a refusal; if it may have run, the refusal says so.
 func (m *RequestMachine) giveUp(refusal *RefusalError) Order {
-	if !m.isTouched {
+	if !m.mayHaveRun {
 		return m.release(refusal, true)
 	}
 	ambiguous := *refusal
 	ambiguous.Status = http.StatusBadGateway
 	ambiguous.Kind = "failed"
 	ambiguous.Result = ResultAmbiguous
-	ambiguous.Message = "an attempt was begun and gave no sealed response: " + m.lastFault
+	ambiguous.Message = "an attempt was begun and gave no sealed response: " + m.reason
 	ambiguous.RetryAfter = constants.RetryAfter
 	return m.reply(&ambiguous)
 }
--- a/internal/proxy/request_machine_test.go
+++ b/internal/proxy/request_machine_test.go
@@ -27,10 +27,10 @@
 	begun := Event{Kind: EventBegun}
 	up := Event{Kind: EventConnected}
 	down := Event{Kind: EventConnected, Err: errors.New("refused")}
-	good := Event{Kind: EventAnswered, Result: sealed("attempt-1", "l-1", "ok"), IsTouched: true}
-	other := Event{Kind: EventAnswered, Result: sealed("attempt-1", "l-2", "ok"), IsTouched: true}
-	foreign := Event{Kind: EventAnswered, Result: sealed("attempt-2", "l-1", "ok"), IsTouched: true}
-	lost := Event{Kind: EventAnswered, Err: errors.New("reset"), IsTouched: true}
+	good := Event{Kind: EventAnswered, Result: sealed("attempt-1", "l-1", "ok"), MayHaveRun: true}
+	other := Event{Kind: EventAnswered, Result: sealed("attempt-1", "l-2", "ok"), MayHaveRun: true}
+	foreign := Event{Kind: EventAnswered, Result: sealed("attempt-2", "l-1", "ok"), MayHaveRun: true}
+	lost := Event{Kind: EventAnswered, Err: errors.New("reset"), MayHaveRun: true}
 	reserved := func(state schema.ReservationState) Event {
 		return Event{Kind: EventReserved, Reserved: &schema.ReservationResponse{State: state}}
 	}
@@ -89,7 +89,7 @@
 			if c.other == 0 {
 				kept.Put(noon, q, sealed("attempt-1", "l-1", "before"))
 			}
-			machine := NewRequestMachine(RequestOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Request: q, Owner: "h/1", Begun: noon})
+			machine := NewRequestMachine(RequestOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Responses: kept, Draw: func(int64) int64 { return 0 }, Request: q, Owner: "h/1", Begun: noon})
 			var kinds []string
 			var last Order
 			now := noon
@@ -101,10 +101,10 @@
 			}
 			result := ""
 			if last.Kind == OrderReply {
-				result = CallerResult("self", q.Attempt, last.Result, last.Fault).Header.Get(HeaderOutcome)
+				result = CallerResult("self", q.Attempt, last.Result, last.Refusal).Header.Get(HeaderOutcome)
 			}
 			if got := strings.Join(kinds, " "); got != c.orders || result != c.result {
-				t.Fatalf("orders %q result %q, want %q %q (%v)", got, result, c.orders, c.result, last.Fault)
+				t.Fatalf("orders %q result %q, want %q %q (%v)", got, result, c.orders, c.result, last.Refusal)
 			}
 			if last.Kind == OrderReply && loads.InFlight("l-1")+loads.InFlight("l-2")+loads.InFlight("l-3") != 0 {
 				t.Error("an attempt is still counted after the reply")
@@ -122,9 +122,9 @@
 		event     Event
 		isRunning bool
 	}{
-		{"a sealed answer ends it", Event{Kind: EventAnswered, Result: sealed("attempt-1", "l-1", "ok"), IsTouched: true}, false},
-		{"a lost connection does not", Event{Kind: EventAnswered, Err: errors.New("reset"), IsTouched: true}, true},
-		{"nor does another's answer", Event{Kind: EventAnswered, Result: sealed("attempt-2", "l-1", "ok"), IsTouched: true}, true},
+		{"a sealed answer ends it", Event{Kind: EventAnswered, Result: sealed("attempt-1", "l-1", "ok"), MayHaveRun: true}, false},
+		{"a lost connection does not", Event{Kind: EventAnswered, Err: errors.New("reset"), MayHaveRun: true}, true},
+		{"nor does another's answer", Event{Kind: EventAnswered, Result: sealed("attempt-2", "l-1", "ok"), MayHaveRun: true}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := base(backend("l-1", "north-a"))
@@ -136,7 +136,7 @@
 			loads, kept := NewLoads(func() time.Duration { return now }), NewResponseCache()
 			local := fresh(w.view())
 			q := &Request{Service: "ledger", Path: "/keyed", Method: "GET", Key: "k", Attempt: "attempt-1", Wait: time.Second, Origin: failover.Origin{Service: "ledger", Path: "/keyed"}}
-			machine := NewRequestMachine(RequestOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Kept: kept, Draw: func(int64) int64 { return 0 }, Request: q, Begun: noon})
+			machine := NewRequestMachine(RequestOptions{Self: &schema.Node{Id: "nnorth-a", Zone: "north-a", Region: "north"}, Loads: loads, Responses: kept, Draw: func(int64) int64 { return 0 }, Request: q, Begun: noon})
 			for _, e := range []Event{{Kind: EventBegun}, {Kind: EventConnected}} {
 				machine.Next(now, local, e)
 			}
--- a/internal/sim/backend_work.go
+++ b/internal/sim/backend_work.go
@@ -95,7 +95,7 @@
 
 // failedEvent tells a request state machine that an attempt broke after it was written.
 func failedEvent(err error) proxy.Event {
-	return proxy.Event{Kind: proxy.EventAnswered, Err: err, IsTouched: true}
+	return proxy.Event{Kind: proxy.EventAnswered, Err: err, MayHaveRun: true}
 }
 
 // work occupies a worker for the time that the request takes.
@@ -188,7 +188,7 @@
 // spoil gives what arrives of an answer under a mode. FaultSeal makes the digest fit whatever that is.
 func (r *backendRequest) spoil(result *proxy.Result, mode Mode) proxy.Event {
 	isSealForged := r.fleet.Options.Fault == FaultSeal
-	event := proxy.Event{Kind: proxy.EventAnswered, Result: result, IsTouched: true}
+	event := proxy.Event{Kind: proxy.EventAnswered, Result: result, MayHaveRun: true}
 	switch mode {
 	case ModeLose:
 		return failedEvent(fmt.Errorf("connection reset"))
--- a/internal/sim/proxy_connection.go
+++ b/internal/sim/proxy_connection.go
@@ -38,9 +38,9 @@
 		return order.For, noAnswerError(name)
 	case !peer.IsUp || peer.isShut:
 		return roundTrip, fmt.Errorf("connect to %s: refused", name)
-	case peer.id != order.Who.Instance:
+	case peer.id != order.Identity.Instance:
 		got := proxy.Identity{Service: proxyService, Instance: peer.id}
-		return roundTrip, &proxy.IdentityError{Want: order.Who, Got: got}
+		return roundTrip, &proxy.IdentityError{Want: order.Identity, Got: got}
 	}
 	r.peer, r.peerBoot = peer, peer.Boot
 	return roundTrip, nil
@@ -51,7 +51,7 @@
 	f := r.fleet
 	b := f.backendAt(order.Address)
 	if b == nil {
-		if listed := f.findBackend(order.Who.Instance); listed != nil && listed.isUnresponsive {
+		if listed := f.findBackend(order.Identity.Instance); listed != nil && listed.isUnresponsive {
 			return order.For, noAnswerError(order.Address)
 		}
 		return connectDelay, f.refusedError(order.Address)
@@ -60,8 +60,8 @@
 		return order.For, noAnswerError(order.Address)
 	}
 	got := proxy.Identity{Service: b.Service, Instance: b.Instance}
-	if got != order.Who && f.Options.Fault != FaultIdentity {
-		return connectDelay, &proxy.IdentityError{Want: order.Who, Got: got}
+	if got != order.Identity && f.Options.Fault != FaultIdentity {
+		return connectDelay, &proxy.IdentityError{Want: order.Identity, Got: got}
 	}
 	r.backend = b
 	return connectDelay, nil
@@ -127,6 +127,6 @@
 	case broken != "":
 		finish(failedEvent(fmt.Errorf("the proxy's connection broke: %s", broken)))
 	default:
-		finish(proxy.Event{Kind: proxy.EventAnswered, Result: result, IsTouched: true})
+		finish(proxy.Event{Kind: proxy.EventAnswered, Result: result, MayHaveRun: true})
 	}
 }
--- a/internal/sim/proxy_request.go
+++ b/internal/sim/proxy_request.go
@@ -62,13 +62,13 @@
 		n.serial++
 		r := &proxyRequest{fleet: f, node: n, nodeBoot: n.Boot, id: n.serial, request: request, respond: respond}
 		r.machine = proxy.NewRequestMachine(proxy.RequestOptions{
-			Self:    &schema.Node{Id: n.id, Zone: n.Zone, Region: n.Region},
-			Loads:   n.loads,
-			Kept:    n.kept,
-			Draw:    n.random.Int63n,
-			Request: request,
-			Owner:   fmt.Sprintf("%s/%d", n.id, n.serial),
-			Begun:   f.clock(n),
+			Self:      &schema.Node{Id: n.id, Zone: n.Zone, Region: n.Region},
+			Loads:     n.loads,
+			Responses: n.kept,
+			Draw:      n.random.Int63n,
+			Request:   request,
+			Owner:     fmt.Sprintf("%s/%d", n.id, n.serial),
+			Begun:     f.clock(n),
 		})
 		n.inFlight[r.id] = r
 		r.next(0, proxy.Event{Kind: proxy.EventBegun})
@@ -94,7 +94,7 @@
 		}
 		switch f.Options.Fault {
 		case FaultTouched:
-			event.IsTouched = false
+			event.MayHaveRun = false
 		case FaultBudget:
 			for range budgetFactor {
 				n.loads.First(f.clock(n), r.request.Service)
@@ -115,10 +115,10 @@
 	f, n, step := r.fleet, r.node, r.step
 	switch order.Kind {
 	case proxy.OrderReply:
-		if order.Fault != nil {
-			f.Counts[order.Fault.Result+" "+order.Fault.Kind]++
+		if order.Refusal != nil {
+			f.Counts[order.Refusal.Result+" "+order.Refusal.Kind]++
 		}
-		r.answer(proxy.CallerResult(n.id, r.request.Attempt, order.Result, order.Fault), "")
+		r.answer(proxy.CallerResult(n.id, r.request.Attempt, order.Result, order.Refusal), "")
 	case proxy.OrderWait:
 		if order.Wanted != "" {
 			n.machine.Want(f.clock(n), order.Wanted)
