--- a/internal/failover/resolve_entry.go
+++ b/internal/failover/resolve_entry.go
@@ -67,7 +67,10 @@
 	} else if region == "" {
 		return Owner{}, &OriginError{origin.String()}
 	}
-	return owner.followRegions(view, service, entry, region)
+	if err := owner.followRegions(view, service, entry, region); err != nil {
+		return Owner{}, err
+	}
+	return owner, nil
 }
 
 // followEntity notes an entity's row and returns the region that it names.
@@ -82,14 +85,14 @@
 }
 
 // followRegions follows the region map from a region to the active group.
-func (o Owner) followRegions(view *store.View, service *store.Service, entry *schema.Entry, region string) (Owner, error) {
+func (o *Owner) followRegions(view *store.View, service *store.Service, entry *schema.Entry, region string) error {
 	for range maxRegions {
 		if len(entry.HomeRegions) > 0 && !slices.Contains(entry.HomeRegions, region) {
-			return Owner{}, resolveErrorf("region %q is no home region of entry %s%s", region, entry.Service, entry.Path)
+			return resolveErrorf("region %q is no home region of entry %s%s", region, entry.Service, entry.Path)
 		}
 		assignment := service.Assignments[entry.Path][region]
 		if assignment == nil {
-			return Owner{}, resolveErrorf("entry %s%s has no failover assignment in region %q", entry.Service, entry.Path, region)
+			return resolveErrorf("entry %s%s has no failover assignment in region %q", entry.Service, entry.Path, region)
 		}
 		if assignment.Fenced {
 			o.addFence(store.AssignmentKey(entry.Service, entry.Path, region), assignment.Far)
@@ -98,14 +101,14 @@
 		o.Trail = append(o.Trail, number)
 		if zone := zoneOf(view, number); zone != nil {
 			if zone.Region != region {
-				return Owner{}, resolveErrorf("number %d names zone %s outside region %s", number, zone.Name, region)
+				return resolveErrorf("number %d names zone %s outside region %s", number, zone.Name, region)
 			}
 			o.Region, o.Zone, o.Number = region, zone.Name, number
-			return o, nil
+			return nil
 		}
 		region = regionOf(view, number, entryIncrement)
 	}
-	return Owner{}, resolveErrorf("entry %s%s has no active group", entry.Service, entry.Path)
+	return resolveErrorf("entry %s%s has no active group", entry.Service, entry.Path)
 }
 
 func (o *Owner) addFence(rowKey string, isFar bool) {
