--- a/internal/replication/publisher_test.go
+++ b/internal/replication/publisher_test.go
@@ -68,7 +68,7 @@
 
 func TestAReaderThatIsTooFarBehindGetsWholeRanges(t *testing.T) {
 	table := publishedTable(t)
-	table.Restore(table.Whole())
+	table.Restore(table.Snapshot())
 	delta := deltaOf(t, NewPublisher(table, deltaEvery).Subscribe(begin, Confirmation{IsMember: true}, "reader",
 		&schema.Subscribe{Version: 1, Prefixes: []string{"node/"}, Wanted: []string{"s/checkout/"}}))
 	if !delta.All || fmt.Sprint(delta.Whole) != "[node/ s/checkout/]" || len(delta.Rows) != 2 {
--- a/internal/routes/plan.go
+++ b/internal/routes/plan.go
@@ -14,12 +14,12 @@
 
 // Plan returns the one record that replaces the newest configuration, guarded against any other put. It holds only what changes.
 func Plan(table *store.Table, config *schema.RouteConfig, digest []byte) *schema.Record {
-	headRow := table.Get(store.HeadKey)
+	headRow := table.Get(store.CatalogHeadKey)
 	head := store.DecodeRow[schema.CatalogHead](headRow)
 	p := &planner{table: table, isKept: map[string]bool{}, record: &schema.Record{
 		Kind:   schema.RecordKind_RECORD_ROWS,
 		Reason: fmt.Sprintf("configuration %d", config.Version),
-		Guards: []*schema.Guard{{Key: store.HeadKey, Index: headRow.GetIndex()}},
+		Guards: []*schema.Guard{{Key: store.CatalogHeadKey, Index: headRow.GetIndex()}},
 	}}
 	p.putRows(config)
 	p.removeOthers()
@@ -43,7 +43,7 @@
 		p.putIfChanged(store.RouteKey(strings.ToLower(route.Host), route.Prefix), route)
 	}
 	for _, service := range config.Services {
-		p.putIfChanged(store.PolicyKey(service.Service), service)
+		p.putIfChanged(store.ServicePolicyKey(service.Service), service)
 	}
 	limits := config.Limits
 	if limits == nil {
@@ -80,6 +80,6 @@
 	recent := append([]*schema.AcceptedConfig{accepted}, former.GetRecent()...)
 	recent = recent[:min(len(recent), constants.RecentConfigs)]
 	p.record.Rows = append(p.record.Rows,
-		store.EncodeRow(store.HeadKey, &schema.CatalogHead{Version: accepted.Version, Recent: recent}),
-		store.EncodeRow(store.DocumentKey, &schema.CatalogDocument{Version: accepted.Version, Document: document}))
+		store.EncodeRow(store.CatalogHeadKey, &schema.CatalogHead{Version: accepted.Version, Recent: recent}),
+		store.EncodeRow(store.CatalogDocumentKey, &schema.CatalogDocument{Version: accepted.Version, Document: document}))
 }
--- a/internal/sharding/world_test.go
+++ b/internal/sharding/world_test.go
@@ -89,7 +89,7 @@
 		w.nodes = append(w.nodes, New(Options{MaxLease: 10 * time.Second}))
 	}
 	for _, service := range services {
-		w.put(store.EncodeRow(store.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: true}))
+		w.put(store.EncodeRow(store.ServicePolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: true}))
 		for i := range count {
 			w.start(service, fmt.Sprintf("%s-%d:80", service, i), fmt.Sprintf("d%d", i%3))
 		}
@@ -113,9 +113,9 @@
 		if err := checkLayout(w.view.Services[name]); err != nil && (len(before[name]) > 0 || !errors.Is(err, errNotKeyed)) {
 			w.t.Fatalf("%v: %v", w.now, err)
 		}
-		old := &store.Service{Spans: before[name]}
+		old := &store.Service{ShardRanges: before[name]}
 		for _, keys := range ranges {
-			if former := old.Span(keys.First); former != nil && former.Instance != keys.Instance {
+			if former := old.ShardRange(keys.First); former != nil && former.Instance != keys.Instance {
 				w.moved += keys.Last - keys.First + 1
 			}
 		}
@@ -125,7 +125,7 @@
 func (w *world) shardRanges() map[string][]*schema.ShardRange {
 	ranges := map[string][]*schema.ShardRange{}
 	for name, service := range w.view.Services {
-		ranges[name] = service.Spans
+		ranges[name] = service.ShardRanges
 	}
 	return ranges
 }
@@ -257,7 +257,7 @@
 	for _, service := range w.services {
 		for i, key := range w.sampledKeys {
 			hasLease := false
-			if keys := w.view.Services[service].Span(uint32(key)); keys != nil {
+			if keys := w.view.Services[service].ShardRange(uint32(key)); keys != nil {
 				for _, backend := range w.owners {
 					hasLease = hasLease || backend.isAlive && backend.row.Instance == keys.Instance && backend.until[i] > w.now && !keys.Releasing
 				}
@@ -288,7 +288,7 @@
 // loads are the load of each instance by the shard ranges of the table.
 func (w *world) loads(service string) map[string]float64 {
 	loads, load := map[string]float64{}, newKeyLoad(w.keyLoad)
-	for _, keys := range w.view.Services[service].Spans {
+	for _, keys := range w.view.Services[service].ShardRanges {
 		loads[keys.Instance] += load.sum(keyRange{Key(keys.First), Key(keys.Last)})
 	}
 	return loads
--- a/internal/statemachine/changes_test.go
+++ b/internal/statemachine/changes_test.go
@@ -33,7 +33,7 @@
 func TestChangesAreBounded(t *testing.T) {
 	m := newMachine()
 	for i := range uint64(3 * constants.ChangesKept) {
-		row := store.EncodeRow(store.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: i + 1})
+		row := store.EncodeRow(store.DefaultAssignmentKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: i + 1})
 		if applied := m.applyItem(itemOf(i+1, row)); applied.Void != nil {
 			t.Fatal(applied.Void)
 		}
@@ -49,7 +49,7 @@
 
 func TestAChangeTellsWhatTheLogSaysOfIt(t *testing.T) {
 	m := newMachine()
-	item := itemOf(1, store.EncodeRow(store.DefaultKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: 1, Reason: "emptied"}))
+	item := itemOf(1, store.EncodeRow(store.DefaultAssignmentKey("mu"), &schema.FailoverAssignment{Region: "mu", Number: 1, Reason: "emptied"}))
 	item.Record.Evidence, item.Record.Leader, item.Record.AtMs = "evidence", "leader", 99
 	applyAll(t, m, item)
 	changes := m.Changes()
@@ -67,7 +67,7 @@
 
 func TestOnlyAssignmentsAreNoted(t *testing.T) {
 	for key, want := range map[string]bool{
-		store.DefaultKey("mu"):                      true,
+		store.DefaultAssignmentKey("mu"):            true,
 		store.AssignmentKey("copper", "", "mu"):     true,
 		store.AssignmentKey("copper", "/a/b", "mu"): true,
 		store.EntryKey("copper", "/standing/x"):     false,
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -51,7 +51,7 @@
 		m.table.Restore(snapshot)
 	}
 	m.view = store.Compile(m.table)
-	m.fences.note(now, m.table.Rows(store.All))
+	m.fences.note(now, m.table.Rows(store.AllPrefixes))
 	return m.checkFleet()
 }
 
@@ -119,7 +119,7 @@
 // hasOperatorRow tells whether a row is the configuration's head or a zone.
 func hasOperatorRow(rows []*schema.Row) bool {
 	for _, row := range rows {
-		if row.Key == store.HeadKey || strings.HasPrefix(row.Key, store.ZoneKey("")) {
+		if row.Key == store.CatalogHeadKey || strings.HasPrefix(row.Key, store.ZoneKey("")) {
 			return true
 		}
 	}
@@ -127,7 +127,7 @@
 }
 
 func (m *Machine) checkFleet() error {
-	return protocolversion.CheckFleet(m.speaks, m.view.Fleet)
+	return protocolversion.CheckFleet(m.speaks, m.view.FleetVersion)
 }
 
 // NeedsSnapshot tells whether enough was applied, or the log in memory has grown to so many bytes, that a new snapshot should be written.
