--- a/internal/journal/power_test.go
+++ b/internal/journal/power_test.go
@@ -42,7 +42,8 @@
 					least += batch
 				}
 				if len(state.Entries) < least || state.HardState.Id != "n" {
-					t.Fatalf("batch %d, cut %d, seed %d: %d records of member %q are left, want %d", batch, cut, seed, len(state.Entries), state.HardState.Id, least)
+					t.Fatalf("batch %d, cut %d, seed %d: %d records of member %q are left, want %d",
+						batch, cut, seed, len(state.Entries), state.HardState.Id, least)
 				}
 			}
 		}
@@ -60,7 +61,8 @@
 				t.Fatal(err)
 			}
 			disk.CutAfter(3)
-			if err := j.Append(&schema.HardState{Term: 1, Id: "n", Commit: 1}, []*schema.LogItem{entry(2, 1, 100), entry(3, 1, 100), entry(4, 1, 100)}); err == nil {
+			batch := []*schema.LogItem{entry(2, 1, 100), entry(3, 1, 100), entry(4, 1, 100)}
+			if err := j.Append(&schema.HardState{Term: 1, Id: "n", Commit: 1}, batch); err == nil {
 				t.Fatal("the power did not fail")
 			}
 			disk.Crash(random)
--- a/internal/journal/recovery.go
+++ b/internal/journal/recovery.go
@@ -215,7 +215,7 @@
 // the batch that was being written when the power went may be there although one before them is lost; nothing relies on
 // them, but they would seem to follow what is written next. A record of a later batch proves that a synced one is lost.
 func (r *recovery) cutTail(s *segment, data []byte) (isCut bool, err error) {
-	var stray []int64
+	var leftover []int64
 	for offset := s.end; offset+recordHeaderBytes <= int64(len(data)); offset++ {
 		record, isWhole := parseRecord(data, offset, s.generation)
 		if !isWhole || record.serial <= r.last {
@@ -224,14 +224,14 @@
 		if record.serial-serial(record.batchPosition) > r.last+1 {
 			return false, &CorruptError{s.name, s.end}
 		}
-		stray = append(stray, offset)
+		leftover = append(leftover, offset)
 	}
-	for _, offset := range stray {
+	for _, offset := range leftover {
 		if _, err := s.area.WriteAt(make([]byte, recordHeaderBytes), offset); err != nil {
 			return false, fmt.Errorf("erase what a power loss left in %s: %w", s.name, err)
 		}
 	}
-	if len(stray) == 0 {
+	if len(leftover) == 0 {
 		return false, nil
 	}
 	return true, s.area.Sync()
--- a/internal/raft/node_test.go
+++ b/internal/raft/node_test.go
@@ -152,7 +152,8 @@
 }
 
 func acknowledge(node *Node, from string, index Index, round uint64) {
-	node.Step(node.now, &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, From: from, To: "a", Term: 3, Index: uint64(index), Round: round})
+	response := &schema.Raft{Kind: schema.RaftKind_RAFT_APPEND_RESPONSE, From: from, To: "a", Term: 3, Index: uint64(index), Round: round}
+	node.Step(node.now, response)
 	takeLastMessage(node)
 }
 
@@ -203,7 +204,8 @@
 	})
 	t.Run("one membership change at a time", func(t *testing.T) {
 		node := electLeader(t)
-		record := &schema.Record{Kind: schema.RecordKind_RECORD_MEMBERS, Members: &schema.Members{Voters: []*schema.Member{{Id: "a"}, {Id: "b"}, {Id: "c"}, {Id: "d"}}}}
+		members := &schema.Members{Voters: []*schema.Member{{Id: "a"}, {Id: "b"}, {Id: "c"}, {Id: "d"}}}
+		record := &schema.Record{Kind: schema.RecordKind_RECORD_MEMBERS, Members: members}
 		var pending *MembershipChangePendingError
 		if _, _, err := node.Propose(node.now, record); !errors.As(err, &pending) {
 			t.Fatalf("%v before an entry of its own term was committed", err)
--- a/internal/raft/random_faults_test.go
+++ b/internal/raft/random_faults_test.go
@@ -185,7 +185,8 @@
 	link := [2]string{message.From, message.To}
 	for s.random.Intn(10) > 0 {
 		if !s.partitions[link] {
-			s.inTransit = append(s.inTransit, inFlight{s.now + time.Duration(s.random.Intn(60))*time.Millisecond, proto.Clone(message).(*schema.Raft)})
+			at := s.now + time.Duration(s.random.Intn(60))*time.Millisecond
+			s.inTransit = append(s.inTransit, inFlight{at, proto.Clone(message).(*schema.Raft)})
 		}
 		if s.random.Intn(20) > 0 {
 			return
@@ -258,7 +259,8 @@
 		s.partitions = map[[2]string]bool{}
 	case 6, 7, 8, 9, 10, 11, 12, 13, 14, 15:
 		if m.isUp {
-			if _, _, err := m.node.Propose(s.clock(m), &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: fmt.Sprint(s.proposed)}); err == nil {
+			record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: fmt.Sprint(s.proposed)}
+			if _, _, err := m.node.Propose(s.clock(m), record); err == nil {
 				s.proposed++
 			}
 		}
@@ -295,7 +297,10 @@
 
 // compact writes a snapshot of what a member has applied, and drops most of the log behind it.
 func (s *simulation) compact(m *simulatedMember) {
-	if !m.isUp || m.writing != nil || m.applied <= Index(m.snapshot.GetIndex()) || len(m.items) == 0 || Index(m.items[len(m.items)-1].Index) < m.applied {
+	if !m.isUp || m.writing != nil || m.applied <= Index(m.snapshot.GetIndex()) {
+		return
+	}
+	if len(m.items) == 0 || Index(m.items[len(m.items)-1].Index) < m.applied {
 		return
 	}
 	snapshot := &schema.Snapshot{}
