--- a/internal/controlplane/effects.go
+++ b/internal/controlplane/effects.go
@@ -7,33 +7,38 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
+	"topazshed/internal/frame"
 	"topazshed/internal/leader"
 	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
-// Send is a frame for an address.
-type Send struct {
-	To    string
-	Frame *schema.Frame
-}
-
 // Effects are what the shell performs: sync, then send and answer.
 type Effects struct {
 	Quorum    raft.Ready
 	Hard      *schema.HardState
-	Sends     []Send
+	Sends     []frame.Envelope
 	Responses []LocalResponse
 	Calls     []leader.LeaseCall
 	IsWork    bool
 }
 
-func (c *Machine) send(to string, frame *schema.Frame) {
+// send puts a frame among the effects, signed by this node. A frame to this node itself, or to no address, is dropped.
+func (c *Machine) send(to string, f *schema.Frame) {
 	if to == "" || to == c.self.Address {
 		return
 	}
-	frame.System, frame.From, frame.Address = c.bootstrap.System(), c.self.Id, c.self.Address
-	c.effects.Sends = append(c.effects.Sends, Send{to, frame})
+	f.System = c.bootstrap.System()
+	f.From = c.self.Id
+	f.Address = c.self.Address
+	c.effects.Sends = append(c.effects.Sends, frame.Envelope{To: to, Frame: f})
+}
+
+// sendAll puts the frames of a part among the effects, in their order.
+func (c *Machine) sendAll(envelopes []frame.Envelope) {
+	for _, envelope := range envelopes {
+		c.send(envelope.To, envelope.Frame)
+	}
 }
 
 // Take gives the effects that are due.
--- a/internal/controlplane/replication.go
+++ b/internal/controlplane/replication.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"topazshed/internal/frame"
 	"topazshed/internal/raft"
 	"topazshed/internal/replication"
 	"topazshed/internal/schema"
@@ -79,12 +78,6 @@
 	return c.state.FreshAt()
 }
 
-func (c *Machine) sendAll(envelopes []frame.Envelope) {
-	for _, envelope := range envelopes {
-		c.send(envelope.To, envelope.Frame)
-	}
-}
-
 // Want asks for the rows of a service for the next minutes; a node that keeps the log has all rows.
 func (c *Machine) Want(now time.Duration, service string) {
 	c.now = now
