--- a/internal/controlplane/bootstrap.go
+++ b/internal/controlplane/bootstrap.go
@@ -16,7 +16,7 @@
 		IsRejoin:   c.options.Rejoin,
 		WasMember:  c.options.Restart && c.options.Hard.GetId() != "",
 		IsRestart:  c.options.Restart,
-		MixedSeeds: c.routed != nil,
+		MixedSeeds: c.options.Routes != nil,
 		Draw:       c.options.Draw,
 		Log:        c.log,
 	}
--- a/internal/controlplane/changes_test.go
+++ b/internal/controlplane/changes_test.go
@@ -24,7 +24,7 @@
 func (s *solo) options() Options {
 	self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Admin: "a", Zone: "mu-a", Region: "mu", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
 	return Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Epoch: s.epoch,
-		Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}}
+		Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}}
 }
 
 // run lets time pass; the machines whose zones are named report in the meantime.
@@ -33,7 +33,7 @@
 		s.core.Tick(s.now)
 		if s.core.IsLeading() {
 			for _, zone := range zones {
-				s.core.takeRelayed(&schema.Heartbeat{Version: uint64(s.core.table.Version()), Node: &schema.Node{Id: "of-" + zone, Address: zone, Proxy: zone, Admin: zone, Zone: zone, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
+				s.core.workload.takeOwnHeartbeat(&schema.Heartbeat{Version: uint64(s.core.table.Version()), Node: &schema.Node{Id: "of-" + zone, Address: zone, Proxy: zone, Admin: zone, Zone: zone, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
 			}
 		}
 		for range 8 {
--- a/internal/controlplane/founding_test.go
+++ b/internal/controlplane/founding_test.go
@@ -35,7 +35,7 @@
 					self.Disk = self.Disk || string(disk) == name
 				}
 				cores[name] = New(time.Hour, Options{Self: self, Seeds: c.seeds, Draw: random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Rejoin: c.isRejoin,
-					Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+					Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			}
 			founded := map[string]string{}
 			for now := time.Hour; now < time.Hour+12*time.Second; now += 20 * time.Millisecond {
--- a/internal/controlplane/frames_test.go
+++ b/internal/controlplane/frames_test.go
@@ -31,7 +31,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Hour
 			core := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r", State: schema.NodeState_NODE_READY}, Seeds: []string{"s"}, System: c.system,
-				Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+				Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routes: &RouteOptions{LongestLease: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			if c.heard != nil {
 				core.Receive(now, c.heard)
 			}
--- a/internal/controlplane/health_test.go
+++ b/internal/controlplane/health_test.go
@@ -34,7 +34,7 @@
 				return &schema.Node{Id: id, Address: id, Proxy: id, Admin: id, Zone: "d", Region: "r", Disk: id == "a", Incarnation: 1, State: schema.NodeState_NODE_READY}
 			}
 			core := New(time.Hour, Options{Self: node("a"), Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-				Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }, HealthReports: func() []*schema.HealthReport { return c.own }}})
+				Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }, HealthReports: func() []*schema.HealthReport { return c.own }}})
 			isFailing := false
 			for now := time.Hour; now < time.Hour+12*time.Second; now += 20 * time.Millisecond {
 				core.Tick(now)
@@ -46,9 +46,9 @@
 					}
 					core.SetListing(now, discovery.Listing{Items: items, BegunAt: now, IsWhole: true})
 					for i := range 4 {
-						core.takeRelayed(&schema.Heartbeat{Node: node(fmt.Sprint("idle-", i))})
+						core.workload.takeOwnHeartbeat(&schema.Heartbeat{Node: node(fmt.Sprint("idle-", i))})
 					}
-					core.receiveHeartbeat(nil, &schema.Heartbeat{Node: node("b"), Health: c.straight, Relayed: []*schema.Heartbeat{{Node: node("c"), Health: c.relayed}}})
+					core.workload.receiveHeartbeat(nil, &schema.Heartbeat{Node: node("b"), Health: c.straight, Relayed: []*schema.Heartbeat{{Node: node("c"), Health: c.relayed}}})
 				}
 				for range 8 {
 					effects := core.Take()
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -14,10 +14,10 @@
 		Draw:        c.options.Draw,
 		Interval:    c.timing.HeartbeatInterval,
 	}
-	if c.routed != nil {
+	if routes := c.options.Routes; routes != nil {
 		options.IsRelayed = true
-		options.Load = c.routed.options.Load
-		options.HealthReports = c.routed.options.HealthReports
+		options.Load = routes.Load
+		options.HealthReports = routes.HealthReports
 	}
 	return heartbeat.NewSender(options, fleetView{c})
 }
@@ -28,14 +28,11 @@
 		return
 	}
 	outgoing := c.heartbeats.Send(c.now, c.heartbeatFacts())
-	switch {
-	case outgoing.To != "":
-		c.send(outgoing.To, &schema.Frame{Body: &schema.Frame_Heartbeat{Heartbeat: outgoing.Heartbeat}})
-	case c.routed != nil:
-		c.duties.TakeHeartbeat(c.leaderState(), outgoing.Heartbeat)
-	default:
-		c.takeHeartbeatResponse(c.self.Address, c.answerHeartbeat(outgoing.Heartbeat))
+	if outgoing.To == "" {
+		c.workload.takeOwnHeartbeat(outgoing.Heartbeat)
+		return
 	}
+	c.send(outgoing.To, &schema.Frame{Body: &schema.Frame_Heartbeat{Heartbeat: outgoing.Heartbeat}})
 }
 
 func (c *Machine) heartbeatFacts() heartbeat.Facts {
@@ -52,45 +49,6 @@
 	return facts
 }
 
-// receiveHeartbeat takes the heartbeat of another node. In a fleet of routes the leader takes it with those that it relays, and other members of
-// the log pass it on; in a fleet of entries each gets a response.
-func (c *Machine) receiveHeartbeat(f *schema.Frame, report *schema.Heartbeat) {
-	switch {
-	case c.routed != nil && c.IsLeading():
-		c.takeRelayed(report)
-	case c.routed != nil && c.quorum != nil:
-		c.heartbeats.Relay(report)
-	case c.routed != nil:
-		// Only members of the log relay.
-	case f.From == c.self.Id:
-		c.takeHeartbeatResponse(f.Address, c.answerHeartbeat(report))
-	default:
-		c.send(f.Address, &schema.Frame{Body: &schema.Frame_HeartbeatResponse{HeartbeatResponse: c.answerHeartbeat(report)}})
-	}
-}
-
-// takeRelayed lets the leader take the heartbeats that came with another one, and then that one.
-func (c *Machine) takeRelayed(report *schema.Heartbeat) {
-	for _, relayed := range report.Relayed {
-		c.duties.TakeHeartbeat(c.leaderState(), relayed)
-	}
-	report.Relayed = nil
-	c.duties.TakeHeartbeat(c.leaderState(), report)
-}
-
-// answerHeartbeat gives the response to a heartbeat: a lease from the leader, and where the leader is from the others.
-func (c *Machine) answerHeartbeat(report *schema.Heartbeat) *schema.HeartbeatResponse {
-	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: report.Serial, Version: uint64(c.table.Version())}
-	if !c.IsLeading() || !c.duties.TakeHeartbeat(c.leaderState(), report) {
-		return response
-	}
-	lease := c.duties.GrantLease(c.leaderState(), report.Node.Id, c.state.NewestFence())
-	response.Leader = c.self.Address
-	response.Accepted = true
-	response.LeaseMs = uint32(lease.Milliseconds())
-	return response
-}
-
 // takeHeartbeatResponse takes the lease that a response grants, and the leader that it tells of.
 func (c *Machine) takeHeartbeatResponse(from string, response *schema.HeartbeatResponse) {
 	if leader := c.heartbeats.TakeResponse(c.now, from, response, c.leader); leader != nil {
--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -18,12 +18,12 @@
 	if c.quorum != nil {
 		options.Log, options.Proposer = c.quorum, c.proposals
 	}
-	if routed := c.options.Routed; routed != nil {
+	if routes := c.options.Routes; routes != nil {
 		options.Routes = &leader.RouteOptions{
-			LongestLease: routed.HoldMost,
-			ListLag:      routed.ListLag,
-			Zones:        routed.Zones,
-			ColdRate:     routed.ColdRate,
+			LongestLease: routes.LongestLease,
+			ListLag:      routes.ListLag,
+			Zones:        routes.Zones,
+			ColdRate:     routes.ColdRate,
 		}
 	}
 	return leader.New(options)
--- a/internal/controlplane/local.go
+++ b/internal/controlplane/local.go
@@ -1,7 +1,6 @@
 package controlplane
 
 import (
-	"slices"
 	"time"
 
 	"topazshed/internal/raft"
@@ -50,24 +49,6 @@
 			l.FreshAt = c.quorum.LeadershipConfirmedAt()
 		}
 	}
-	if c.routed != nil {
-		return l
-	}
-	count := 0
-	var instants []time.Duration
-	for id, node := range c.view.Nodes {
-		if node.Region == c.self.Region && node.State == schema.NodeState_NODE_READY {
-			count++
-			if id != c.self.Id {
-				instants = append(instants, c.peers[id])
-			}
-		}
-	}
-	if need := count / 2; need > 0 && len(instants) >= need {
-		slices.Sort(instants)
-		l.PeersAt = instants[len(instants)-need]
-	} else if need == 0 && count > 0 {
-		l.PeersAt = c.now
-	}
+	l.PeersAt = c.workload.peersHeardAt()
 	return l
 }
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -54,7 +54,7 @@
 	proposals      *proposals.Proposer
 	duties         *leader.Leader
 	addresses      map[string]string
-	routed         *routedState
+	workload       workload
 	speaks         protocolversion.Span
 	refused        error
 }
@@ -73,21 +73,18 @@
 		speaks:    options.Speaks.OrOwn(),
 	}
 	c.table, c.view = c.state.Table(), c.state.View()
-	c.timing = timing.ForEntries()
-	if options.Routed != nil {
-		c.timing = timing.ForRoutes(options.Routed.Quiet)
-		c.routed = newRoutedState(options)
-	}
+	c.workload = newWorkload(c)
+	c.timing = c.workload.timing()
 	c.heartbeats = c.newHeartbeatSender(c.firstSerial())
 	c.subscription = c.newSubscription(c.firstSerial())
 	c.publisher = replication.NewPublisher(c.table, c.timing.DeltaInterval)
-	c.peerSampler = membership.New(membership.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Timing: c.timing.Sampler, PrefersHome: c.routed != nil})
+	c.peerSampler = membership.New(membership.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Timing: c.timing.Sampler, PrefersHome: c.options.Routes != nil})
 	c.bootstrap = c.newBootstrap()
 	if options.Self.Disk {
 		c.guardState(c.state.Load(now, options.Snapshot))
 		c.quorum = raft.New(now, raft.Options{
 			ID:           c.self.Id,
-			HardState:    c.restored(options.Hard),
+			HardState:    c.workload.restorable(options.Hard),
 			Snapshot:     options.Snapshot,
 			Entries:      options.Items,
 			Draw:         options.Draw,
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -27,8 +27,8 @@
 func newOperations(c *Machine) *operations.Manager {
 	host := operatorHost{c}
 	options := operations.Options{Log: host, Proposer: c.proposals, State: host, Fleet: host, Sender: host}
-	if c.routed != nil {
-		options.Routes = &operations.RouteOptions{Fits: c.routed.options.Fits, FitsWhole: c.routed.options.FitsWhole}
+	if c.options.Routes != nil {
+		options.Routes = &operations.RouteOptions{Fits: c.options.Routes.Fits, FitsWhole: c.options.Routes.FitsWhole}
 	}
 	return operations.New(options)
 }
--- a/internal/controlplane/options.go
+++ b/internal/controlplane/options.go
@@ -21,8 +21,9 @@
 	Restart  bool
 	// Rejoin says that the system was founded before, so that this node never founds one.
 	Rejoin bool
-	// Routed says that this fleet carries routes: attempt ids are never sent twice, so that reservations and fences are not needed.
-	Routed *Routed
+	// Routes are the figures of a fleet that carries routes; nil is a fleet of entries. Attempt ids of routes are never sent twice, so that
+	// neither reservations nor fences are needed.
+	Routes *RouteOptions
 	// Epoch is the time of day at which this node's clock would have stood at 0; records of failover assignment tell by it when they were made.
 	Epoch time.Time
 	// Speaks are the versions that this process speaks; the zero value is the program's own.
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -33,7 +33,7 @@
 	for _, name := range f.names {
 		self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "g", Disk: name != "r", Incarnation: 1, State: schema.NodeState_NODE_READY}
 		f.cores[name] = New(f.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-			Routed: &Routed{HoldMost: 10 * time.Second, Zones: map[string]string{"z": "g", "y": "g"}, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+			Routes: &RouteOptions{LongestLease: 10 * time.Second, Zones: map[string]string{"z": "g", "y": "g"}, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 	}
 	f.run(8 * time.Second)
 	if f.leader() == "" || len(f.cores[f.leader()].quorum.Members().Voters) != 3 {
@@ -304,7 +304,7 @@
 	random := rand.New(rand.NewSource(int64(f.now)))
 	self := &schema.Node{Id: fmt.Sprintf("id-%s-%d", name, f.now), Address: name, Proxy: name, Admin: name, Zone: "z", Region: "g", Disk: true, Incarnation: uint64(f.now.Milliseconds()), State: schema.NodeState_NODE_READY}
 	f.cores[name] = New(f.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: random.Int63n, Rejoin: true, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+		Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 	f.isDown[name] = false
 }
 
--- a/internal/controlplane/owners_test.go
+++ b/internal/controlplane/owners_test.go
@@ -19,7 +19,7 @@
 		t.Run(fmt.Sprint(c.backends), func(t *testing.T) {
 			self := &schema.Node{Id: "a", Address: "a", Zone: "d", Region: "r", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
 			core := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-				Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+				Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.PolicyKey("s"), &schema.ServicePolicy{Service: "s", Keyed: true})}}
 			for i := range c.backends {
 				name := fmt.Sprint("i", i)
--- a/internal/controlplane/pass_on_test.go
+++ b/internal/controlplane/pass_on_test.go
@@ -34,7 +34,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Hour
 			core := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r"}, Seeds: []string{"s"}, System: "x", Draw: func(int64) int64 { return 0 },
-				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routes: &RouteOptions{LongestLease: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			core.Operate(now, 5, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
 			core.Take()
 			for i, s := range c.steps {
@@ -89,7 +89,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Hour
 			core := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r"}, Seeds: []string{"s"}, System: "x", Draw: func(int64) int64 { return 0 },
-				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routes: &RouteOptions{LongestLease: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			core.leader, core.leaderAt = "l", now
 			core.Operate(now, 5, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
 			answer := &schema.Frame{System: "x", From: c.from, Address: c.from, Call: c.call, Response: true, Body: &schema.Frame_OperatorResponse{OperatorResponse: &schema.OperatorResponse{Version: 7}}}
--- a/internal/controlplane/receive.go
+++ b/internal/controlplane/receive.go
@@ -68,7 +68,7 @@
 		c.send(f.Address, &schema.Frame{Body: &schema.Frame_ProbeResponse{ProbeResponse: &schema.ProbeResponse{Subject: c.self.Id, Serial: body.Probe.Serial, Incarnation: c.self.Incarnation}}})
 	case *schema.Frame_ProbeResponse:
 	case *schema.Frame_Heartbeat:
-		c.receiveHeartbeat(f, body.Heartbeat)
+		c.workload.receiveHeartbeat(f, body.Heartbeat)
 	case *schema.Frame_HeartbeatResponse:
 		c.takeHeartbeatResponse(f.Address, body.HeartbeatResponse)
 	case *schema.Frame_Subscribe:
--- a/internal/controlplane/replication.go
+++ b/internal/controlplane/replication.go
@@ -22,7 +22,7 @@
 		RenewEvery:  c.timing.SubscribeInterval,
 		DigestEvery: c.timing.DigestInterval,
 	}
-	if c.routed != nil {
+	if c.options.Routes != nil {
 		options.Base = store.Routed
 		options.BaseOnly = true
 		options.PrefersHome = true
@@ -40,7 +40,7 @@
 	if c.quorum.Role() == raft.Leader {
 		confirmation.Age = c.now - c.quorum.LeadershipConfirmedAt()
 	}
-	if c.routed != nil {
+	if c.options.Routes != nil {
 		confirmation.Leader = c.leader
 	}
 	return confirmation
--- a/internal/controlplane/seeds_test.go
+++ b/internal/controlplane/seeds_test.go
@@ -29,7 +29,7 @@
 			drawn := int64(0)
 			core := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r"}, Seeds: []string{"old-1", "old-2"}, System: c.system, Rejoin: true,
 				Draw: func(n int64) int64 { drawn++; return drawn % n }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-				Routed: &Routed{HoldMost: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+				Routes: &RouteOptions{LongestLease: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			now := time.Hour
 			asked := map[string]bool{}
 			for turn := range 2 {
--- a/internal/controlplane/source_test.go
+++ b/internal/controlplane/source_test.go
@@ -20,7 +20,7 @@
 			drawn := int64(0)
 			core := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r"}, Seeds: []string{"a", "b"}, System: "x", Rejoin: true,
 				Draw: func(n int64) int64 { drawn++; return drawn % n }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-				Routed: &Routed{HoldMost: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+				Routes: &RouteOptions{LongestLease: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			for _, id := range []string{"a", "b"} {
 				core.peerSampler.Learn(&schema.Node{Id: id, Address: id, Zone: "z", Region: "r", Disk: true})
 			}
--- a/internal/controlplane/startup_world_test.go
+++ b/internal/controlplane/startup_world_test.go
@@ -145,7 +145,7 @@
 
 func (f *startupFleet) start(n *startupNode) {
 	options := controlplane.Options{Self: n.self, Seeds: f.seeds(), Draw: n.random.Int63n, Log: slog.New(slog.DiscardHandler),
-		Routed: &controlplane.Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 2 }, Load: n.load}}
+		Routes: &controlplane.RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 2 }, Load: n.load}}
 	var opened *journal.Journal
 	if n.self.Disk {
 		ring, state, err := journal.Open(sim.NewDisk(), worldSizes)
--- a/internal/controlplane/version_test.go
+++ b/internal/controlplane/version_test.go
@@ -26,7 +26,7 @@
 func (w *mixedWorld) add(name string, speaks protocolversion.Span) {
 	self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "r", Disk: name <= "c", Incarnation: 1, State: schema.NodeState_NODE_READY}
 	w.cores[name] = New(w.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: w.random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Speaks: speaks, RiseAfter: 4 * time.Second,
-		Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+		Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 	w.names = append(w.names, name)
 }
 
@@ -180,7 +180,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			core := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r", Disk: true}, Seeds: []string{"n"}, System: "x", Draw: func(int64) int64 { return 0 },
-				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }},
+				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routes: &RouteOptions{LongestLease: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }},
 				Hard: &schema.HardState{Term: 1, Id: "n", System: "x", Commit: 4}, Snapshot: c.snapshot, Items: c.items, Restart: true})
 			for now := time.Hour; now < time.Hour+5*time.Second; now += 20 * time.Millisecond {
 				core.Tick(now)
--- a/internal/controlplane/zones_test.go
+++ b/internal/controlplane/zones_test.go
@@ -13,13 +13,13 @@
 func TestALeaderOfARoutedFleetTakesTheZonesOfTheSizeToDesignFor(t *testing.T) {
 	self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Admin: "a", Zone: "d000", Region: "r00", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
 	core := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+		Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 	for now := time.Hour; now < time.Hour+6*time.Second; now += 20 * time.Millisecond {
 		core.Tick(now)
 		if core.IsLeading() {
 			for i := range 182 {
 				name := fmt.Sprintf("n%03d", i)
-				core.takeRelayed(&schema.Heartbeat{Node: &schema.Node{Id: name, Address: name, Proxy: name, Admin: name, Zone: fmt.Sprintf("d%03d", i), Region: fmt.Sprintf("r%02d", i%46), Incarnation: 1, State: schema.NodeState_NODE_READY}})
+				core.workload.takeOwnHeartbeat(&schema.Heartbeat{Node: &schema.Node{Id: name, Address: name, Proxy: name, Admin: name, Zone: fmt.Sprintf("d%03d", i), Region: fmt.Sprintf("r%02d", i%46), Incarnation: 1, State: schema.NodeState_NODE_READY}})
 			}
 		}
 		for range 8 {
@@ -53,7 +53,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Admin: "a", Zone: "d1", Region: "r1", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
 			core := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-				Routed: &Routed{Zones: c.zones, HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+				Routes: &RouteOptions{Zones: c.zones, LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			var response *schema.OperatorResponse
 			for now := time.Hour; now < time.Hour+8*time.Second; now += 20 * time.Millisecond {
 				core.Tick(now)
--- a/internal/node/earlier_version_test.go
+++ b/internal/node/earlier_version_test.go
@@ -137,10 +137,10 @@
 }
 
 // restart gives the whole state of a machine that has just started from what its journal held.
-func restart(t *testing.T, state *journal.State, routed *controlplane.Routed) *schema.Snapshot {
+func restart(t *testing.T, state *journal.State, routed *controlplane.RouteOptions) *schema.Snapshot {
 	t.Helper()
 	restarted := controlplane.New(time.Hour, controlplane.Options{Self: &schema.Node{Id: state.HardState.Id, Address: "here", Disk: true}, System: state.HardState.System, Restart: true,
-		Hard: state.HardState, Snapshot: state.Snapshot, Items: state.Entries, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.DiscardHandler), Routed: routed})
+		Hard: state.HardState, Snapshot: state.Snapshot, Items: state.Entries, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.DiscardHandler), Routes: routed})
 	if err := restarted.Refused(); err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 	return given
 }
 
-func describe(t *testing.T, state *journal.State, routed *controlplane.Routed) readBack {
+func describe(t *testing.T, state *journal.State, routed *controlplane.RouteOptions) readBack {
 	t.Helper()
 	if state.Snapshot == nil || len(state.Entries) == 0 {
 		t.Fatal("the data folder has no snapshot or no log after it")
@@ -216,10 +216,10 @@
 func TestReadsDataWrittenByAnEarlierVersion(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		routed *controlplane.Routed
+		routed *controlplane.RouteOptions
 	}{
 		{"entries", nil},
-		{"routes", &controlplane.Routed{HoldMost: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}},
+		{"routes", &controlplane.RouteOptions{LongestLease: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := unpackFolder(t, filepath.Join("testdata", "earlier-"+c.name+".tar.gz"))
@@ -236,7 +236,7 @@
 }
 
 // checkGoesOn appends to the folder's log, opens it again, writes a snapshot and opens it once more.
-func checkGoesOn(t *testing.T, path string, before readBack, routed *controlplane.Routed) {
+func checkGoesOn(t *testing.T, path string, before readBack, routed *controlplane.RouteOptions) {
 	t.Helper()
 	added := &schema.LogItem{Index: before.LogLastIndex + 1, Term: before.Term + 1, Record: &schema.Record{Kind: schema.RecordKind_RECORD_NOTHING}}
 	withJournal(t, path, func(opened *journal.Journal, state *journal.State) {
--- a/internal/node/entry_service.go
+++ b/internal/node/entry_service.go
@@ -27,7 +27,7 @@
 	executor *proxy.Executor
 }
 
-func (s *entryService) routed() *controlplane.Routed { return nil }
+func (s *entryService) routed() *controlplane.RouteOptions { return nil }
 
 func (s *entryService) tickEvery() time.Duration { return constants.Tick }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -73,7 +73,7 @@
 // service is what a node does for callers; a node has one for as long as it runs.
 type service interface {
 	// routed gives the control machine's options of a fleet of routes, nil in a fleet of entries.
-	routed() *controlplane.Routed
+	routed() *controlplane.RouteOptions
 	// tickEvery is how often the control machine looks at the clock.
 	tickEvery() time.Duration
 	// start begins to serve: the control machine is made, nothing listens yet.
@@ -131,7 +131,7 @@
 		Log:    n.log.With("part", "control"),
 		Rejoin: n.settings.Rejoin,
 		Epoch:  n.begun.Add(-clockStart),
-		Routed: n.service.routed(),
+		Routes: n.service.routed(),
 	}
 	if n.self.Disk {
 		state, err := n.openJournal(openFolder)
--- a/internal/node/route_service.go
+++ b/internal/node/route_service.go
@@ -35,17 +35,17 @@
 	return &routeService{node: n, platform: platform, refusedSince: map[string]time.Duration{}}
 }
 
-func (s *routeService) routed() *controlplane.Routed {
+func (s *routeService) routed() *controlplane.RouteOptions {
 	bounds := s.platform.Bounds
 	sizes := journal.OptionsForDisk(s.node.settings.DiskBytes)
-	return &controlplane.Routed{
-		Fits:      sizes.Fits,
-		FitsWhole: sizes.FitsSnapshot,
-		HoldMost:  bounds.HoldMost,
-		ListLag:   bounds.ListLag,
-		Zones:     s.platform.Zones,
-		Quiet:     bounds.Quiet,
-		ColdRate:  gateway.NewLoads(s.node.Now(), bounds.Bounds).ColdRate,
+	return &controlplane.RouteOptions{
+		Fits:          sizes.Fits,
+		FitsWhole:     sizes.FitsSnapshot,
+		LongestLease:  bounds.HoldMost,
+		ListLag:       bounds.ListLag,
+		Zones:         s.platform.Zones,
+		RecoveryBound: bounds.Quiet,
+		ColdRate:      gateway.NewLoads(s.node.Now(), bounds.Bounds).ColdRate,
 		Load: func(span time.Duration) []*schema.ShardLoad {
 			return s.gateway.Loads().TakeKeyLoad(span)
 		},
