--- a/internal/catalog/plan.go
+++ b/internal/catalog/plan.go
@@ -19,7 +19,7 @@
 // Plan returns the one record that replaces the whole configuration, guarded against any other put, and the
 // configuration's version. Its error is a *ConflictError.
 func Plan(table *store.Table, entries []*schema.Entry, document []byte, base uint64, operatorKey string) (*schema.Record, uint64, error) {
-	row := table.Get(store.HeadKey)
+	row := table.Get(store.CatalogHeadKey)
 	head := store.DecodeRow[schema.CatalogHead](row)
 	if base != head.GetVersion() {
 		return nil, 0, &ConflictError{head.GetVersion()}
@@ -28,7 +28,7 @@
 	record := &schema.Record{
 		Kind:   schema.RecordKind_RECORD_ROWS,
 		Reason: fmt.Sprintf("configuration %d", version),
-		Guards: []*schema.Guard{{Key: store.HeadKey, Index: row.GetIndex()}},
+		Guards: []*schema.Guard{{Key: store.CatalogHeadKey, Index: row.GetIndex()}},
 	}
 	isKept := map[string]bool{}
 	for _, entry := range entries {
@@ -43,8 +43,8 @@
 		}
 	})
 	record.Rows = append(record.Rows,
-		store.EncodeRow(store.HeadKey, &schema.CatalogHead{Version: version, OperatorKey: operatorKey}),
-		store.EncodeRow(store.DocumentKey, &schema.CatalogDocument{Version: version, Document: document}))
+		store.EncodeRow(store.CatalogHeadKey, &schema.CatalogHead{Version: version, OperatorKey: operatorKey}),
+		store.EncodeRow(store.CatalogDocumentKey, &schema.CatalogDocument{Version: version, Document: document}))
 	return record, version, nil
 }
 
@@ -52,7 +52,7 @@
 // effect together. A record that does not apply stays as it is.
 func AddAssignments(view *store.View, table *store.Table, record *schema.Record) {
 	scratch := store.NewTable()
-	scratch.Restore(table.Whole())
+	scratch.Restore(table.Snapshot())
 	changed, err := scratch.Apply(table.Version()+1, record, nil)
 	if err != nil {
 		return
--- a/internal/idempotency/reservation.go
+++ b/internal/idempotency/reservation.go
@@ -39,7 +39,7 @@
 }
 
 func (r *Replica) shardOf(attempt string) *shard {
-	return &r.shards[store.Weigh(attempt)%shardCount]
+	return &r.shards[store.RendezvousWeight(attempt)%shardCount]
 }
 
 // Reserve decides one request for a reservation, or ends one. A node without a live lease from the leader refuses.
