--- a/cmd/testfleet/backend.go
+++ b/cmd/testfleet/backend.go
@@ -31,8 +31,7 @@
 const (
 	// backendWorkers is how many requests a back end works on at once; others wait.
 	backendWorkers = 6
-	// coldPeriod is how long a new back end warms up; it works coldSlowdown times as long then.
-	coldPeriod   = 8 * time.Second
+	// coldSlowdown is how many times as long a back end works while it warms up.
 	coldSlowdown = 6
 	// slowSlowdown is how many times as long a back end works in modeSlow.
 	slowSlowdown = 20
@@ -195,7 +194,7 @@
 // drawSpan draws how long the back end works on a request.
 func (b *Backend) drawSpan(mode Mode) time.Duration {
 	span := time.Duration(workLeast+b.platform.draw(workSpread)) * time.Millisecond
-	if b.isCold && time.Since(b.started) < coldPeriod {
+	if b.isCold && time.Since(b.started) < checker.ColdPeriod {
 		span *= coldSlowdown
 	}
 	if mode == modeSlow {
--- a/cmd/testfleet/caller_sending.go
+++ b/cmd/testfleet/caller_sending.go
@@ -40,7 +40,7 @@
 	}
 	limit := s.left
 	if !reply.IsUnsafe {
-		limit = min(limit, safeLimit)
+		limit = min(limit, checker.SafeLimit)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
--- a/cmd/testfleet/callers.go
+++ b/cmd/testfleet/callers.go
@@ -31,20 +31,13 @@
 )
 
 const (
-	// callWait is how long a caller waits in all, safeLimit how long for one answer to a safe request.
-	callWait  = 5 * time.Second
-	safeLimit = 2 * time.Second
-	// maxSends bounds how often a caller sends one attempt id.
-	maxSends = 40
+	// callWait is how long a caller waits in all.
+	callWait = 5 * time.Second
 	// matchTries is how many directories a caller asks at once in turn, matchTimeout how long it waits for each, and
 	// unmatchedPause how long it waits when none answered.
 	matchTries     = 4
 	matchTimeout   = time.Second
 	unmatchedPause = 300 * time.Millisecond
-	// A caller pauses for backoffLeast to backoffLeast+backoffStep*n milliseconds, n the sends so far, at most backoffMost.
-	backoffLeast, backoffStep, backoffMost = 100, 100, 6
-	// retryAfterSpread spreads callers that got the same Retry-After, in milliseconds.
-	retryAfterSpread = 200
 	// pathTails is the number of different paths of a kind with tails.
 	pathTails = 5000
 	// hotShare of ten keyed calls are for hotKey while a key is hot.
@@ -194,7 +187,7 @@
 func (c *Callers) sendUntilFinal(request callRequest, call *checker.Call) string {
 	deadline := time.Now().Add(request.wait)
 	isAmbiguous := false
-	for call.Sends < maxSends {
+	for call.Sends < checker.MaxSends {
 		left := time.Until(deadline)
 		if left <= 0 {
 			break
@@ -225,10 +218,10 @@
 			}
 			return reply.Result
 		case checker.StepWait:
-			time.Sleep(reply.RetryAfter + time.Duration(c.draw(retryAfterSpread))*time.Millisecond)
+			time.Sleep(checker.RetryPause(reply, c.draw))
 		case checker.StepBackOff:
 			isAmbiguous = true
-			time.Sleep(time.Duration(backoffLeast+c.draw(backoffStep)*min(call.Sends, backoffMost)) * time.Millisecond)
+			time.Sleep(checker.Backoff(call.Sends, c.draw))
 		}
 	}
 	return checker.ResultNone
--- a/internal/checker/backends.go
+++ b/internal/checker/backends.go
@@ -36,7 +36,7 @@
 	recent := map[string][]time.Duration{}
 	for _, a := range h.Arrivals {
 		isCold := slices.ContainsFunc(h.ColdStarts[a.Instance], func(start time.Duration) bool {
-			return a.At >= start && a.At-start <= coldPeriod
+			return a.At >= start && a.At-start <= ColdPeriod
 		})
 		if !isCold {
 			continue
--- a/internal/checker/caller.go
+++ b/internal/checker/caller.go
@@ -35,8 +35,23 @@
 // foreignDigest stands for the digest of an answer that belongs to another attempt.
 const foreignDigest = "not for this attempt"
 
-// retryMargin is the time that must be left after a Retry-After for a caller to send again.
-const retryMargin = 50 * time.Millisecond
+const (
+	// MaxSends bounds how often a caller sends one attempt id.
+	MaxSends = 40
+	// SafeLimit is how long a caller waits for one answer to a safe request.
+	SafeLimit = 2 * time.Second
+	// retryMargin is the time that must be left after a Retry-After for a caller to send again.
+	retryMargin = 50 * time.Millisecond
+	// retryAfterSpread spreads callers that got the same Retry-After.
+	retryAfterSpread = 200
+	// A caller backs off for backoffLeast to backoffLeast+backoffStep*n, n the sends so far, at most backoffMost.
+	backoffLeast = 100
+	backoffStep  = 100
+	backoffMost  = 6
+)
+
+// Draw gives a random number from 0 to below n.
+type Draw func(n int) int
 
 // Digest gives the Content-Digest of a body (RFC 9530).
 func Digest(body []byte) string {
@@ -72,12 +87,22 @@
 const (
 	// StepEnd takes the reply's result as final.
 	StepEnd Step = iota
-	// StepWait sends the same attempt id again after the reply's RetryAfter; nothing was done.
+	// StepWait sends the same attempt id again after RetryPause; nothing was done.
 	StepWait
-	// StepBackOff sends the same attempt id again after a pause; it may have run.
+	// StepBackOff sends the same attempt id again after Backoff; it may have run.
 	StepBackOff
 )
 
+// Backoff draws the pause after a sending that may have run, given the number of sendings so far.
+func Backoff(sends int, draw Draw) time.Duration {
+	return time.Duration(backoffLeast+draw(backoffStep)*min(sends, backoffMost)) * time.Millisecond
+}
+
+// RetryPause draws the pause after a refusal: the reply's RetryAfter and a spread.
+func RetryPause(reply *Reply, draw Draw) time.Duration {
+	return reply.RetryAfter + time.Duration(draw(retryAfterSpread))*time.Millisecond
+}
+
 // NextStep tells what an honest caller does after a reply, given the time that it has left.
 func NextStep(reply *Reply, left time.Duration) Step {
 	switch reply.Result {
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -24,8 +24,8 @@
 	retryWindow    = 10 * time.Second
 	retryShare     = 0.2
 	retryAllowance = 10
-	// In any coldWindow a back end that started at most coldPeriod ago may get coldLimit requests.
-	coldPeriod = 8 * time.Second
+	// ColdPeriod is how long a back end warms up after its start. In any coldWindow of it, it may get coldLimit requests.
+	ColdPeriod = 8 * time.Second
 	coldWindow = time.Second
 	coldLimit  = 12
 )
--- a/internal/sim/backend.go
+++ b/internal/sim/backend.go
@@ -24,8 +24,7 @@
 )
 
 const (
-	// coldPeriod is how long a back end warms up after its start; it works coldSlowdown times as long then.
-	coldPeriod   = 8 * time.Second
+	// coldSlowdown is how many times as long a back end works while it warms up.
 	coldSlowdown = 6
 	// slowSlowdown is how many times as long a back end works in ModeSlow.
 	slowSlowdown = 20
@@ -83,7 +82,7 @@
 
 // warmUp begins a back end's cold period.
 func (f *Fleet) warmUp(b *Backend) {
-	b.coldUntil = f.Now + coldPeriod
+	b.coldUntil = f.Now + checker.ColdPeriod
 	f.History.ColdStarts[b.Instance] = append(f.History.ColdStarts[b.Instance], f.Now)
 }
 
--- a/internal/sim/caller.go
+++ b/internal/sim/caller.go
@@ -14,16 +14,8 @@
 )
 
 const (
-	// maxSends bounds how often a caller sends one attempt id.
-	maxSends = 40
-	// safeLimit is how long a caller waits for one answer to a safe request.
-	safeLimit = 2 * time.Second
 	// unmatchedPause is how long a caller waits when no directory answered.
 	unmatchedPause = 300 * time.Millisecond
-	// A caller pauses for backoffLeast to backoffLeast+backoffStep*n milliseconds, n the sends so far, at most backoffMost.
-	backoffLeast, backoffStep, backoffMost = 100, 100, 6
-	// retryAfterSpread spreads callers that got the same Retry-After, in milliseconds.
-	retryAfterSpread = 200
 )
 
 // CallerRequest is what a simulated caller wants.
@@ -97,7 +89,7 @@
 	reply.IsCutOff = cached.isCutOff || f.isOutOfReach(n)
 	limit := left
 	if !reply.IsUnsafe {
-		limit = min(limit, safeLimit)
+		limit = min(limit, checker.SafeLimit)
 	}
 	isOver := false
 	finish := func(result *proxy.Result, broken string) {
@@ -205,7 +197,7 @@
 func (a *attempt) send() {
 	f := a.fleet
 	left := a.deadline - f.Now
-	if left <= 0 || a.call.Sends >= maxSends {
+	if left <= 0 || a.call.Sends >= checker.MaxSends {
 		a.end(a.last)
 		return
 	}
@@ -221,7 +213,7 @@
 // receive ends the attempt with a reply, or waits and sends it again.
 func (a *attempt) receive(reply *checker.Reply) {
 	f := a.fleet
-	backoff := time.Duration(backoffLeast+f.random.Intn(backoffStep)*min(a.call.Sends, backoffMost)) * time.Millisecond
+	backoff := checker.Backoff(a.call.Sends, f.random.Intn)
 	if reply == nil {
 		f.after(unmatchedPause, a.send)
 		return
@@ -230,13 +222,12 @@
 	if reply.Result != checker.ResultSealed {
 		delete(f.cachedMatches, a.request.matchKey())
 	}
-	switch step := checker.NextStep(reply, a.deadline-f.Now); step {
+	switch checker.NextStep(reply, a.deadline-f.Now) {
 	case checker.StepEnd:
 		a.end(reply.Result)
 	case checker.StepWait:
 		a.last = checker.ResultDeclined
-		spread := time.Duration(f.random.Intn(retryAfterSpread)) * time.Millisecond
-		f.after(reply.RetryAfter+spread, a.send)
+		f.after(checker.RetryPause(reply, f.random.Intn), a.send)
 	case checker.StepBackOff:
 		a.last = checker.ResultNone
 		a.isAmbiguous = true
