--- a/internal/controlplane/changes_test.go
+++ b/internal/controlplane/changes_test.go
@@ -75,7 +75,7 @@
 		t.Fatalf("%d changes, had %d", len(status.Changes), begun)
 	}
 	last := status.Changes[begun]
-	row := store.DecodeRow[schema.FailoverAssignment](s.core.table.Get(store.DefaultKey("mu")))
+	row := store.DecodeRow[schema.FailoverAssignment](s.core.table.Get(store.DefaultAssignmentKey("mu")))
 	if last.Region != "mu" || last.From >= last.To || last.To != row.Number || last.Cause != row.Reason || last.Evidence != "mu-b is emptied (new racks)" || last.Leader != "a" || last.Term == 0 ||
 		last.AtMs > at || last.AtMs < at-1000 {
 		t.Errorf("%v, row %v, at %d", last, row, at)
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -9,7 +9,7 @@
 
 // Whole gives the snapshot at the applied index, for a follower or for the disk.
 func (c *Machine) Whole() *schema.Snapshot {
-	whole := c.table.Whole()
+	whole := c.table.Snapshot()
 	c.quorum.DescribeSnapshot(whole)
 	whole.Version = c.shownFleet()
 	return whole
--- a/internal/discovery/outlier_quorum_test.go
+++ b/internal/discovery/outlier_quorum_test.go
@@ -22,17 +22,19 @@
 
 func newEjectionTest(t *testing.T, service string) *ejectionTest {
 	j := &ejectionTest{t: t, table: store.NewTable(), outlierQuorum: NewOutlierQuorum(), now: time.Hour}
-	rows := []*schema.Row{store.EncodeRow(store.PolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: service == "zinc"})}
+	rows := []*schema.Row{store.EncodeRow(store.ServicePolicyKey(service), &schema.ServicePolicy{Service: service, Keyed: service == "zinc"})}
 	for i, name := range []string{"kol-a", "kol-b"} {
 		rows = append(rows, store.EncodeRow(store.ZoneKey(name), &schema.Zone{Name: name, Region: "kol", Residue: uint32(2 * i)}))
 	}
 	for i := range 6 {
 		id := fmt.Sprint("n", i)
-		rows = append(rows, store.EncodeRow(store.NodeKey(id), &schema.Node{Id: id, Zone: []string{"kol-a", "kol-b"}[i/3], Region: "kol", State: schema.NodeState_NODE_READY}))
+		rows = append(rows, store.EncodeRow(store.NodeKey(id),
+			&schema.Node{Id: id, Zone: []string{"kol-a", "kol-b"}[i/3], Region: "kol", State: schema.NodeState_NODE_READY}))
 	}
 	for i := range 10 {
 		id := fmt.Sprint("i-", i)
-		rows = append(rows, store.EncodeRow(store.BackendKey(service, id), &schema.Backend{Service: service, Instance: id, Address: id, Zone: "kol-a", State: schema.BackendState_BACKEND_READY}))
+		rows = append(rows, store.EncodeRow(store.BackendKey(service, id),
+			&schema.Backend{Service: service, Instance: id, Address: id, Zone: "kol-a", State: schema.BackendState_BACKEND_READY}))
 	}
 	j.apply(rows)
 	return j
@@ -178,7 +180,8 @@
 	for i := range 20000 {
 		id := fmt.Sprintf("i-%05d", i)
 		service := fmt.Sprintf("s-%03d", i%200)
-		rows = append(rows, store.EncodeRow(store.BackendKey(service, id), &schema.Backend{Service: service, Instance: id, Address: id, Zone: "kol-a", State: schema.BackendState_BACKEND_READY}))
+		rows = append(rows, store.EncodeRow(store.BackendKey(service, id),
+			&schema.Backend{Service: service, Instance: id, Address: id, Zone: "kol-a", State: schema.BackendState_BACKEND_READY}))
 	}
 	if _, err := table.Apply(1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows}, nil); err != nil {
 		b.Fatal(err)
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -57,8 +57,8 @@
 // next gives the version that the fleet should use now, or 0 if it stays. All readers must have been able to read it for long enough, and
 // nothing may be under way in the log, so that nobody joins between the decision and the record.
 func (v *versionRise) next(state State, readers []protocolversion.Reader, lastIndex raft.Index) protocolversion.Version {
-	next, _ := protocolversion.Rise(state.View.Fleet, v.speaks, readers)
-	if next != v.risingTo || next == state.View.Fleet {
+	next, _ := protocolversion.Rise(state.View.FleetVersion, v.speaks, readers)
+	if next != v.risingTo || next == state.View.FleetVersion {
 		v.risingTo, v.risingSince = next, state.Now
 		return 0
 	}
@@ -109,7 +109,7 @@
 
 // isFit tells whether a node speaks what the fleet uses or is about to use; it logs each incarnation that doesn't once.
 func (l *Leader) isFit(state State, node *schema.Node) bool {
-	err := l.version.check(state.View.Fleet, l.options.Proposer.IsInFlight(store.VersionKey), node)
+	err := l.version.check(state.View.FleetVersion, l.options.Proposer.IsInFlight(store.FleetVersionKey), node)
 	if err != nil && l.version.noteRefused(node) {
 		l.log.Error("node is refused", "node", node.GetId(), "reason", err.Error())
 	}
@@ -123,7 +123,7 @@
 		return
 	}
 	rise := newChange(state.Table, "the fleet's version rises")
-	rise.put(store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: uint32(next)}))
+	rise.put(store.EncodeRow(store.FleetVersionKey, &schema.FleetVersion{Version: uint32(next)}))
 	if l.options.Proposer.Propose(state.Now, rise.result()) {
 		l.version.proposed = next
 		l.log.Info("the fleet's version rises", "version", next)
--- a/internal/routes/history.go
+++ b/internal/routes/history.go
@@ -27,7 +27,7 @@
 	isSame := func(known *schema.AcceptedConfig) bool {
 		return known.GetVersion() == config.GetVersion() && bytes.Equal(known.GetDigest(), digest)
 	}
-	head := store.DecodeRow[schema.CatalogHead](table.Get(store.HeadKey))
+	head := store.DecodeRow[schema.CatalogHead](table.Get(store.CatalogHeadKey))
 	known := store.DecodeRow[schema.AcceptedConfig](table.Get(store.AcceptedKey(config.GetVersion())))
 	if isSame(known) || slices.ContainsFunc(head.GetRecent(), isSame) {
 		return Accepted
--- a/internal/sharding/world_faults_test.go
+++ b/internal/sharding/world_faults_test.go
@@ -20,7 +20,7 @@
 // depose lets another node lead; the old leader may go on unknowing for a while.
 func (w *world) depose() {
 	copied := store.NewTable()
-	copied.Restore(w.table.Whole())
+	copied.Restore(w.table.Snapshot())
 	w.decideCommits()
 	old := &formerLeader{
 		node:      w.leader,
--- a/internal/statemachine/statemachine_test.go
+++ b/internal/statemachine/statemachine_test.go
@@ -20,7 +20,7 @@
 }
 
 func fleetRow() *schema.Row {
-	return store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: newerFleet})
+	return store.EncodeRow(store.FleetVersionKey, &schema.FleetVersion{Version: newerFleet})
 }
 
 func entityRow(number uint64, isFenced bool) *schema.Row {
@@ -60,7 +60,7 @@
 		want bool
 	}{
 		{"a zone", zoneRow("a"), true},
-		{"the configuration's head", store.EncodeRow(store.HeadKey, &schema.CatalogHead{Version: 1}), true},
+		{"the configuration's head", store.EncodeRow(store.CatalogHeadKey, &schema.CatalogHead{Version: 1}), true},
 		{"a node", store.EncodeRow(store.NodeKey("n"), &schema.Node{Id: "n"}), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
