--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -29,12 +29,12 @@
 	entry := d.Entry
 	switch {
 	case !slices.Contains(entry.Methods, s.Request.Method):
-		*d = d.refuse(newRefusal(http.StatusMethodNotAllowed, "bad-method",
+		*d = d.refuse(newRefusal(http.StatusMethodNotAllowed, kindBadMethod,
 			"entry %s%s allows %v; use one of them or change the configuration", entry.Service, entry.Path, entry.Methods))
 	case entry.Keyed && s.Request.Key == "":
-		*d = d.refuse(newRefusal(http.StatusBadRequest, "no-key", "entry %s%s is divided by key; send %s", entry.Service, entry.Path, HeaderKey))
+		*d = d.refuse(newRefusal(http.StatusBadRequest, kindNoKey, "entry %s%s is divided by key; send %s", entry.Service, entry.Path, HeaderKey))
 	case s.Left <= 0:
-		*d = d.refuse(newRefusalLater("late", "the wait is over"))
+		*d = d.refuse(newRefusalLater(kindLate, "the wait is over"))
 	default:
 		return true
 	}
@@ -50,10 +50,10 @@
 	}
 	var originErr *failover.OriginError
 	if errors.As(err, &originErr) {
-		*d = d.refuse(newRefusal(http.StatusBadRequest, "bad-origin", "%v", err))
+		*d = d.refuse(newRefusal(http.StatusBadRequest, kindBadOrigin, "%v", err))
 		return false
 	}
-	*d = s.park(*d, "no-standing", "%v", err)
+	*d = s.park(*d, kindNoAssignment, "%v", err)
 	return false
 }
 
@@ -64,12 +64,12 @@
 		return true
 	}
 	if len(s.Request.Forwarded) > 0 {
-		*d = s.park(*d, "moved", "number %d makes zone %s the owner; ask the directory again", owner.Number, owner.Zone)
+		*d = s.park(*d, kindMoved, "number %d makes zone %s the owner; ask the directory again", owner.Number, owner.Zone)
 		return false
 	}
 	d.Nodes = ReadyNodes(s.Local.View, owner.Zone)
 	if len(d.Nodes) == 0 {
-		*d = s.park(*d, "no-proxy", "zone %s has no ready proxy; ask the directory again", owner.Zone)
+		*d = s.park(*d, kindNoProxy, "zone %s has no ready proxy; ask the directory again", owner.Zone)
 		return false
 	}
 	d.Action = ActionForward
@@ -92,11 +92,11 @@
 // is set.
 func (s *Situation) isCurrent(d *Decision) bool {
 	if s.Request.Forwarded.IsNewer(d.Owner.Trail) {
-		*d = s.park(*d, "behind", "this proxy has not seen number %v yet; send again", s.Request.Forwarded)
+		*d = s.park(*d, kindBehind, "this proxy has not seen number %v yet; send again", s.Request.Forwarded)
 		return false
 	}
 	if zone := s.Local.View.Zones[s.Self.Zone]; zone == nil || zone.Emptied {
-		*d = s.park(*d, "emptied", "zone %s is emptied; ask the directory again", s.Self.Zone)
+		*d = s.park(*d, kindZoneEmptied, "zone %s is emptied; ask the directory again", s.Self.Zone)
 		return false
 	}
 	return true
@@ -126,13 +126,13 @@
 		age = s.Now - at
 	}
 	if age < constants.ParkMost && s.Left > 0 {
-		return s.park(d, "fenced", "number %d waits for the former group's leases to lapse; send again", d.Owner.Number)
+		return s.park(d, kindFenced, "number %d waits for the former group's leases to lapse; send again", d.Owner.Number)
 	}
 	left := constants.LeaseDuration + constants.LeaseClockMargin - age
 	if d.Owner.Far {
 		left += constants.ReservationWindow
 	}
-	refusal := newRefusalLater("fenced",
+	refusal := newRefusalLater(kindFenced,
 		"number %d waits for the former group's leases and reservations to lapse; send again then", d.Owner.Number)
 	refusal.RetryAfter = max(constants.RetryAfter, left)
 	return d.refuse(refusal)
@@ -146,7 +146,7 @@
 	set := s.Local.View.ReplicaSets[d.Owner.Region]
 	switch {
 	case set == nil:
-		*d = s.park(*d, "no-keepers", "region %s has no replicas for reservations yet; send again", d.Owner.Region)
+		*d = s.park(*d, kindNoReplicas, "region %s has no replicas for reservations yet; send again", d.Owner.Region)
 	case s.isOlderThanMove(d):
 		*d = d.refuse(attemptTooOld(d.Entry))
 	case !s.IsReserved:
@@ -164,7 +164,7 @@
 }
 
 func attemptTooOld(entry *schema.Entry) *RefusalError {
-	refusal := newRefusalLater("attempt-old", "the id was first sent before entry %s%s moved here, where its replicas can't know it; "+
+	refusal := newRefusalLater(kindAttemptOld, "the id was first sent before entry %s%s moved here, where its replicas can't know it; "+
 		"ask its service whether it ran, or use a new id", entry.Service, entry.Path)
 	refusal.Status = http.StatusConflict
 	refusal.Result = ResultAmbiguous
--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -21,7 +21,7 @@
 // chooseBackend picks the back end of a request that this proxy may send.
 func (s *Situation) chooseBackend(d Decision) Decision {
 	if s.isHotKey(d.Entry.Service) {
-		return s.park(d, "hot-key", "one key has too many attempts in flight; send again")
+		return s.park(d, kindHotKey, "one key has too many attempts in flight; send again")
 	}
 	service := s.Local.View.Services[d.Entry.Service]
 	if d.Entry.Keyed {
@@ -44,7 +44,7 @@
 	d.Slot = Slot(s.Request.Key)
 	slot := service.Slots[d.Slot]
 	if slot == nil || slot.Next != "" {
-		return s.park(d, "key-moving", "the key's back end is being replaced; send again")
+		return s.park(d, kindKeyMoving, "the key's back end is being replaced; send again")
 	}
 	d.SlotNumber = slot.Number
 	for _, backend := range service.Backends {
@@ -52,13 +52,13 @@
 			continue
 		}
 		if !s.Load.MayBegin(s.Now, backend, s.part(&d, service), d.Entry.ColdRate) {
-			return s.park(d, "key-cold", "the key's back end is cold and takes little yet; send again")
+			return s.park(d, kindKeyCold, "the key's back end is cold and takes little yet; send again")
 		}
 		d.Backend = backend
 		d.Action = ActionAttempt
 		return d
 	}
-	return s.park(d, "key-busy", "the key's back end is busy or gone; send again")
+	return s.park(d, kindKeyBusy, "the key's back end is busy or gone; send again")
 }
 
 func (s *Situation) isFreeOwner(d *Decision, backend *schema.Backend) bool {
@@ -80,9 +80,9 @@
 		}
 	}
 	if isAnyTried {
-		return d.refuse(newRefusalLater("no-backend", "no other back end of %s is free; send again", d.Entry.Service))
+		return d.refuse(newRefusalLater(kindNoBackEnd, "no other back end of %s is free; send again", d.Entry.Service))
 	}
-	return s.park(d, "no-backend", "no back end of %s in region %s is free; send again", d.Entry.Service, d.Owner.Region)
+	return s.park(d, kindNoBackEnd, "no back end of %s in region %s is free; send again", d.Entry.Service, d.Owner.Region)
 }
 
 // freeBackends are the usable back ends in this zone, or in the others, that can take an attempt of this proxy. It also tells whether one
--- a/internal/proxy/decision.go
+++ b/internal/proxy/decision.go
@@ -89,10 +89,8 @@
 	return d
 }
 
-// kindNoLease is a kind of refusal that comes sooner than others: leases are renewed often, and one that is late will not come.
-const kindNoLease = "no-grant"
-
-// park lets the request wait, and refuses it once it has waited for long enough.
+// park lets the request wait, and refuses it once it has waited for long enough. Without a lease that is sooner: leases are renewed often,
+// and one that is late will not come.
 func (s *Situation) park(d Decision, kind, format string, args ...any) Decision {
 	limit := constants.ParkMost
 	if kind == kindNoLease {
--- a/internal/proxy/executor.go
+++ b/internal/proxy/executor.go
@@ -92,7 +92,7 @@
 	}
 	body, isLonger, err := forwarding.ReadUpTo(r.Body, int64(limit))
 	if err != nil {
-		return newRefusal(http.StatusBadRequest, "cut-short", "the body ended early; send it whole")
+		return newRefusal(http.StatusBadRequest, kindCutShort, "the body ended early; send it whole")
 	}
 	if isLonger {
 		return oversize(limit)
@@ -112,7 +112,7 @@
 }
 
 func oversize(limit uint64) *RefusalError {
-	return newRefusal(http.StatusRequestEntityTooLarge, "oversize", "the body is above the entry's limit of %d bytes; send less", limit)
+	return newRefusal(http.StatusRequestEntityTooLarge, kindOversize, "the body is above the entry's limit of %d bytes; send less", limit)
 }
 
 // Run carries a request out until it has its one response.
--- a/internal/proxy/fitness.go
+++ b/internal/proxy/fitness.go
@@ -33,7 +33,7 @@
 func Entry(now time.Duration, local *controlplane.Local, service, path string, parked time.Duration) (*schema.Entry, *Decision) {
 	if !IsFit(now, local) {
 		if isIsolated(now, local) {
-			return nil, refusedEarly(newRefusalLater("isolated", "this proxy is cut off; ask the directory for another"))
+			return nil, refusedEarly(newRefusalLater(kindIsolated, "this proxy is cut off; ask the directory for another"))
 		}
 		return nil, parkEarly(parked, "this proxy has no fresh state; ask the directory for another", "")
 	}
@@ -42,12 +42,12 @@
 	}
 	known := local.View.Services[service]
 	if known == nil {
-		return nil, refusedEarly(newRefusal(http.StatusNotFound, "unknown-entry",
+		return nil, refusedEarly(newRefusal(http.StatusNotFound, kindUnknownEntry,
 			"no entry for service %q; mend the path or put a configuration", service))
 	}
 	entry := known.Entry(path)
 	if entry == nil {
-		return nil, refusedEarly(newRefusal(http.StatusNotFound, "unknown-entry",
+		return nil, refusedEarly(newRefusal(http.StatusNotFound, kindUnknownEntry,
 			"no entry of service %q covers path %q; mend the path or put a configuration", service, path))
 	}
 	return entry, nil
@@ -60,7 +60,7 @@
 // parkEarly lets a request wait for state that this proxy lacks.
 func parkEarly(parked time.Duration, message, wanted string) *Decision {
 	if parked >= constants.ParkMost {
-		return refusedEarly(newRefusalLater("unready", "%s", message))
+		return refusedEarly(newRefusalLater(kindUnready, "%s", message))
 	}
 	return &Decision{Action: ActionPark, Wanted: wanted}
 }
--- a/internal/proxy/machine_attempt.go
+++ b/internal/proxy/machine_attempt.go
@@ -13,7 +13,7 @@
 func (m *RequestMachine) attempt() Order {
 	backend := m.decision.Backend
 	if m.attempts > 0 && (m.attempts >= constants.AttemptsMost || !m.Loads.MayRepeat(m.now, backend.Service, m.part())) {
-		return m.giveUp(newRefusalLater("no-repeat", "the repeat budget of %s is spent; send again later", backend.Service))
+		return m.giveUp(newRefusalLater(kindNoRepeat, "the repeat budget of %s is spent; send again later", backend.Service))
 	}
 	m.Loads.Begin(backend.Instance)
 	m.Loads.BeginKey(backend.Service, m.Request.Key)
@@ -104,7 +104,7 @@
 	}
 	m.exclude(err)
 	if m.now >= m.until || e.IsGone || !d.IsSafe && m.mayHaveRun {
-		return m.giveUp(newRefusalLater("failed", "%v", err))
+		return m.giveUp(newRefusalLater(kindFailed, "%v", err))
 	}
 	return m.decide(false)
 }
--- a/internal/proxy/machine_forward.go
+++ b/internal/proxy/machine_forward.go
@@ -23,13 +23,6 @@
 	forwardOverhead = 4 << 10
 )
 
-// The kinds of refusal of another proxy after which a request is forwarded again: that proxy is no longer the owner's, or does not know yet
-// that it is.
-const (
-	kindMoved  = "moved"
-	kindBehind = "behind"
-)
-
 // forwardState is the state of a request that is forwarded to the owner's proxies.
 type forwardState struct {
 	count int
@@ -71,7 +64,7 @@
 	if e.Err != nil {
 		m.Loads.End(node.Id)
 		m.Loads.Report(node.Id, e.Err)
-		return m.endForward(newRefusalLater("no-proxy", "the owner's proxy is not reached (%v); send again", e.Err), true)
+		return m.endForward(newRefusalLater(kindNoProxy, "the owner's proxy is not reached (%v); send again", e.Err), true)
 	}
 	left := m.until - m.now
 	header := m.Request.attemptHeader(left)
@@ -108,7 +101,9 @@
 		return Order{Kind: OrderReply, Result: sealed, KeepsConn: true}
 	}
 	refusal := forwardedRefusal(result)
-	order := m.endForward(refusal, refusal.Result == ResultRefused && (refusal.Kind == kindMoved || refusal.Kind == kindBehind))
+	// That proxy is no longer the owner's, or does not know yet that it is.
+	mayRepeat := refusal.Result == ResultRefused && (refusal.Kind == kindMoved || refusal.Kind == kindBehind)
+	order := m.endForward(refusal, mayRepeat)
 	order.KeepsConn = true
 	return order
 }
@@ -129,7 +124,7 @@
 func noForwardedResponse(err error) *RefusalError {
 	return &RefusalError{
 		Status:     http.StatusBadGateway,
-		Kind:       "failed",
+		Kind:       kindFailed,
 		Result:     ResultAmbiguous,
 		RetryAfter: constants.RetryAfter,
 		Message:    "the owner's proxy gave no whole response: " + err.Error(),
@@ -140,7 +135,7 @@
 func forwardedRefusal(result *Result) *RefusalError {
 	refusal := &RefusalError{
 		Status:  result.Status,
-		Kind:    "forwarded",
+		Kind:    kindForwarded,
 		Result:  ResultAmbiguous,
 		Message: strings.TrimSpace(string(result.Body)),
 	}
--- a/internal/proxy/machine_reservation.go
+++ b/internal/proxy/machine_reservation.go
@@ -110,7 +110,7 @@
 func reservedElsewhere() *RefusalError {
 	return &RefusalError{
 		Status:     http.StatusConflict,
-		Kind:       "attempt-held",
+		Kind:       kindReservedElsewhere,
 		Result:     ResultAmbiguous,
 		RetryAfter: constants.RetryAfter,
 		Message: "another request with this attempt id runs or ran, or may have run before its replicas' memory begins; " +
@@ -120,7 +120,7 @@
 
 // notReserved refuses a request whose replicas did not agree for too long.
 func (m *RequestMachine) notReserved() *RefusalError {
-	refusal := newRefusalLater("no-claim", "the replicas of this attempt id did not agree; send again")
+	refusal := newRefusalLater(kindNotReserved, "the replicas of this attempt id did not agree; send again")
 	refusal.RetryAfter = max(constants.RetryAfter, m.reservation.readyIn)
 	return refusal
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -69,10 +69,10 @@
 	q.Service = service
 	q.Path = "/" + path
 	if service == "" {
-		return newRefusal(http.StatusNotFound, "no-service", "the path names no service; use /SERVICE/PATH")
+		return newRefusal(http.StatusNotFound, kindNoService, "the path names no service; use /SERVICE/PATH")
 	}
 	if !isPlainPath(q.Path) {
-		return newRefusal(http.StatusBadRequest, "bad-path", "the path has empty or dotted parts; send it in its plain form")
+		return newRefusal(http.StatusBadRequest, kindBadPath, "the path has empty or dotted parts; send it in its plain form")
 	}
 	return nil
 }
@@ -89,7 +89,7 @@
 func (q *Request) readAttempt() *RefusalError {
 	q.Attempt = q.Header.Get(HeaderAttempt)
 	if !attemptForm().MatchString(q.Attempt) || len(q.Header.Values(HeaderAttempt)) != 1 {
-		return newRefusal(http.StatusBadRequest, "bad-attempt", "send one %s of 8 to 64 letters, digits or _ . : -", HeaderAttempt)
+		return newRefusal(http.StatusBadRequest, kindBadAttempt, "send one %s of 8 to 64 letters, digits or _ . : -", HeaderAttempt)
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 func (q *Request) readTimes() *RefusalError {
 	wait, err := strconv.Atoi(q.Header.Get(HeaderWait))
 	if err != nil || wait < 1 || time.Duration(wait)*time.Millisecond > constants.WaitMost {
-		return newRefusal(http.StatusBadRequest, "bad-wait",
+		return newRefusal(http.StatusBadRequest, kindBadWait,
 			"send %s in milliseconds, from 1 to %d", HeaderWait, constants.WaitMost.Milliseconds())
 	}
 	q.Wait = time.Duration(wait) * time.Millisecond
@@ -107,7 +107,7 @@
 	}
 	age, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || age < 0 || age > constants.AgeMost.Milliseconds() {
-		return newRefusal(http.StatusBadRequest, "bad-age",
+		return newRefusal(http.StatusBadRequest, kindBadAge,
 			"send %s in milliseconds since the first sending whose result you do not know, at most %d, or leave it out",
 			HeaderAge, constants.AgeMost.Milliseconds())
 	}
@@ -120,11 +120,11 @@
 	q.OriginRaw = q.Header.Get(HeaderOrigin)
 	q.Origin, err = failover.ParseOrigin(q.OriginRaw)
 	if err != nil {
-		return newRefusal(http.StatusBadRequest, "bad-origin", "%v", err)
+		return newRefusal(http.StatusBadRequest, kindBadOrigin, "%v", err)
 	}
 	q.Key = q.Header.Get(HeaderKey)
 	if len(q.Key) > longestKey {
-		return newRefusal(http.StatusBadRequest, "bad-key", "%s has more than %d bytes; send a shorter key", HeaderKey, longestKey)
+		return newRefusal(http.StatusBadRequest, kindBadKey, "%s has more than %d bytes; send a shorter key", HeaderKey, longestKey)
 	}
 	text := q.Header.Get(HeaderForwarded)
 	if text == "" {
@@ -132,7 +132,7 @@
 	}
 	q.Forwarded, err = failover.ParseTrail(text)
 	if err != nil {
-		return newRefusal(http.StatusBadRequest, "bad-forward", "%s is for proxies only; leave it out", HeaderForwarded)
+		return newRefusal(http.StatusBadRequest, kindBadForward, "%s is for proxies only; leave it out", HeaderForwarded)
 	}
 	return nil
 }
--- a/internal/proxy/request_machine.go
+++ b/internal/proxy/request_machine.go
@@ -120,7 +120,7 @@
 	if m.phase == phaseForwardPause {
 		return m.reply(m.refusal)
 	}
-	return m.giveUp(newRefusalLater("gone", "the caller left or the wait is over"))
+	return m.giveUp(newRefusalLater(kindCallerGone, "the caller left or the wait is over"))
 }
 
 // parked is how long ago the request first had to wait.
@@ -188,7 +188,7 @@
 
 func (m *RequestMachine) park(wanted string) Order {
 	if m.now >= m.until {
-		return m.giveUp(newRefusalLater("late", "the wait is over"))
+		return m.giveUp(newRefusalLater(kindLate, "the wait is over"))
 	}
 	m.parkedAt = cmp.Or(m.parkedAt, m.now)
 	return Order{Kind: OrderWait, For: min(constants.ParkStep, m.until-m.now), Wanted: wanted}
@@ -205,7 +205,7 @@
 	}
 	ambiguous := *refusal
 	ambiguous.Status = http.StatusBadGateway
-	ambiguous.Kind = "failed"
+	ambiguous.Kind = kindFailed
 	ambiguous.Result = ResultAmbiguous
 	ambiguous.Message = "an attempt was begun and gave no sealed response: " + m.reason
 	ambiguous.RetryAfter = constants.RetryAfter
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -1,7 +1,10 @@
 package sockets
 
 import (
+	"context"
+	"errors"
 	"net"
+	"os"
 	"testing"
 	"time"
 )
@@ -44,3 +47,49 @@
 		})
 	}
 }
+
+func TestLocalAddress(t *testing.T) {
+	for _, c := range []struct{ listen, want string }{
+		{"127.0.0.1:80", "127.0.0.1:0"},
+		{"[::1]:80", "[::1]:0"},
+	} {
+		if got := LocalAddress(c.listen); got == nil || got.String() != c.want {
+			t.Errorf("of %q: %v, want %s", c.listen, got, c.want)
+		}
+	}
+	for _, listen := range []string{"", "localhost:80", "127.0.0.1"} {
+		if got := LocalAddress(listen); got != nil {
+			t.Errorf("of %q: %v, want none", listen, got)
+		}
+	}
+}
+
+func TestAbortWhenDone(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		isStopped bool
+	}{
+		{"a done context ends a read", false},
+		{"a stopped one does not", true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			conn, peer := net.Pipe()
+			defer conn.Close()
+			defer peer.Close()
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
+			stop := AbortWhenDone(ctx, conn)
+			if c.isStopped && !stop() {
+				t.Fatal("stopped too late")
+			}
+			cancel()
+			if c.isStopped {
+				go peer.Write([]byte("x"))
+			}
+			_, err := conn.Read(make([]byte, 1))
+			if isAborted := errors.Is(err, os.ErrDeadlineExceeded); isAborted == c.isStopped {
+				t.Errorf("read ends with %v", err)
+			}
+		})
+	}
+}
