--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -27,8 +27,8 @@
 func newOperations(c *Machine) *operations.Manager {
 	host := operatorHost{c}
 	options := operations.Options{Log: host, Proposer: c.proposals, State: host, Fleet: host, Sender: host}
-	if c.routed != nil {
-		options.Routes = &operations.RouteOptions{Fits: c.routed.options.Fits, FitsWhole: c.routed.options.FitsWhole}
+	if c.options.Routes != nil {
+		options.Routes = &operations.RouteOptions{Fits: c.options.Routes.Fits, FitsWhole: c.options.Routes.FitsWhole}
 	}
 	return operations.New(options)
 }
@@ -72,7 +72,7 @@
 // Reports tell where the newest configuration is in force: where the index of its row was reached.
 func (h operatorHost) Reports() []*schema.NodeReport {
 	c := h.machine
-	head := c.table.Get(store.HeadKey).GetIndex()
+	head := c.table.Get(store.CatalogHeadKey).GetIndex()
 	var reports []*schema.NodeReport
 	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
 		report := c.reportOf(id)
--- a/internal/controlplane/version.go
+++ b/internal/controlplane/version.go
@@ -24,10 +24,10 @@
 
 // shownFleet is the fleet's version as it is told: the first one is left out.
 func (c *Machine) shownFleet() uint32 {
-	if c.view.Fleet == protocolversion.First {
+	if c.view.FleetVersion == protocolversion.First {
 		return 0
 	}
-	return uint32(c.view.Fleet)
+	return uint32(c.view.FleetVersion)
 }
 
 func (c *Machine) spoken(node *schema.Node) *schema.Node {
--- a/internal/controlplane/version_test.go
+++ b/internal/controlplane/version_test.go
@@ -26,7 +26,7 @@
 func (w *mixedWorld) add(name string, speaks protocolversion.Span) {
 	self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "r", Disk: name <= "c", Incarnation: 1, State: schema.NodeState_NODE_READY}
 	w.cores[name] = New(w.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: w.random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Speaks: speaks, RiseAfter: 4 * time.Second,
-		Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+		Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 	w.names = append(w.names, name)
 }
 
@@ -51,8 +51,8 @@
 				}
 			}
 			for id, node := range core.view.Nodes {
-				if span, err := protocolversion.ReadSpan(node.SpeaksLow, node.SpeaksHigh); err != nil || !span.Has(core.view.Fleet) {
-					t.Fatalf("%s: the fleet uses %d and node %s speaks %v", name, core.view.Fleet, id, span)
+				if span, err := protocolversion.ReadSpan(node.SpeaksLow, node.SpeaksHigh); err != nil || !span.Has(core.view.FleetVersion) {
+					t.Fatalf("%s: the fleet uses %d and node %s speaks %v", name, core.view.FleetVersion, id, span)
 				}
 			}
 		}
@@ -94,8 +94,8 @@
 				if w.cut[name] {
 					continue
 				}
-				if core.view.Fleet != c.want || core.refused != nil || len(core.view.Nodes) != 5 {
-					t.Errorf("%s: the fleet uses %d, %d nodes known, refused %v", name, core.view.Fleet, len(core.view.Nodes), core.refused)
+				if core.view.FleetVersion != c.want || core.refused != nil || len(core.view.Nodes) != 5 {
+					t.Errorf("%s: the fleet uses %d, %d nodes known, refused %v", name, core.view.FleetVersion, len(core.view.Nodes), core.refused)
 				}
 				if voters := core.quorum; voters != nil && c.unresponsive == "" && len(voters.Members().Voters) != 3 {
 					t.Errorf("%s: %d voters", name, len(voters.Members().Voters))
@@ -147,7 +147,7 @@
 		w.add("f", protocolversion.Span{Low: 1, High: 1})
 		w.run(t, 10*time.Second)
 		isIn := w.cores["a"].view.Nodes["id-f"] != nil
-		fleet := w.cores["a"].view.Fleet
+		fleet := w.cores["a"].view.FleetVersion
 		if isIn {
 			joined++
 		} else {
@@ -164,7 +164,7 @@
 
 func TestANodeRefusesWhatItDoesNotSpeak(t *testing.T) {
 	rows := func(version uint32) []*schema.Row {
-		return []*schema.Row{{Key: store.VersionKey, Value: store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: version}).Value, Index: 3}}
+		return []*schema.Row{{Key: store.FleetVersionKey, Value: store.EncodeRow(store.FleetVersionKey, &schema.FleetVersion{Version: version}).Value, Index: 3}}
 	}
 	members := &schema.Members{Voters: []*schema.Member{{Id: "n", Address: "n"}}}
 	for _, c := range []struct {
@@ -180,7 +180,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			core := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r", Disk: true}, Seeds: []string{"n"}, System: "x", Draw: func(int64) int64 { return 0 },
-				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routed: &Routed{HoldMost: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }},
+				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routes: &RouteOptions{LongestLease: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }},
 				Hard: &schema.HardState{Term: 1, Id: "n", System: "x", Commit: 4}, Snapshot: c.snapshot, Items: c.items, Restart: true})
 			for now := time.Hour; now < time.Hour+5*time.Second; now += 20 * time.Millisecond {
 				core.Tick(now)
--- a/internal/idempotency/match.go
+++ b/internal/idempotency/match.go
@@ -13,7 +13,7 @@
 func Match(set *schema.ReplicaSet, attempt string) []*schema.Member {
 	members := slices.Clone(set.Members)
 	slices.SortFunc(members, func(a, b *schema.Member) int {
-		return cmp.Compare(store.Weigh(b.Id, attempt), store.Weigh(a.Id, attempt))
+		return cmp.Compare(store.RendezvousWeight(b.Id, attempt), store.RendezvousWeight(a.Id, attempt))
 	})
 	count := min(len(members), constants.ReservationReplicas)
 	if count < constants.ReservationReplicas {
