--- a/internal/sharding/planner.go
+++ b/internal/sharding/planner.go
@@ -111,7 +111,7 @@
 func (p *planner) propose(reason string, width uint32, old, fresh []shard) {
 	record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Reason: reason}
 	for _, s := range old {
-		record.Guards = append(record.Guards, &schema.Guard{Key: s.rowKey, Index: s.rowIndex})
+		record.Guards = append(record.Guards, &schema.Guard{Key: s.rowKey, Index: uint64(s.rowIndex)})
 		p.state.proposed[s.rowKey] = proposal{index: s.rowIndex, at: p.facts.Now, width: width}
 		width = 0
 	}
--- a/internal/sharding/shard.go
+++ b/internal/sharding/shard.go
@@ -1,6 +1,7 @@
 package sharding
 
 import (
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -21,7 +22,7 @@
 	// isReleasing is true while the range is being taken off its owner; the row's fence is then already above the owner's.
 	isReleasing bool
 	rowKey      string
-	rowIndex    uint64
+	rowIndex    raft.Index
 }
 
 // shardID identifies a shard range as it was when a call about it was made.
@@ -44,7 +45,7 @@
 		handover:    r.Handover,
 		isReleasing: r.Releasing,
 		rowKey:      row.Key,
-		rowIndex:    row.Index,
+		rowIndex:    raft.Index(row.Index),
 	}, true
 }
 
--- a/internal/sharding/sharding.go
+++ b/internal/sharding/sharding.go
@@ -19,6 +19,7 @@
 	"time"
 
 	"topazshed/internal/constants"
+	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 	"topazshed/internal/store"
 )
@@ -40,7 +41,7 @@
 	services         map[string]*serviceState
 	// withdrawn holds, by row key, the index of a row that a proposed record takes from its owner; such an owner gets
 	// no more leases.
-	withdrawn   map[string]uint64
+	withdrawn   map[string]raft.Index
 	homeRegions map[string]*homeRegions
 	// homeRegionsHead is the head of the catalog that homeRegions was made from.
 	homeRegionsHead *schema.CatalogHead
@@ -55,7 +56,7 @@
 	if share := options.MaxLease * constants.KeyLeaseShare / 100; options.MaxLease > 0 && share < duration {
 		duration = share
 	}
-	m := &LeaseManager{leaseDuration: duration, withdrawn: map[string]uint64{}}
+	m := &LeaseManager{leaseDuration: duration, withdrawn: map[string]raft.Index{}}
 	m.reset()
 	return m
 }
--- a/internal/sharding/state.go
+++ b/internal/sharding/state.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"topazshed/internal/constants"
+	"topazshed/internal/raft"
 	"topazshed/internal/store"
 )
 
@@ -37,7 +38,7 @@
 // proposal is a proposed change of a row.
 type proposal struct {
 	// index is the row's index when the change was proposed.
-	index uint64
+	index raft.Index
 	at    time.Duration
 	// width is how many keys the change takes off their owner.
 	width uint32
@@ -56,7 +57,8 @@
 	releases map[shardID]*releaseProgress
 	// targets holds the next owners of ranges that are being released, by first key.
 	targets map[Key]string
-	// failingSince holds, by instance, when the first of its lease calls was sent or ended that got no lease taken since.
+	// failingSince holds, by instance, since when no lease call has succeeded: when the first that failed was sent, but
+	// not long before that one ended.
 	failingSince map[string]time.Duration
 	// notRunningAt holds, by instance, when the latest call was sent that certainly was not taken at the instance's address.
 	notRunningAt map[string]time.Duration
@@ -102,7 +104,7 @@
 }
 
 func (p *planner) forgetStaleShards() {
-	indexes := map[string]uint64{}
+	indexes := map[string]raft.Index{}
 	isReleasingAt := map[Key]bool{}
 	current := map[shardID]bool{}
 	for _, s := range p.shards {
@@ -112,7 +114,7 @@
 	}
 	prefix := store.ServicePrefix(p.service.Name)
 	maps.DeleteFunc(p.state.proposed, func(key string, change proposal) bool { return indexes[key] != change.index })
-	maps.DeleteFunc(p.manager.withdrawn, func(key string, index uint64) bool {
+	maps.DeleteFunc(p.manager.withdrawn, func(key string, index raft.Index) bool {
 		return strings.HasPrefix(key, prefix) && indexes[key] != index
 	})
 	maps.DeleteFunc(p.state.leases, func(id shardID, progress *leaseProgress) bool { return !current[id] && !progress.isWaiting })
