--- a/internal/controlplane/catch_up_test.go
+++ b/internal/controlplane/catch_up_test.go
@@ -56,7 +56,7 @@
 				w.after(time.Second, leader.start)
 			}
 		}, 0},
-		{"changes go on", (*machine).kill, (*machine).start, func(w *world, m *machine) {
+		{"changes go on", (*machine).kill, (*machine).start, func(w *world, _ *machine) {
 			if leader := w.leader(); leader != nil {
 				w.order(leader, largeRoutesOf(w.random, w.newest()+1, bytes), func(*schema.OperatorResponse) {})
 			}
