--- a/internal/controlplane/options.go
+++ b/internal/controlplane/options.go
@@ -8,25 +8,32 @@
 	"topazshed/internal/schema"
 )
 
-// Options make a Core. Hard, Snapshot and Items are what the journal held; Draw is the seeded source.
+// Options make a Machine.
 type Options struct {
-	Self     *schema.Node
-	Seeds    []string
-	System   string
+	// Self is this node, Seeds are the addresses that it asks for a system to join.
+	Self  *schema.Node
+	Seeds []string
+	// System is the id of the system that this node belongs to; "" is none yet.
+	System string
+	// Hard, Snapshot and Items are what the journal held; a node without a disk has none.
 	Hard     *schema.HardState
 	Snapshot *schema.Snapshot
 	Items    []*schema.LogItem
-	Draw     func(int64) int64
-	Log      *slog.Logger
-	Restart  bool
+	// Draw gives a random number from 0 up to, and without, its argument.
+	Draw func(int64) int64
+	Log  *slog.Logger
+	// Restart says that the journal names this node, so that it is not new.
+	Restart bool
 	// Rejoin says that the system was founded before, so that this node never founds one.
 	Rejoin bool
-	// Routed says that this fleet carries routes: attempt ids are never sent twice, so that reservations and fences are not needed.
+	// Routed is set in a fleet of routes, and nil in a fleet of entries. Routes never send an attempt id twice, so that they
+	// need no reservations and no fences.
 	Routed *Routed
-	// Epoch is the time of day at which this node's clock would have stood at 0; records of failover assignment tell by it when they were made.
+	// Epoch is the time of day at which this node's clock would have stood at 0; records of failover assignments tell by it
+	// when they were made.
 	Epoch time.Time
-	// Speaks are the versions that this process speaks; the zero value is the program's own.
+	// Speaks are the protocol versions that this process speaks; the zero value is the program's own.
 	Speaks protocolversion.Span
-	// RiseAfter is how long all must have read a version before the fleet uses it; 0 is the time of the constants.
+	// RiseAfter is how long all nodes must have spoken a version before the fleet uses it; 0 is constants.FleetRiseAfter.
 	RiseAfter time.Duration
 }
--- a/internal/controlplane/routed.go
+++ b/internal/controlplane/routed.go
@@ -9,25 +9,26 @@
 	"topazshed/internal/sharding"
 )
 
-// Routed are the figures of a routed fleet's deployment.
+// Routed are the figures of the deployment of a fleet of routes.
 type Routed struct {
-	// HoldMost is the longest hold that back ends take.
+	// HoldMost is the longest lease of a shard that back ends take.
 	HoldMost time.Duration
-	// ListLag is how far the list is behind what it tells of.
+	// ListLag is how far the platform's list is behind the back ends that it names.
 	ListLag time.Duration
 	// Zones are the deployment's, each with its region; back ends may lie in one that has no machine.
 	Zones map[string]string
-	// Quiet is how long after trouble a calm machine must keep every bound again; 0 is unknown.
+	// Quiet is how long after a fault an undisturbed node must keep every bound again; 0 is unknown.
 	Quiet time.Duration
-	// ColdRate is how many requests a second the whole fleet may send to a cold back end.
+	// ColdRate is how many requests a second the whole fleet may send to a back end that warms up.
 	ColdRate func(*schema.ServicePolicy) int
 	// Fits tells whether a record can be logged; nil is always.
 	Fits func(*schema.Record) bool
 	// FitsWhole tells whether a snapshot of the whole state fits the disk; nil is always.
 	FitsWhole func(*schema.Snapshot) bool
-	// Heat gives the requests by key since it was last asked.
+	// Load gives how long back ends worked on each part of the keys since it was last called; nil is none.
 	Load func(since time.Duration) []*schema.ShardLoad
-	// Health reports give the back ends that failed this node's requests, or served it although they are failing, since it was last asked; nil is none.
+	// HealthReports gives the back ends that failed this node's requests, or served them although they are ejected, since it
+	// was last called; nil is none.
 	HealthReports func() []*schema.HealthReport
 }
 
@@ -39,7 +40,7 @@
 	return &routedState{options: options.Routed}
 }
 
-// SetListing takes a read of the platform's list of a routed fleet; only the leader uses it.
+// SetListing takes a read of the platform's list in a fleet of routes; only the leader uses it.
 func (c *Machine) SetListing(now time.Duration, listing discovery.Listing) {
 	c.now = now
 	c.listFault = listing.Reason
@@ -62,8 +63,9 @@
 	c.duties.Take(now, leader.LeaseAnswer{Incarnation: incarnation, Answer: answer})
 }
 
-// restored is what a voter may take from its disk at a start. Only a routed fleet serves on its own last state before a leader has told it
-// the newest; a fleet of entries must not even hold it, since a leader that has not settled yet would seem to confirm it.
+// restored is what a voter may take from its disk at a start. Only nodes of a fleet of routes serve by their own last
+// state before a leader has sent them the newest. A node of a fleet of entries must not take the commit index: a leader
+// that has committed nothing in its own term yet would seem to confirm it.
 func (c *Machine) restored(hard *schema.HardState) *schema.HardState {
 	if c.routed != nil || hard == nil {
 		return hard
--- a/internal/operations/decide.go
+++ b/internal/operations/decide.go
@@ -28,8 +28,8 @@
 	version uint64
 }
 
-// answer gives a response that rests on the leader's state and not on a record of its own: a refusal, or the word that the request changes
-// nothing or was accepted before. It needs a majority's confirmation.
+// answer gives a response that rests on the leader's state and not on a record of its own: a refusal, or the word that
+// the request changes nothing or was accepted before. It needs a majority's confirmation.
 type answer struct{ response *schema.OperatorResponse }
 
 // refuseAtOnce refuses for a reason that rests on no state that could be old.
@@ -74,8 +74,9 @@
 	}
 }
 
-// answer gives a response that rests on this node's state. A node that leads no more, and doesn't know it yet, would give it by an old state: so
-// a majority must have confirmed, after the request came, that this one leads. The request is then decided anew on the state of that moment.
+// answer gives a response that rests on this node's state. A node that leads no more, and doesn't know it yet, would
+// give it by an old state: so a majority must have confirmed, after the request came, that this one leads. The request
+// is then decided anew on the state of that moment.
 func (m *Manager) answer(p *pendingRequest, response *schema.OperatorResponse) {
 	if p.isLeaderConfirmed {
 		m.respond(p, response)
--- a/internal/operations/forward.go
+++ b/internal/operations/forward.go
@@ -40,8 +40,8 @@
 	m.sender.Send(leader, &schema.Frame{Call: uint64(p.origin.ticket), Body: body})
 }
 
-// ReceiveResponse takes the response of the node at an address to a request that was forwarded under a ticket. Only a node that the request was
-// forwarded to answers whoever waits for it.
+// ReceiveResponse takes the response of the node at an address to a request that was forwarded under a ticket. Only a
+// node that the request was forwarded to answers whoever waits for it.
 func (m *Manager) ReceiveResponse(now time.Duration, address string, ticket Ticket, response *schema.OperatorResponse) {
 	m.now = now
 	at := slices.IndexFunc(m.forwarded, func(p *pendingRequest) bool {
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -1,12 +1,12 @@
-// Package operations answers the requests of operators: reads of the configuration and of the system's status, and changes of the configuration
-// and of zones.
+// Package operations answers the requests of operators: reads of the configuration and of the system's status, and
+// changes of the configuration and of zones.
 //
 // The leader decides a request, proposes the record that it needs, and answers once that record is applied. An answer that rests on the
 // leader's state alone is given only after a majority has confirmed that it still leads. Other nodes forward a request to the leader.
 //
-// A Manager owns the pending requests of one node, and nothing else: the log, the state, the nodes' reports and the sending of frames belong to
-// others and are reached through the interfaces that it declares. It does no I/O, reads no clock, and is called from one goroutine only, the
-// control plane's.
+// A Manager owns the pending requests of one node, and nothing else: the log, the state, the nodes' reports and the
+// sending of frames belong to others and are reached through the interfaces that it declares. It does no I/O, reads no
+// clock, and is called from one goroutine only, the control plane's.
 package operations
 
 import (
--- a/internal/operations/propose.go
+++ b/internal/operations/propose.go
@@ -49,8 +49,8 @@
 	m.awaitingNodes = append(m.awaitingNodes, p)
 }
 
-// decideAgain decides the requests anew whose records were void because another one came before them in the log: that may have been the same
-// request, proposed by a former leader or twice by this one, which is no conflict.
+// decideAgain decides the requests anew whose records were void because another one came before them in the log: that
+// may have been the same request, proposed by a former leader or twice by this one, which is no conflict.
 func (m *Manager) decideAgain() {
 	undecided := m.undecided
 	m.undecided = nil
@@ -60,7 +60,8 @@
 	}
 }
 
-// respondToConfirmed answers the accepted requests that all nodes have reported, and those whose time is over with the zones that have not.
+// respondToConfirmed answers the accepted requests that all nodes have reported, and those whose time is over with the
+// zones that have not.
 func (m *Manager) respondToConfirmed() {
 	var waiting []*pendingRequest
 	for _, p := range m.awaitingNodes {
--- a/internal/proposals/proposals.go
+++ b/internal/proposals/proposals.go
@@ -1,8 +1,10 @@
-// Package proposals tracks which rows of the replicated state have a proposal in flight: which row was proposed at which index of the log.
+// Package proposals tracks which rows of the replicated state have a proposal in flight: which row was proposed at which
+// index of the log.
 //
-// A leader plans each change from the state that it has applied. Until a proposed change is applied, a second plan from the same state would
-// only repeat it or void it, so that the leader doesn't propose for a row that is in flight. A Proposer belongs to one node's control plane and
-// is called from the goroutine that owns it; it does no I/O and reads no clock.
+// A leader plans each change from the state that it has applied. Until a proposed change is applied, a second plan from
+// the same state would only repeat it or void it, so that the leader doesn't propose for a row that is in flight. A
+// Proposer belongs to one node's control plane and is called from the goroutine that owns it; it does no I/O and reads
+// no clock.
 package proposals
 
 import (
@@ -47,8 +49,8 @@
 	return p.indexes[key] > p.state.Version()
 }
 
-// Propose proposes a planned record and tells whether it did. It does not where the record has no rows, where one of them is in flight, or
-// where the log refuses it; the next plan repeats what is still needed.
+// Propose proposes a planned record and tells whether it did. It does not where the record has no rows, where one of
+// them is in flight, or where the log refuses it; the next plan repeats what is still needed.
 func (p *Proposer) Propose(now time.Duration, record *schema.Record) bool {
 	if len(record.GetRows()) == 0 || p.isAnyInFlight(record) {
 		return false
--- a/internal/statemachine/changes.go
+++ b/internal/statemachine/changes.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// assignmentNumbers are the present failover numbers of the failover assignments that a record would change, by row key; nil if it would change
-// none.
+// assignmentNumbers are the present failover numbers of the failover assignments that a record would change, by row key;
+// nil if it would change none.
 func assignmentNumbers(table *store.Table, record *schema.Record) map[string]uint64 {
 	var numbers map[string]uint64
 	for _, row := range record.GetRows() {
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -1,10 +1,11 @@
-// Package statemachine applies the committed records of the log to the rows of one node, and compiles the rows into the view that the node
-// serves by.
+// Package statemachine applies the committed records of the log to the rows of one node, and compiles the rows into the
+// view that the node serves by.
 //
-// A Machine owns the table of rows and what follows from the order in which rows change: the view, the fences, the newest changes of failover
-// assignments, and how far the node is behind the log. Nodes that keep the log call Load once, then Apply and Restore; readers merge deltas into
-// the table and call Publish. The package does no I/O and reads no clock; all calls come from one goroutine, the control plane's. Views and maps
-// that it hands out are never changed afterwards and may be read from any goroutine.
+// A Machine owns the table of rows and what follows from the order in which rows change: the view, the fences, the
+// newest changes of failover assignments, and how far the node is behind the log. Nodes that keep the log call Load
+// once, then Apply and Restore; readers merge deltas into the table and call Publish. The package does no I/O and reads
+// no clock; all calls come from one goroutine, the control plane's. Views and maps that it hands out are never changed
+// afterwards and may be read from any goroutine.
 package statemachine
 
 import (
@@ -45,7 +46,8 @@
 // Version is the index of the newest applied record.
 func (m *Machine) Version() raft.Index { return m.table.Version() }
 
-// Load takes the snapshot that a starting node has on disk; nil is none. The error says that the program doesn't speak the fleet's version.
+// Load takes the snapshot that a starting node has on disk; nil is none. The error says that the program doesn't speak
+// the fleet's version.
 func (m *Machine) Load(now time.Duration, snapshot *schema.Snapshot) error {
 	if snapshot != nil {
 		m.table.Restore(snapshot)
@@ -74,8 +76,8 @@
 	Void error
 }
 
-// Apply applies committed items in their order; Publish then makes what they changed visible. It stops at a record of a kind that this program
-// doesn't know, which the error names; what it has applied until then is given all the same.
+// Apply applies committed items in their order; Publish then makes what they changed visible. It stops at a record of a
+// kind that this program doesn't know, which the error names; what it has applied until then is given all the same.
 func (m *Machine) Apply(items []*schema.LogItem) ([]AppliedItem, error) {
 	var applied []AppliedItem
 	for _, item := range items {
@@ -102,8 +104,8 @@
 	return AppliedItem{Item: item, Rows: rows, Void: err}
 }
 
-// Publish compiles a new view after rows have changed. It tells whether an operator's change is among them, so that other nodes wait to hear
-// that it is in force here. The error is that of Load; fences are then left as they were.
+// Publish compiles a new view after rows have changed. It tells whether an operator's change is among them, so that
+// other nodes wait to hear that it is in force here. The error is that of Load; fences are then left as they were.
 func (m *Machine) Publish(now time.Duration, changed []*schema.Row) (isOperatorChange bool, err error) {
 	if len(changed) == 0 && m.view.Version == m.table.Version() {
 		return false, nil
