--- a/internal/controlplane/changes_test.go
+++ b/internal/controlplane/changes_test.go
@@ -33,7 +33,7 @@
 		s.core.Tick(s.now)
 		if s.core.IsLeading() {
 			for _, zone := range zones {
-				s.core.noteHeartbeat(&schema.Heartbeat{Version: uint64(s.core.table.Version()), Node: &schema.Node{Id: "of-" + zone, Address: zone, Proxy: zone, Admin: zone, Zone: zone, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
+				s.core.noteHeartbeat(&schema.Heartbeat{Version: uint64(s.core.state.Version()), Node: &schema.Node{Id: "of-" + zone, Address: zone, Proxy: zone, Admin: zone, Zone: zone, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
 			}
 		}
 		for range 8 {
@@ -75,7 +75,7 @@
 		t.Fatalf("%d changes, had %d", len(status.Changes), begun)
 	}
 	last := status.Changes[begun]
-	row := store.DecodeRow[schema.FailoverAssignment](s.core.table.Get(store.DefaultKey("mu")))
+	row := store.DecodeRow[schema.FailoverAssignment](s.core.state.Table().Get(store.DefaultKey("mu")))
 	if last.Region != "mu" || last.From >= last.To || last.To != row.Number || last.Cause != row.Reason || last.Evidence != "mu-b is emptied (new racks)" || last.Leader != "a" || last.Term == 0 ||
 		last.AtMs > at || last.AtMs < at-1000 {
 		t.Errorf("%v, row %v, at %d", last, row, at)
--- a/internal/controlplane/driver.go
+++ b/internal/controlplane/driver.go
@@ -10,30 +10,36 @@
 	"topazshed/internal/schema"
 )
 
-// Driver performs a Core's effects in their order: write, apply, send, answer. The shell and the simulator both use it.
-// Write carries out work on the disk and then has done called by the Core's owner; meanwhile what rests on nothing unwritten goes on.
+// Driver performs a Machine's effects in their order: write, apply, send, answer. The node and the simulator both use
+// it. While the disk is busy, what rests on nothing unwritten goes on.
 type Driver struct {
-	Core    *Machine
+	Core *Machine
+	// Journal is the disk; nil is a node that keeps no log.
 	Journal *journal.Journal
-	Now     func() time.Duration
-	Send    func(to string, f *schema.Frame)
-	Answer  func(LocalResponse)
-	Leased  func(leader.LeaseCall)
-	Synced  func(took time.Duration, err error)
+	// Now gives the time of the node's clock.
+	Now func() time.Duration
+	// Send sends a frame, Answer answers a local operator's request, and Leased makes a lease call to a back end.
+	Send   func(to string, f *schema.Frame)
+	Answer func(LocalResponse)
+	Leased func(leader.LeaseCall)
+	// Synced tells how long a write took, and its error.
+	Synced func(took time.Duration, err error)
+	// Publish tells that Machine.Local may have changed.
 	Publish func()
-	Write   func(work func() error, done func(error))
-	isBusy  bool
-	failed  error
+	// Write carries out work on the disk, perhaps elsewhere, and then has done called on the goroutine that owns the Machine.
+	Write  func(work func() error, done func(error))
+	isBusy bool
+	failed error
 }
 
-// Perform works until nothing is due or the disk is busy; its error is the disk's, after which nothing may be said any more.
+// Perform works until nothing is due or the disk is busy. After an error, of the disk or Machine.Refused, nothing may be sent any more.
 func (d *Driver) Perform() error {
 	for !d.isBusy && d.failed == nil {
 		effects := d.Core.Take()
 		if !effects.IsWork {
 			break
 		}
-		if d.Journal != nil && (effects.Hard != nil || len(effects.Quorum.Entries) > 0 || effects.Quorum.Snapshot != nil) {
+		if d.Journal != nil && effects.needsDisk() {
 			d.store(effects, false)
 			continue
 		}
@@ -49,12 +55,13 @@
 		d.compact(func() {})
 	}
 	if d.isBusy {
-		d.tell(d.Core.TakeUnbound())
+		d.deliver(d.Core.TakeUnbound())
 	}
 	d.Publish()
 	return d.failed
 }
 
+// write has work done on the disk and then calls done; nothing else is written meanwhile.
 func (d *Driver) write(work func() error, done func(error)) {
 	d.isBusy = true
 	begun := d.Now()
@@ -65,6 +72,7 @@
 	})
 }
 
+// store writes what the log needs and finishes the effects. A full journal is compacted once, and the write repeated.
 func (d *Driver) store(effects Effects, isAgain bool) {
 	d.write(func() error {
 		if snapshot := effects.Quorum.Snapshot; snapshot != nil && uint64(d.Journal.SnapshotIndex()) < snapshot.Index {
@@ -86,13 +94,15 @@
 	})
 }
 
+// finish goes on with effects that are on the disk.
 func (d *Driver) finish(effects Effects) {
 	d.Core.Synced(d.Now(), effects)
 	d.Publish()
-	d.tell(effects)
+	d.deliver(effects)
 }
 
-func (d *Driver) tell(effects Effects) {
+// deliver sends, answers and calls.
+func (d *Driver) deliver(effects Effects) {
 	for _, s := range effects.Sends {
 		d.Send(s.To, s.Frame)
 	}
@@ -104,18 +114,19 @@
 	}
 }
 
+// compact writes a snapshot, which lets the journal drop what is older, and then calls next.
 func (d *Driver) compact(next func()) {
-	whole := d.Core.Whole()
-	if whole.Index == 0 || uint64(d.Journal.SnapshotIndex()) >= whole.Index {
+	snapshot := d.Core.Whole()
+	if snapshot.Index == 0 || uint64(d.Journal.SnapshotIndex()) >= snapshot.Index {
 		next()
 		return
 	}
-	d.write(func() error { return d.Journal.WriteSnapshot(whole) }, func(err error) {
+	d.write(func() error { return d.Journal.WriteSnapshot(snapshot) }, func(err error) {
 		if err != nil {
 			d.failed = err
 			return
 		}
-		d.Core.Compacted(raft.Index(whole.Index))
+		d.Core.Compacted(raft.Index(snapshot.Index))
 		next()
 	})
 }
--- a/internal/controlplane/effects.go
+++ b/internal/controlplane/effects.go
@@ -7,33 +7,45 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/constants"
+	"topazshed/internal/frame"
 	"topazshed/internal/leader"
 	"topazshed/internal/raft"
 	"topazshed/internal/schema"
 )
 
-// Send is a frame for an address.
-type Send struct {
-	To    string
-	Frame *schema.Frame
-}
-
-// Effects are what the shell performs: sync, then send and answer.
+// Effects are what a Driver performs: it writes what the log needs to the disk, calls Synced, and only then sends and answers.
 type Effects struct {
-	Quorum    raft.Ready
+	// Quorum is the log's part: entries and a snapshot to write, and reads that a majority has confirmed.
+	Quorum raft.Ready
+	// Hard is the hard state to write; nil is none.
 	Hard      *schema.HardState
-	Sends     []Send
+	Sends     []frame.Envelope
 	Responses []LocalResponse
 	Calls     []leader.LeaseCall
-	IsWork    bool
+	// IsWork says that there is anything to perform.
+	IsWork bool
 }
 
-func (c *Machine) send(to string, frame *schema.Frame) {
+// send adds a frame to the effects. The node's own address and an unknown one get none.
+func (c *Machine) send(to string, f *schema.Frame) {
+	if envelope, isSent := c.seal(to, f); isSent {
+		c.effects.Sends = append(c.effects.Sends, envelope)
+	}
+}
+
+// seal names this node as the sender of a frame; it tells false for an address that gets none.
+func (c *Machine) seal(to string, f *schema.Frame) (frame.Envelope, bool) {
 	if to == "" || to == c.self.Address {
-		return
+		return frame.Envelope{}, false
+	}
+	f.System, f.From, f.Address = c.bootstrap.System(), c.self.Id, c.self.Address
+	return frame.Envelope{To: to, Frame: f}, true
+}
+
+func (c *Machine) sendAll(envelopes []frame.Envelope) {
+	for _, envelope := range envelopes {
+		c.send(envelope.To, envelope.Frame)
 	}
-	frame.System, frame.From, frame.Address = c.bootstrap.System(), c.self.Id, c.self.Address
-	c.effects.Sends = append(c.effects.Sends, Send{to, frame})
 }
 
 // Take gives the effects that are due.
@@ -44,23 +56,40 @@
 	effects := c.effects
 	c.effects = Effects{}
 	if c.quorum != nil && c.bootstrap.System() != "" {
-		effects.Quorum = c.quorum.Take()
-		for _, m := range effects.Quorum.Messages {
-			before := len(c.effects.Sends)
-			c.send(c.addressOf(m.To), &schema.Frame{Body: &schema.Frame_Raft{Raft: m}})
-			effects.Sends = append(effects.Sends, c.effects.Sends[before:]...)
-			c.effects.Sends = c.effects.Sends[:before]
-		}
-		if effects.Quorum.HardState != nil {
-			effects.Hard = proto.Clone(effects.Quorum.HardState).(*schema.HardState)
-			effects.Hard.Id, effects.Hard.System, effects.Hard.Version = c.self.Id, c.bootstrap.System(), c.shownFleet()
-		}
+		c.takeReady(&effects)
 	}
-	effects.IsWork = effects.Hard != nil || len(effects.Quorum.Entries) > 0 || effects.Quorum.Snapshot != nil || len(effects.Sends) > 0 || len(effects.Responses) > 0 || len(effects.Calls) > 0 ||
-		len(effects.Quorum.Reads) > 0 || len(effects.Quorum.LostReads) > 0
+	effects.IsWork = effects.needsDisk() || effects.hasReads() || effects.hasOutput()
 	return effects
 }
 
+// takeReady adds what the log wants written and sent.
+func (c *Machine) takeReady(effects *Effects) {
+	effects.Quorum = c.quorum.Take()
+	for _, message := range effects.Quorum.Messages {
+		f := &schema.Frame{Body: &schema.Frame_Raft{Raft: message}}
+		if envelope, isSent := c.seal(c.addressOf(message.To), f); isSent {
+			effects.Sends = append(effects.Sends, envelope)
+		}
+	}
+	if hard := effects.Quorum.HardState; hard != nil {
+		effects.Hard = proto.Clone(hard).(*schema.HardState)
+		effects.Hard.Id = c.self.Id
+		effects.Hard.System = c.bootstrap.System()
+		effects.Hard.Version = c.shownFleet()
+	}
+}
+
+// needsDisk tells whether the effects must be written before anything else is done.
+func (e *Effects) needsDisk() bool {
+	return e.Hard != nil || len(e.Quorum.Entries) > 0 || e.Quorum.Snapshot != nil
+}
+
+func (e *Effects) hasReads() bool { return len(e.Quorum.Reads) > 0 || len(e.Quorum.LostReads) > 0 }
+
+func (e *Effects) hasOutput() bool {
+	return len(e.Sends) > 0 || len(e.Responses) > 0 || len(e.Calls) > 0
+}
+
 // TakeUnbound applies what a majority has on disk and gives the effects that rest on nothing unwritten, while this disk is busy.
 func (c *Machine) TakeUnbound() Effects {
 	if c.quorum != nil {
@@ -71,11 +100,33 @@
 	if c.refused != nil {
 		return Effects{}
 	}
-	effects := Effects{Sends: c.effects.Sends, Responses: c.effects.Responses, Calls: c.effects.Calls}
+	effects := c.effects
 	c.effects = Effects{}
 	return effects
 }
 
+// Synced tells that the effects are on disk; committed items are applied now.
+func (c *Machine) Synced(now time.Duration, effects Effects) {
+	c.now = now
+	if c.quorum == nil {
+		return
+	}
+	if snapshot := effects.Quorum.Snapshot; snapshot != nil && c.guardState(c.state.Restore(now, snapshot)) != nil {
+		return
+	}
+	c.quorum.Synced(now, effects.Quorum)
+	defer c.state.Refresh(now)
+	c.apply()
+	for _, number := range effects.Quorum.Reads {
+		c.operations.ReadConfirmed(now, number)
+	}
+	for _, number := range effects.Quorum.LostReads {
+		c.operations.ReadLost(now, number)
+	}
+	c.publishDeltas()
+}
+
+// addressOf gives the address of a member of the log: where it last sent from, else what is known of it, newest first; "" is unknown.
 func (c *Machine) addressOf(id string) string {
 	if address := c.addresses[id]; address != "" {
 		return address
@@ -88,36 +139,19 @@
 			return node.Address
 		}
 	}
-	if node := c.view.Nodes[id]; node != nil {
+	if node := c.state.View().Nodes[id]; node != nil {
 		return node.Address
 	}
-	for _, m := range slices.Concat(c.quorum.Members().Voters, c.quorum.Members().Learners) {
-		if m.Id == id {
-			return m.Address
+	for _, member := range c.members() {
+		if member.Id == id {
+			return member.Address
 		}
 	}
 	return ""
 }
 
-// Synced tells that the effects are on disk; committed items are applied now.
-func (c *Machine) Synced(now time.Duration, effects Effects) {
-	c.now = now
-	if c.quorum == nil {
-		return
-	}
-	if effects.Quorum.Snapshot != nil {
-		if c.guardState(c.state.Restore(now, effects.Quorum.Snapshot)) != nil {
-			return
-		}
-	}
-	c.quorum.Synced(now, effects.Quorum)
-	defer c.state.Refresh(now)
-	c.apply()
-	for _, ticket := range effects.Quorum.Reads {
-		c.operations.ReadConfirmed(now, ticket)
-	}
-	for _, ticket := range effects.Quorum.LostReads {
-		c.operations.ReadLost(now, ticket)
-	}
-	c.publishDeltas()
+// members are the voters and the learners of the log.
+func (c *Machine) members() []*schema.Member {
+	members := c.quorum.Members()
+	return slices.Concat(members.Voters, members.Learners)
 }
--- a/internal/controlplane/export_test.go
+++ b/internal/controlplane/export_test.go
@@ -9,7 +9,7 @@
 
 // Digest tells the state that this machine has applied and its index: equal indexes must mean equal states.
 func (c *Machine) Digest() (index uint64, digest string) {
-	return uint64(c.table.Version()), fmt.Sprintf("%x", c.table.Digest(store.All[0]).Digest)
+	return uint64(c.state.Version()), fmt.Sprintf("%x", c.state.Table().Digest(store.All[0]).Digest)
 }
 
 // IsFull tells whether this machine keeps the log.
--- a/internal/controlplane/health_test.go
+++ b/internal/controlplane/health_test.go
@@ -48,7 +48,7 @@
 					for i := range 4 {
 						core.noteHeartbeat(&schema.Heartbeat{Node: node(fmt.Sprint("idle-", i))})
 					}
-					core.takeHeartbeatRouted(nil, &schema.Heartbeat{Node: node("b"), Health: c.straight, Relayed: []*schema.Heartbeat{{Node: node("c"), Health: c.relayed}}})
+					core.receiveRelayedHeartbeat(&schema.Heartbeat{Node: node("b"), Health: c.straight, Relayed: []*schema.Heartbeat{{Node: node("c"), Health: c.relayed}}})
 				}
 				for range 8 {
 					effects := core.Take()
@@ -57,7 +57,7 @@
 					}
 					core.Synced(now, effects)
 				}
-				if service := core.view.Services["copper"]; service != nil {
+				if service := core.state.View().Services["copper"]; service != nil {
 					for _, b := range service.Backends {
 						if b.Failing && b.Instance != "i-0" {
 							t.Fatalf("%s is failing", b.Instance)
@@ -66,8 +66,8 @@
 					}
 				}
 			}
-			if len(core.view.Services["copper"].Backends) != 8 || isFailing != c.want {
-				t.Fatalf("%d back ends; failing %v, want %v", len(core.view.Services["copper"].Backends), isFailing, c.want)
+			if len(core.state.View().Services["copper"].Backends) != 8 || isFailing != c.want {
+				t.Fatalf("%d back ends; failing %v, want %v", len(core.state.View().Services["copper"].Backends), isFailing, c.want)
 			}
 		})
 	}
--- a/internal/controlplane/join.go
+++ b/internal/controlplane/join.go
@@ -34,7 +34,7 @@
 // seekMembers asks around for members of the log while this node, which keeps none, has no source of rows.
 func (c *Machine) seekMembers() {
 	_, isSourceAlive := c.subscription.LiveSource(c.now)
-	if isSourceAlive && c.view.System != "" {
+	if isSourceAlive && c.state.View().System != "" {
 		return
 	}
 	c.sendAll(c.bootstrap.SeekMembers(c.now))
--- a/internal/controlplane/known.go
+++ b/internal/controlplane/known.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 
+	"topazshed/internal/frame"
 	"topazshed/internal/schema"
 )
 
@@ -14,10 +15,10 @@
 func (v fleetView) HasSystem() bool { return v.machine.bootstrap.System() != "" }
 
 // HasState tells whether the node holds rows of its system.
-func (v fleetView) HasState() bool { return v.machine.view.System != "" }
+func (v fleetView) HasState() bool { return v.machine.state.View().System != "" }
 
 // IsListed tells whether the rows have a node of that id.
-func (v fleetView) IsListed(id string) bool { return v.machine.view.Nodes[id] != nil }
+func (v fleetView) IsListed(id string) bool { return v.machine.state.View().Nodes[id] != nil }
 
 // Addresses gives the addresses of the other known nodes that fit.
 func (v fleetView) Addresses(isFit func(*schema.Node) bool) []string { return v.machine.known(isFit) }
@@ -25,8 +26,8 @@
 // ReadyDiskNodes gives the ready nodes of a region that have a disk, in order of their ids.
 func (v fleetView) ReadyDiskNodes(region string) []*schema.Node {
 	var nodes []*schema.Node
-	for _, id := range slices.Sorted(maps.Keys(v.machine.view.Nodes)) {
-		node := v.machine.view.Nodes[id]
+	for _, id := range slices.Sorted(maps.Keys(v.machine.state.View().Nodes)) {
+		node := v.machine.state.View().Nodes[id]
 		if node.Disk && node.Region == region && node.State == schema.NodeState_NODE_READY {
 			nodes = append(nodes, node)
 		}
@@ -42,10 +43,24 @@
 			addresses = append(addresses, node.Address)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
-		if node := c.view.Nodes[id]; id != c.self.Id && isFit(node) && node.State != schema.NodeState_NODE_LOST && !slices.Contains(addresses, node.Address) {
+	for _, id := range slices.Sorted(maps.Keys(c.state.View().Nodes)) {
+		node := c.state.View().Nodes[id]
+		if id == c.self.Id || !isFit(node) || node.State == schema.NodeState_NODE_LOST {
+			continue
+		}
+		if !slices.Contains(addresses, node.Address) {
 			addresses = append(addresses, node.Address)
 		}
 	}
 	return addresses
 }
+
+// sendSampler sends what the peer sampler wants sent; shuffles also tell of the system and its leader.
+func (c *Machine) sendSampler(envelopes []frame.Envelope) {
+	for _, envelope := range envelopes {
+		if shuffle := envelope.Frame.GetShuffle(); shuffle != nil {
+			shuffle.System, shuffle.Leader = c.bootstrap.System(), c.leader
+		}
+		c.send(envelope.To, envelope.Frame)
+	}
+}
--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -1,9 +1,6 @@
 package controlplane
 
-import (
-	"topazshed/internal/leader"
-	"topazshed/internal/schema"
-)
+import "topazshed/internal/leader"
 
 // newDuties makes the leader's duties; a node that keeps no log has them too, but never leads.
 func (c *Machine) newDuties() *leader.Leader {
@@ -31,7 +28,7 @@
 
 // leaderState gives the replicated state as it is applied now.
 func (c *Machine) leaderState() leader.State {
-	return leader.State{Now: c.now, System: c.bootstrap.System(), View: c.view, Table: c.table}
+	return leader.State{Now: c.now, System: c.bootstrap.System(), View: c.state.View(), Table: c.state.Table()}
 }
 
 // lead takes up, performs or gives up the leader's duties.
@@ -48,5 +45,3 @@
 	c.leader, c.leaderAt = c.self.Address, c.now
 	c.effects.Calls = append(c.effects.Calls, c.duties.Step(c.leaderState())...)
 }
-
-func (c *Machine) propose(record *schema.Record) bool { return c.proposals.Propose(c.now, record) }
--- a/internal/controlplane/load_bench_test.go
+++ b/internal/controlplane/load_bench_test.go
@@ -27,7 +27,7 @@
 	}
 	leader.SetListing(f.now, discovery.Listing{BegunAt: f.now, IsWhole: true, Items: items})
 	f.run(5 * time.Second)
-	if known := len(leader.view.Services["nickel"].Backends); known < backends/3 || len(leader.table.Rows([]string{store.ServicePrefix("nickel") + "span/"})) == 0 {
+	if known := len(leader.state.View().Services["nickel"].Backends); known < backends/3 || len(leader.state.Table().Rows([]string{store.ServicePrefix("nickel") + "span/"})) == 0 {
 		b.Fatalf("%d back ends known", known)
 	}
 	return f, leader
--- a/internal/controlplane/local.go
+++ b/internal/controlplane/local.go
@@ -9,65 +9,120 @@
 	"topazshed/internal/store"
 )
 
-// Local is what the hot path of this node may rely on; it is never changed once published.
+// roleReader is the role of a node that keeps no log.
+const roleReader = "reader"
+
+// Local is what requests on this node may rely on; it is never changed once it is given out. Times are instants of the
+// node's clock; 0 is never.
 type Local struct {
+	// View is the newest view of the rows, HeldPrefixes are the prefixes of the rows that a reader holds, and IsFull says
+	// that the node keeps the log and so holds all of them.
 	View         *store.View
 	HeldPrefixes map[string]bool
 	IsFull       bool
-	FreshAt      time.Duration
-	LeaseUntil   time.Duration
-	ThawedAt     time.Duration
-	Fences       map[string]time.Duration
-	Opened       map[string]time.Duration
-	BehindAt     time.Duration
-	TickAt       time.Duration
-	PeersAt      time.Duration
-	Leader       string
-	System       string
-	Role         string
-	Term         uint64
-	Commit       uint64
-	Members      *schema.Members
-	ListAt       time.Duration
-	ListFault    string
-	Suspects     []string
-	Rows         int
-	IsStopping   bool
-	First        uint64
-	// Strays are the answers that belonged to nothing that this life of the process waits for.
+	// FreshAt is the latest instant for which a majority has confirmed the rows, BehindAt since when the node lacks committed ones.
+	FreshAt  time.Duration
+	BehindAt time.Duration
+	// LeaseUntil is when this node's lease of the leader ends.
+	LeaseUntil time.Duration
+	// ThawedAt is when this process last went on after it had stood still, TickAt when it last ticked.
+	ThawedAt time.Duration
+	TickAt   time.Duration
+	// Fences and Opened tell by row key when this node saw a failover assignment or entity fenced, and an entity open.
+	Fences map[string]time.Duration
+	Opened map[string]time.Duration
+	// PeersAt is when this node last heard from half of its region's ready nodes; only fleets of entries fill it in.
+	PeersAt time.Duration
+	// Leader is the leader's address as far as it is known, System the system's id, Role this node's part in the log.
+	Leader string
+	System string
+	Role   string
+	// Term, Commit, Members and First describe the log of a node that keeps it; First is the index of the snapshot below it.
+	Term    uint64
+	Commit  uint64
+	Members *schema.Members
+	First   uint64
+	// ListAt is when this node last read the platform's list whole, ListFault why it could not read it since.
+	ListAt    time.Duration
+	ListFault string
+	// Suspects are the ids of nodes that don't respond to this one.
+	Suspects []string
+	// Rows is how many rows the node holds.
+	Rows       int
+	IsStopping bool
+	// StaleResponses counts the responses that belong to nothing that this incarnation of the process waits for.
 	StaleResponses uint64
 }
 
-// Local gives what the hot path may rely on now.
+// Local gives what requests on this node may rely on now.
 func (c *Machine) Local() *Local {
-	l := &Local{View: c.view, HeldPrefixes: c.subscription.Held(), IsFull: c.isFull(), FreshAt: c.rowsFreshAt(), LeaseUntil: c.heartbeats.LeaseUntil(), Fences: c.state.Fences(), Opened: c.state.Opened(), BehindAt: c.state.BehindSince(), ThawedAt: c.thawedAt, TickAt: c.tickedAt,
-		Leader: c.leader, System: c.bootstrap.System(), ListAt: c.listAt, ListFault: c.listFault, Suspects: c.peerSampler.Suspects(), Rows: c.table.Size(),
-		IsStopping: c.self.State == schema.NodeState_NODE_STOPPING, Role: "reader",
-		StaleResponses: c.staleResponses + c.heartbeats.StaleResponses() + c.subscription.StaleResponses() + c.operations.StaleResponses()}
+	local := &Local{
+		View:           c.state.View(),
+		HeldPrefixes:   c.subscription.Held(),
+		IsFull:         c.isFull(),
+		FreshAt:        c.rowsFreshAt(),
+		BehindAt:       c.state.BehindSince(),
+		LeaseUntil:     c.heartbeats.LeaseUntil(),
+		ThawedAt:       c.thawedAt,
+		TickAt:         c.tickedAt,
+		Fences:         c.state.Fences(),
+		Opened:         c.state.Opened(),
+		Leader:         c.leader,
+		System:         c.bootstrap.System(),
+		Role:           roleReader,
+		ListAt:         c.listAt,
+		ListFault:      c.listFault,
+		Suspects:       c.peerSampler.Suspects(),
+		Rows:           c.state.Table().Size(),
+		IsStopping:     c.self.State == schema.NodeState_NODE_STOPPING,
+		StaleResponses: c.countStaleResponses(),
+	}
 	if c.quorum != nil {
-		l.Role, l.Term, l.Commit, l.Members, l.First = c.quorum.Role().String(), uint64(c.quorum.Term()), uint64(c.quorum.CommitIndex()), c.quorum.Members(), uint64(c.quorum.SnapshotIndex())
-		if c.quorum.Role() == raft.Leader {
-			l.FreshAt = c.quorum.LeadershipConfirmedAt()
-		}
+		c.describeLog(local)
 	}
-	if c.routed != nil {
-		return l
+	if c.routed == nil {
+		local.PeersAt = c.peersAt()
 	}
+	return local
+}
+
+func (c *Machine) countStaleResponses() uint64 {
+	parts := c.heartbeats.StaleResponses() + c.subscription.StaleResponses() + c.operations.StaleResponses()
+	return c.staleResponses + parts
+}
+
+func (c *Machine) describeLog(local *Local) {
+	local.Role = c.quorum.Role().String()
+	local.Term = uint64(c.quorum.Term())
+	local.Commit = uint64(c.quorum.CommitIndex())
+	local.Members = c.quorum.Members()
+	local.First = uint64(c.quorum.SnapshotIndex())
+	if c.quorum.Role() == raft.Leader {
+		local.FreshAt = c.quorum.LeadershipConfirmedAt()
+	}
+}
+
+// peersAt is the latest instant since which half of the region's ready nodes, this one among them, have been heard of; 0
+// is that they have not.
+func (c *Machine) peersAt() time.Duration {
 	count := 0
-	var instants []time.Duration
-	for id, node := range c.view.Nodes {
-		if node.Region == c.self.Region && node.State == schema.NodeState_NODE_READY {
-			count++
-			if id != c.self.Id {
-				instants = append(instants, c.peers[id])
-			}
+	var heardAt []time.Duration
+	for id, node := range c.state.View().Nodes {
+		if node.Region != c.self.Region || node.State != schema.NodeState_NODE_READY {
+			continue
+		}
+		count++
+		if id != c.self.Id {
+			heardAt = append(heardAt, c.peers[id])
 		}
 	}
-	if need := count / 2; need > 0 && len(instants) >= need {
-		slices.Sort(instants)
-		l.PeersAt = instants[len(instants)-need]
-	} else if need == 0 && count > 0 {
-		l.PeersAt = c.now
+	needed := count / 2
+	switch {
+	case needed > 0 && len(heardAt) >= needed:
+		slices.Sort(heardAt)
+		return heardAt[len(heardAt)-needed]
+	case needed == 0 && count > 0:
+		return c.now
 	}
-	return l
+	return 0
 }
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -1,4 +1,11 @@
-// Package controlplane is the control machine of one node: agreement, membership, spread and failover assignment without I/O.
+// Package controlplane composes the control plane of one node of its parts: the log (raft), the replicated state
+// (statemachine), membership, bootstrap, heartbeats, replication to readers, the leader's duties and operators'
+// requests.
+//
+// A Machine dispatches frames to the parts (receive.go), steps them in a fixed order (tick.go), and collects what they
+// want done as effects (effects.go), which a Driver performs (driver.go). It does no I/O, reads no clock and draws only
+// from the source that it is given, so that the simulator plays one seed as one history. One goroutine calls a Machine;
+// what Local gives may be read by any.
 package controlplane
 
 import (
@@ -21,80 +28,78 @@
 	"topazshed/internal/replication"
 	"topazshed/internal/schema"
 	"topazshed/internal/statemachine"
-	"topazshed/internal/store"
 	"topazshed/internal/timing"
 )
 
-// Machine is the machine.
+// Machine is the control plane of one node. Its parts own their state; what it holds itself is what several of them share.
 type Machine struct {
-	options        Options
-	timing         timing.Timing
-	log            *slog.Logger
-	self           *schema.Node
-	quorum         *raft.Node
-	state          *statemachine.Machine
-	table          *store.Table
-	view           *store.View
-	peerSampler    *membership.Sampler
-	bootstrap      *bootstrap.Machine
-	effects        Effects
-	now            time.Duration
-	tickedAt       time.Duration
-	thawedAt       time.Duration
-	leader         string
-	leaderAt       time.Duration
-	heartbeats     *heartbeat.Sender
-	subscription   *replication.Subscription
-	publisher      *replication.Publisher
-	operations     *operations.Manager
+	options Options
+	timing  timing.Timing
+	log     *slog.Logger
+	self    *schema.Node
+	speaks  protocolversion.Span
+	// routed is nil in a fleet of entries.
+	routed *routedState
+
+	// quorum and proposals are nil on a reader, which keeps no log.
+	quorum       *raft.Node
+	proposals    *proposals.Proposer
+	state        *statemachine.Machine
+	peerSampler  *membership.Sampler
+	bootstrap    *bootstrap.Machine
+	heartbeats   *heartbeat.Sender
+	subscription *replication.Subscription
+	publisher    *replication.Publisher
+	duties       *leader.Leader
+	operations   *operations.Manager
+
+	// now is the time of the call in progress, tickedAt that of the last tick; thawedAt is when the process last went on after a stall.
+	now      time.Duration
+	tickedAt time.Duration
+	thawedAt time.Duration
+	// leader is the address of the leader as far as it is known, leaderAt when that was last heard.
+	leader   string
+	leaderAt time.Duration
+	// peers are the nodes of this region by id, with the times at which each was last heard; addresses are where members of
+	// the log sent from.
+	peers     map[string]time.Duration
+	addresses map[string]string
+	// listAt is when the platform's list was last read whole, listFault why the last read was not.
+	listAt    time.Duration
+	listFault string
+	// staleResponses counts responses that no part waits for.
 	staleResponses uint64
-	listAt         time.Duration
-	listFault      string
-	peers          map[string]time.Duration
-	proposals      *proposals.Proposer
-	duties         *leader.Leader
-	addresses      map[string]string
-	routed         *routedState
-	speaks         protocolversion.Span
-	refused        error
+	effects        Effects
+	// refused is why this node takes no part any more.
+	refused error
 }
 
 // New restores a node from its journal, or makes an empty one.
 func New(now time.Duration, options Options) *Machine {
 	c := &Machine{
 		options:   options,
+		timing:    timing.ForEntries(),
 		log:       options.Log,
 		self:      proto.Clone(options.Self).(*schema.Node),
+		speaks:    options.Speaks.OrOwn(),
 		state:     statemachine.New(options.Speaks.OrOwn()),
 		peers:     map[string]time.Duration{},
 		addresses: map[string]string{},
 		now:       now,
 		tickedAt:  now,
-		speaks:    options.Speaks.OrOwn(),
 	}
-	c.table, c.view = c.state.Table(), c.state.View()
-	c.timing = timing.ForEntries()
 	if options.Routed != nil {
 		c.timing = timing.ForRoutes(options.Routed.Quiet)
 		c.routed = newRoutedState(options)
 	}
+	// The order of the draws is fixed: one seed is one history in the simulator.
 	c.heartbeats = c.newHeartbeatSender(c.firstSerial())
 	c.subscription = c.newSubscription(c.firstSerial())
-	c.publisher = replication.NewPublisher(c.table, c.timing.DeltaInterval)
-	c.peerSampler = membership.New(membership.Options{Self: c.self, Seeds: options.Seeds, Draw: options.Draw, Timing: c.timing.Sampler, PrefersHome: c.routed != nil})
+	c.publisher = replication.NewPublisher(c.state.Table(), c.timing.DeltaInterval)
+	c.peerSampler = c.newPeerSampler()
 	c.bootstrap = c.newBootstrap()
 	if options.Self.Disk {
-		c.guardState(c.state.Load(now, options.Snapshot))
-		c.quorum = raft.New(now, raft.Options{
-			ID:           c.self.Id,
-			HardState:    c.restored(options.Hard),
-			Snapshot:     options.Snapshot,
-			Entries:      options.Items,
-			Draw:         options.Draw,
-			TakeSnapshot: c.Whole,
-			Timing:       c.timing.Raft,
-		})
-		c.proposals = proposals.New(c.quorum, c.table)
+		c.loadLog()
 	}
 	c.duties = c.newDuties()
 	c.operations = newOperations(c)
@@ -105,23 +110,51 @@
 	return c
 }
 
+func (c *Machine) newPeerSampler() *membership.Sampler {
+	return membership.New(membership.Options{
+		Self:        c.self,
+		Seeds:       c.options.Seeds,
+		Draw:        c.options.Draw,
+		Timing:      c.timing.Sampler,
+		PrefersHome: c.routed != nil,
+	})
+}
+
+// loadLog restores the state and the log from what the journal held.
+func (c *Machine) loadLog() {
+	c.guardState(c.state.Load(c.now, c.options.Snapshot))
+	c.quorum = raft.New(c.now, raft.Options{
+		ID:           c.self.Id,
+		HardState:    c.restored(c.options.Hard),
+		Snapshot:     c.options.Snapshot,
+		Entries:      c.options.Items,
+		Draw:         c.options.Draw,
+		TakeSnapshot: c.Whole,
+		Timing:       c.timing.Raft,
+	})
+	c.proposals = proposals.New(c.quorum, c.state.Table())
+}
+
 // firstSerial draws where this incarnation begins to number its requests, so that a response to a former incarnation's is known as stale.
 func (c *Machine) firstSerial() uint64 { return uint64(c.options.Draw(inflight.FirstSerialLimit)) }
 
 // IsLeading tells whether this node leads and has settled.
 func (c *Machine) IsLeading() bool { return c.quorum != nil && c.quorum.HasCommittedInTerm() }
 
+// isFull tells whether this node keeps the log as a voter or a learner, and so holds all rows.
 func (c *Machine) isFull() bool {
-	return c.quorum != nil && (c.quorum.IsVoter(c.self.Id) || slices.ContainsFunc(c.quorum.Members().Learners, func(m *schema.Member) bool { return m.Id == c.self.Id }))
+	if c.quorum == nil {
+		return false
+	}
+	isSelf := func(member *schema.Member) bool { return member.Id == c.self.Id }
+	return slices.ContainsFunc(c.members(), isSelf)
 }
 
+// learnMembers tells the peer sampler of the members of the log that no row names.
 func (c *Machine) learnMembers() {
-	if c.quorum == nil {
-		return
-	}
-	for _, m := range slices.Concat(c.quorum.Members().Voters, c.quorum.Members().Learners) {
-		if node := c.view.Nodes[m.Id]; node == nil {
-			c.peerSampler.Learn(&schema.Node{Id: m.Id, Address: m.Address, Disk: true})
+	for _, member := range c.members() {
+		if c.state.View().Nodes[member.Id] == nil {
+			c.peerSampler.Learn(&schema.Node{Id: member.Id, Address: member.Address, Disk: true})
 		}
 	}
 }
@@ -137,23 +170,24 @@
 	c.subscription.SetSeeds(c.options.Seeds)
 	c.bootstrap.SetSeeds(c.options.Seeds)
 	c.heartbeats.SetSeeds(c.options.Seeds)
-	c.log.Info("other seeds are asked from now on", "seeds", seeds)
+	c.log.Info("seeds have changed", "seeds", seeds)
 }
 
-// SetHealthReports takes this node's probes of back ends.
+// SetHealthReports takes what this node saw of back ends.
 func (c *Machine) SetHealthReports(healthReports []*schema.HealthReport) {
 	c.heartbeats.SetHealthReports(healthReports)
 }
 
-// SetReservationReplica takes this node's state as a replica.
+// SetReservationReplica takes the number of the replica set that this node has taken up, and whether it is ready to
+// serve as a replica of it.
 func (c *Machine) SetReservationReplica(number uint64, isReady bool) {
 	c.heartbeats.SetReservationReplica(number, isReady)
 }
 
 // SetOldestIndex takes the lowest snapshot version that a keyed attempt in flight was begun on; none is 0.
-func (c *Machine) SetOldestIndex(floor uint64) { c.heartbeats.SetOldestIndex(floor) }
+func (c *Machine) SetOldestIndex(index uint64) { c.heartbeats.SetOldestIndex(index) }
 
-// Stop marks the node as stopping: it is told to the leader and no match names it any more.
+// Stop marks the node as stopping and tells the leader, so that nobody sends requests to it any more; a leader hands over.
 func (c *Machine) Stop(now time.Duration) {
 	c.now = now
 	c.self.State = schema.NodeState_NODE_STOPPING
@@ -164,7 +198,7 @@
 	}
 }
 
-// Want asks for a service's slice.
+// Want has a reader hold the rows of a service.
 func (c *Machine) Want(now time.Duration, service string) {
 	c.now = now
 	if c.quorum == nil {
@@ -172,17 +206,17 @@
 	}
 }
 
-// SetListRead takes a read of the platform's list; only the leader uses it.
-func (c *Machine) SetListRead(now time.Duration, sweep discovery.ListRead) {
+// SetListRead takes a read of the platform's list in a fleet of entries; only the leader uses it.
+func (c *Machine) SetListRead(now time.Duration, read discovery.ListRead) {
 	c.now = now
-	c.listFault = sweep.Reason
-	if sweep.IsWhole {
+	c.listFault = read.Reason
+	if read.IsWhole {
 		c.listAt = now
 	}
-	c.duties.Take(now, leader.ListRead{ListRead: sweep})
+	c.duties.Take(now, leader.ListRead{ListRead: read})
 }
 
-// SlowDisk tells that a sync took too long or failed; a leader hands over.
+// SlowDisk tells that a write to the disk took too long or failed; a leader hands over.
 func (c *Machine) SlowDisk(now time.Duration) {
 	if c.quorum != nil && c.quorum.Role() == raft.Leader {
 		c.quorum.TransferLeadership(now)
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -42,9 +42,9 @@
 	return h.machine.quorum.ReadIndex(now, number)
 }
 
-func (h operatorHost) Table() *store.Table { return h.machine.table }
+func (h operatorHost) Table() *store.Table { return h.machine.state.Table() }
 
-func (h operatorHost) View() *store.View { return h.machine.view }
+func (h operatorHost) View() *store.View { return h.machine.state.View() }
 
 func (h operatorHost) Changes() []*schema.FailoverChange { return h.machine.state.Changes() }
 
@@ -60,7 +60,7 @@
 
 func (h operatorHost) Unconfirmed(index raft.Index) []string {
 	var zones []string
-	for _, node := range h.machine.duties.Fleet().Unreached(h.machine.view, index) {
+	for _, node := range h.machine.duties.Fleet().Unreached(h.machine.state.View(), index) {
 		if !slices.Contains(zones, node.Zone) {
 			zones = append(zones, node.Zone)
 		}
@@ -72,9 +72,9 @@
 // Reports tell where the newest configuration is in force: where the index of its row was reached.
 func (h operatorHost) Reports() []*schema.NodeReport {
 	c := h.machine
-	head := c.table.Get(store.HeadKey).GetIndex()
+	head := c.state.Table().Get(store.HeadKey).GetIndex()
 	var reports []*schema.NodeReport
-	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
+	for _, id := range slices.Sorted(maps.Keys(c.state.View().Nodes)) {
 		report := c.reportOf(id)
 		report.InForce = head > 0 && report.Index >= head
 		reports = append(reports, report)
@@ -84,7 +84,7 @@
 
 func (c *Machine) reportOf(id string) *schema.NodeReport {
 	if id == c.self.Id {
-		return &schema.NodeReport{Id: id, Index: uint64(c.table.Version())}
+		return &schema.NodeReport{Id: id, Index: uint64(c.state.Version())}
 	}
 	record := c.duties.Fleet().Node(id)
 	if record == nil || record.LastHeard == 0 {
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -162,8 +162,8 @@
 				}
 			}
 			for _, name := range f.names {
-				if !f.isDown[name] && f.cores[name].view.Head.GetVersion() != c.head {
-					t.Errorf("%s holds version %d, want %d", name, f.cores[name].view.Head.GetVersion(), c.head)
+				if !f.isDown[name] && f.cores[name].state.View().Head.GetVersion() != c.head {
+					t.Errorf("%s holds version %d, want %d", name, f.cores[name].state.View().Head.GetVersion(), c.head)
 				}
 			}
 		})
@@ -201,7 +201,7 @@
 		t.Fatalf("%d of eight changes on one version were taken", winners)
 	}
 	for _, name := range f.names {
-		if f.cores[name].view.Route("h", "/"+winner+"/") == nil || len(f.cores[name].view.Hosts["h"]) != 1 {
+		if f.cores[name].state.View().Route("h", "/"+winner+"/") == nil || len(f.cores[name].state.View().Hosts["h"]) != 1 {
 			t.Errorf("%s does not hold exactly the winner's route", name)
 		}
 	}
@@ -249,7 +249,7 @@
 					}
 				}
 				for _, name := range f.names {
-					if got := f.cores[name].view.Zones["y"].GetEmptied(); got != c.want {
+					if got := f.cores[name].state.View().Zones["y"].GetEmptied(); got != c.want {
 						t.Errorf("%s: emptied %v, want %v", name, got, c.want)
 					}
 				}
@@ -291,7 +291,7 @@
 				t.Fatalf("again: %v", f.responses[again])
 			}
 			for _, name := range f.names {
-				if !f.isDown[name] && f.cores[name].view.Head.GetVersion() != 1 {
+				if !f.isDown[name] && f.cores[name].state.View().Head.GetVersion() != 1 {
 					t.Errorf("%s does not hold the configuration", name)
 				}
 			}
@@ -373,7 +373,7 @@
 			core := f.cores[f.leader()]
 			former := configOf(2, 1, "two").Routes
 			digest := sha256.Sum256(former.Document)
-			if _, _, err := core.quorum.Propose(f.now, routes.Plan(core.table, former, digest[:])); err != nil {
+			if _, _, err := core.quorum.Propose(f.now, routes.Plan(core.state.Table(), former, digest[:])); err != nil {
 				t.Fatal(err)
 			}
 			ticket := f.order(f.leader(), c.order)
@@ -381,7 +381,7 @@
 			if got := f.refused(ticket); got != c.want {
 				t.Errorf("%v (%s), want %v", got, f.responses[ticket].Message, c.want)
 			}
-			if head := core.view.Head.GetVersion(); head != c.head {
+			if head := core.state.View().Head.GetVersion(); head != c.head {
 				t.Errorf("version %d is in force, want %d", head, c.head)
 			}
 		})
--- a/internal/controlplane/owners_test.go
+++ b/internal/controlplane/owners_test.go
@@ -29,7 +29,7 @@
 			for now := time.Hour; now < time.Hour+12*time.Second && leases == 0; now += tick {
 				core.Tick(now)
 				if core.IsLeading() && !isPut {
-					isPut = core.propose(record)
+					isPut = core.proposals.Propose(core.now, record)
 				}
 				for range 8 {
 					effects := core.Take()
@@ -44,7 +44,7 @@
 					core.Synced(now, effects)
 				}
 				spans := 0
-				core.table.Each("s/s/", func(row *schema.Row) {
+				core.state.Table().Each("s/s/", func(row *schema.Row) {
 					if strings.Contains(row.Key, "/span/") {
 						spans++
 					}
--- a/internal/controlplane/receive.go
+++ b/internal/controlplane/receive.go
@@ -10,69 +10,29 @@
 	"topazshed/internal/schema"
 )
 
-// Receive takes a frame from another node.
+// Receive takes a frame from another node and hands its message to the part that it is for; what the part wants sent
+// goes into the effects.
 func (c *Machine) Receive(now time.Duration, f *schema.Frame) {
 	c.now = now
-	if c.refused != nil {
+	if c.refused != nil || !c.isOfThisSystem(f) {
 		return
 	}
-	if f.System != "" && c.bootstrap.System() != "" && f.System != c.bootstrap.System() {
-		c.log.Warn("frame of another system declined", "from", f.From, "system", f.System)
-		return
-	}
-	c.peerSampler.Heard(now, f.From)
-	if node := c.view.Nodes[f.From]; node != nil && node.Region == c.self.Region {
-		c.peers[f.From] = now
-	}
+	c.noteSender(f)
 	switch body := f.Body.(type) {
 	case *schema.Frame_Raft:
-		if c.quorum == nil || c.bootstrap.System() != "" && f.System == "" {
-			return
-		}
-		if isFromLeader(body.Raft.Kind) {
-			c.bootstrap.Adopt(f.System)
-		}
-		if c.bootstrap.System() == "" {
-			return
-		}
-		c.addresses[f.From] = f.Address
-		c.quorum.Step(now, body.Raft)
-		if c.quorum.LeaderID() == f.From {
-			c.leader, c.leaderAt = f.Address, now
-			if body.Raft.Kind == schema.RaftKind_RAFT_APPEND {
-				c.state.ObserveCommit(now, raft.Index(body.Raft.Commit))
-			}
-		}
+		c.receiveRaft(f, body.Raft)
 	case *schema.Frame_DiscoverRequest:
-		c.peerSampler.Learn(body.DiscoverRequest.Node)
-		c.answerDiscovery(f.Address, body.DiscoverRequest)
+		c.receiveDiscoverRequest(f.Address, body.DiscoverRequest)
 	case *schema.Frame_DiscoverResponse:
-		if c.guard(protocolversion.Version(body.DiscoverResponse.FleetVersion)) != nil {
-			return
-		}
-		c.peerSampler.Learn(body.DiscoverResponse.Nodes...)
-		c.bootstrap.TakeAnswer(now, f.Address, body.DiscoverResponse)
-		if c.leader == "" {
-			c.leader = body.DiscoverResponse.Leader
-		}
+		c.receiveDiscoverResponse(f.Address, body.DiscoverResponse)
 	case *schema.Frame_Shuffle:
-		for _, s := range c.peerSampler.Shuffle(f.Address, body.Shuffle) {
-			s.Frame.GetShuffle().System, s.Frame.GetShuffle().Leader = c.bootstrap.System(), c.leader
-			c.send(s.To, s.Frame)
-		}
-		c.bootstrap.Adopt(body.Shuffle.System)
-		if c.leader == "" || now-c.leaderAt > constants.NodeLostAfter && body.Shuffle.Leader != "" {
-			c.leader = body.Shuffle.Leader
-		}
+		c.receiveShuffle(f.Address, body.Shuffle)
 	case *schema.Frame_Probe:
-		c.send(f.Address, &schema.Frame{Body: &schema.Frame_ProbeResponse{ProbeResponse: &schema.ProbeResponse{Subject: c.self.Id, Serial: body.Probe.Serial, Incarnation: c.self.Incarnation}}})
+		c.receiveProbe(f.Address, body.Probe)
 	case *schema.Frame_ProbeResponse:
+		// noteSender has told the sampler that the sender responds.
 	case *schema.Frame_Heartbeat:
-		if c.routed != nil {
-			c.takeHeartbeatRouted(f, body.Heartbeat)
-			return
-		}
-		c.takeHeartbeat(f, body.Heartbeat)
+		c.receiveHeartbeat(f, body.Heartbeat)
 	case *schema.Frame_HeartbeatResponse:
 		c.takeHeartbeatResponse(f.Address, body.HeartbeatResponse)
 	case *schema.Frame_Subscribe:
@@ -82,9 +42,7 @@
 	case *schema.Frame_DigestRequest:
 		c.sendAll(c.publisher.CompareDigests(f.Address, body.DigestRequest))
 	case *schema.Frame_DigestResponse:
-		if c.quorum == nil {
-			c.sendAll(c.subscription.TakeDigests(now, f.Address, body.DigestResponse))
-		}
+		c.receiveDigestResponse(f.Address, body.DigestResponse)
 	case *schema.Frame_OperatorRequest:
 		c.operations.ReceiveRequest(now, f.Address, f.Call, body.OperatorRequest)
 	case *schema.Frame_OperatorResponse:
@@ -92,6 +50,47 @@
 	}
 }
 
+// isOfThisSystem tells whether a frame may be taken: both nodes belong to one system, or one of them to none yet.
+func (c *Machine) isOfThisSystem(f *schema.Frame) bool {
+	system := c.bootstrap.System()
+	if f.System == "" || system == "" || f.System == system {
+		return true
+	}
+	c.log.Warn("a frame of another system is refused", "from", f.From, "system", f.System)
+	return false
+}
+
+// noteSender notes that a node responds.
+func (c *Machine) noteSender(f *schema.Frame) {
+	c.peerSampler.Heard(c.now, f.From)
+	if node := c.state.View().Nodes[f.From]; node != nil && node.Region == c.self.Region {
+		c.peers[f.From] = c.now
+	}
+}
+
+// receiveRaft steps the log. A node that belongs to no system joins that of a leader which sends it entries or a
+// snapshot, and takes no other messages until then.
+func (c *Machine) receiveRaft(f *schema.Frame, message *schema.Raft) {
+	if c.quorum == nil || c.bootstrap.System() != "" && f.System == "" {
+		return
+	}
+	if isFromLeader(message.Kind) {
+		c.bootstrap.Adopt(f.System)
+	}
+	if c.bootstrap.System() == "" {
+		return
+	}
+	c.addresses[f.From] = f.Address
+	c.quorum.Step(c.now, message)
+	if c.quorum.LeaderID() != f.From {
+		return
+	}
+	c.leader, c.leaderAt = f.Address, c.now
+	if message.Kind == schema.RaftKind_RAFT_APPEND {
+		c.state.ObserveCommit(c.now, raft.Index(message.Commit))
+	}
+}
+
 // isFromLeader tells whether only a leader sends messages of that kind.
 func isFromLeader(kind schema.RaftKind) bool {
 	switch kind {
@@ -101,16 +100,43 @@
 	return false
 }
 
-func (c *Machine) takeHeartbeat(f *schema.Frame, b *schema.Heartbeat) {
-	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: b.Serial, Version: uint64(c.table.Version())}
-	if c.IsLeading() && c.duties.TakeHeartbeat(c.leaderState(), b) {
-		response.Leader, response.Accepted = c.self.Address, true
-		lease := c.duties.GrantLease(c.leaderState(), b.Node.Id, c.state.NewestFence())
-		response.LeaseMs = uint32(lease.Milliseconds())
-	}
-	if f.From == c.self.Id {
-		c.takeHeartbeatResponse(f.Address, response)
+// receiveDiscoverRequest answers a node that looks for a system.
+func (c *Machine) receiveDiscoverRequest(from string, request *schema.DiscoverRequest) {
+	c.peerSampler.Learn(request.Node)
+	c.answerDiscovery(from, request)
+}
+
+// receiveDiscoverResponse takes what another node tells of the system. A fleet whose version this program doesn't speak is not joined.
+func (c *Machine) receiveDiscoverResponse(from string, response *schema.DiscoverResponse) {
+	if c.guard(protocolversion.Version(response.FleetVersion)) != nil {
 		return
 	}
-	c.send(f.Address, &schema.Frame{Body: &schema.Frame_HeartbeatResponse{HeartbeatResponse: response}})
+	c.peerSampler.Learn(response.Nodes...)
+	c.bootstrap.TakeAnswer(c.now, from, response)
+	if c.leader == "" {
+		c.leader = response.Leader
+	}
+}
+
+// receiveShuffle exchanges peers with another node, and takes its word for the system and the leader where this node knows none.
+func (c *Machine) receiveShuffle(from string, shuffle *schema.Shuffle) {
+	c.sendSampler(c.peerSampler.Shuffle(from, shuffle))
+	c.bootstrap.Adopt(shuffle.System)
+	isLeaderOld := c.now-c.leaderAt > constants.NodeLostAfter
+	if c.leader == "" || isLeaderOld && shuffle.Leader != "" {
+		c.leader = shuffle.Leader
+	}
+}
+
+// receiveProbe tells a node that probes this one that it is alive.
+func (c *Machine) receiveProbe(from string, probe *schema.Probe) {
+	response := &schema.ProbeResponse{Subject: c.self.Id, Serial: probe.Serial, Incarnation: c.self.Incarnation}
+	c.send(from, &schema.Frame{Body: &schema.Frame_ProbeResponse{ProbeResponse: response}})
+}
+
+// receiveDigestResponse has ranges fetched again that differ from the source's; only readers have a source.
+func (c *Machine) receiveDigestResponse(from string, response *schema.DigestResponse) {
+	if c.quorum == nil {
+		c.sendAll(c.subscription.TakeDigests(c.now, from, response))
+	}
 }
--- a/internal/controlplane/replicate.go
+++ b/internal/controlplane/replicate.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"topazshed/internal/frame"
 	"topazshed/internal/raft"
 	"topazshed/internal/replication"
 	"topazshed/internal/schema"
@@ -28,7 +27,7 @@
 		options.PrefersHome = true
 		options.RemoteAfter = c.timing.RemoteSourceAfter
 	}
-	return replication.NewSubscription(options, c.table, fleetView{c})
+	return replication.NewSubscription(options, c.state.Table(), fleetView{c})
 }
 
 // confirmation is what this node may tell its subscribers about its rows now.
@@ -78,9 +77,3 @@
 	}
 	return c.state.FreshAt()
 }
-
-func (c *Machine) sendAll(envelopes []frame.Envelope) {
-	for _, envelope := range envelopes {
-		c.send(envelope.To, envelope.Frame)
-	}
-}
--- a/internal/controlplane/report.go
+++ b/internal/controlplane/report.go
@@ -41,7 +41,7 @@
 func (c *Machine) heartbeatFacts() heartbeat.Facts {
 	facts := heartbeat.Facts{
 		Node:     c.spoken(c.peerSampler.Self()),
-		Version:  c.table.Version(),
+		Version:  c.state.Version(),
 		Suspects: c.peerSampler.Suspects(),
 		Leader:   heartbeat.Leader{Address: c.leader, SeenAt: c.leaderAt},
 		IsLeader: c.quorum != nil && c.quorum.Role() == raft.Leader,
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -9,10 +9,10 @@
 
 // Whole gives the snapshot at the applied index, for a follower or for the disk.
 func (c *Machine) Whole() *schema.Snapshot {
-	whole := c.table.Whole()
-	c.quorum.DescribeSnapshot(whole)
-	whole.Version = c.shownFleet()
-	return whole
+	snapshot := c.state.Table().Whole()
+	c.quorum.DescribeSnapshot(snapshot)
+	snapshot.Version = c.shownFleet()
+	return snapshot
 }
 
 // publish takes rows that have changed into the view.
@@ -24,12 +24,11 @@
 	if isOperatorChange {
 		c.heartbeats.Hasten()
 	}
-	c.bootstrap.Adopt(c.view.System)
+	c.bootstrap.Adopt(c.state.View().System)
 }
 
-// guardState takes the newest view after the state has changed; an error of the state ends this node's part.
+// guardState takes an error of the state, which ends this node's part, and gives why this node takes no part; nil if it does.
 func (c *Machine) guardState(err error) error {
-	c.view = c.state.View()
 	if err != nil {
 		c.refuse(err)
 	}
--- a/internal/controlplane/tick.go
+++ b/internal/controlplane/tick.go
@@ -1,26 +1,20 @@
 package controlplane
 
-import (
-	"time"
-)
+import "time"
 
-// Tick tells the time; the shell calls it every constants.Tick, in a routed fleet every constants.RoutedTick.
+// stalledAfter is the time between two ticks after which this process must have stood still.
+const stalledAfter = time.Second
+
+// Tick tells the time and steps the parts in a fixed order: membership, the log, the leader's duties, heartbeats, the
+// reader's subscription, the deltas to subscribers, operators' requests. A node that belongs to no system only looks for
+// one. The owner calls it every constants.Tick, in a fleet of routes every constants.RoutedTick.
 func (c *Machine) Tick(now time.Duration) {
 	c.now = now
 	if c.refused != nil {
 		return
 	}
-	if now-c.tickedAt > time.Second {
-		c.thawedAt = now
-		c.log.Warn("this process stood still and refreshes before it serves", "milliseconds", (now - c.tickedAt).Milliseconds())
-	}
-	c.tickedAt = now
-	for _, s := range c.peerSampler.Tick(now) {
-		if shuffle := s.Frame.GetShuffle(); shuffle != nil {
-			shuffle.System, shuffle.Leader = c.bootstrap.System(), c.leader
-		}
-		c.send(s.To, s.Frame)
-	}
+	c.noteStall()
+	c.sendSampler(c.peerSampler.Tick(now))
 	if c.bootstrap.System() == "" {
 		c.findSystem()
 		return
@@ -28,7 +22,7 @@
 	if c.quorum != nil {
 		c.quorum.Tick(now)
 		c.lead()
-		c.state.Refresh(c.now)
+		c.state.Refresh(now)
 	}
 	if c.heartbeats.IsDue(now) {
 		c.sendHeartbeat()
@@ -43,3 +37,12 @@
 		c.perform(c.subscription.DropUnwanted(now))
 	}
 }
+
+// noteStall notes when this process has stood still, so that what it knows may be old.
+func (c *Machine) noteStall() {
+	if stalled := c.now - c.tickedAt; stalled > stalledAfter {
+		c.thawedAt = c.now
+		c.log.Warn("this process stood still and refreshes before it serves", "milliseconds", stalled.Milliseconds())
+	}
+	c.tickedAt = c.now
+}
--- a/internal/controlplane/version_test.go
+++ b/internal/controlplane/version_test.go
@@ -50,9 +50,9 @@
 					}
 				}
 			}
-			for id, node := range core.view.Nodes {
-				if span, err := protocolversion.ReadSpan(node.SpeaksLow, node.SpeaksHigh); err != nil || !span.Has(core.view.Fleet) {
-					t.Fatalf("%s: the fleet uses %d and node %s speaks %v", name, core.view.Fleet, id, span)
+			for id, node := range core.state.View().Nodes {
+				if span, err := protocolversion.ReadSpan(node.SpeaksLow, node.SpeaksHigh); err != nil || !span.Has(core.state.View().Fleet) {
+					t.Fatalf("%s: the fleet uses %d and node %s speaks %v", name, core.state.View().Fleet, id, span)
 				}
 			}
 		}
@@ -94,8 +94,8 @@
 				if w.cut[name] {
 					continue
 				}
-				if core.view.Fleet != c.want || core.refused != nil || len(core.view.Nodes) != 5 {
-					t.Errorf("%s: the fleet uses %d, %d nodes known, refused %v", name, core.view.Fleet, len(core.view.Nodes), core.refused)
+				if core.state.View().Fleet != c.want || core.refused != nil || len(core.state.View().Nodes) != 5 {
+					t.Errorf("%s: the fleet uses %d, %d nodes known, refused %v", name, core.state.View().Fleet, len(core.state.View().Nodes), core.refused)
 				}
 				if voters := core.quorum; voters != nil && c.unresponsive == "" && len(voters.Members().Voters) != 3 {
 					t.Errorf("%s: %d voters", name, len(voters.Members().Voters))
@@ -130,8 +130,8 @@
 		w.run(t, 400*time.Millisecond)
 	}
 	for name, core := range w.cores {
-		if len(core.view.Nodes) != 5 && core.refused == nil {
-			t.Errorf("%s knows %d nodes", name, len(core.view.Nodes))
+		if len(core.state.View().Nodes) != 5 && core.refused == nil {
+			t.Errorf("%s knows %d nodes", name, len(core.state.View().Nodes))
 		}
 		if core.quorum != nil && slices.ContainsFunc(slices.Concat(core.quorum.Members().Voters, core.quorum.Members().Learners), func(m *schema.Member) bool { return m.Id == "id-g" || m.Id == "id-b2" }) {
 			t.Errorf("%s has an old member", name)
@@ -146,8 +146,8 @@
 		w.run(t, 5*time.Second+offset)
 		w.add("f", protocolversion.Span{Low: 1, High: 1})
 		w.run(t, 10*time.Second)
-		isIn := w.cores["a"].view.Nodes["id-f"] != nil
-		fleet := w.cores["a"].view.Fleet
+		isIn := w.cores["a"].state.View().Nodes["id-f"] != nil
+		fleet := w.cores["a"].state.View().Fleet
 		if isIn {
 			joined++
 		} else {
--- a/internal/controlplane/zones_test.go
+++ b/internal/controlplane/zones_test.go
@@ -30,8 +30,8 @@
 			core.Synced(now, effects)
 		}
 	}
-	if len(core.view.Zones) != 182 || len(core.view.Regions) != 46 || len(core.view.Groups) < 46 || len(core.view.Defaults) != 46 {
-		t.Errorf("%d districts, %d regions, %d groups, %d standings, want 182, 46, 46 or more and 46", len(core.view.Zones), len(core.view.Regions), len(core.view.Groups), len(core.view.Defaults))
+	if len(core.state.View().Zones) != 182 || len(core.state.View().Regions) != 46 || len(core.state.View().Groups) < 46 || len(core.state.View().Defaults) != 46 {
+		t.Errorf("%d districts, %d regions, %d groups, %d standings, want 182, 46, 46 or more and 46", len(core.state.View().Zones), len(core.state.View().Regions), len(core.state.View().Groups), len(core.state.View().Defaults))
 	}
 }
 
@@ -71,10 +71,10 @@
 					core.Synced(now, effects)
 				}
 			}
-			if response == nil || response.Refusal != c.refusal || len(core.view.Zones) != c.known {
-				t.Fatalf("outcome %v, %d districts, want %v and %d", response, len(core.view.Zones), c.refusal, c.known)
+			if response == nil || response.Refusal != c.refusal || len(core.state.View().Zones) != c.known {
+				t.Fatalf("outcome %v, %d districts, want %v and %d", response, len(core.state.View().Zones), c.refusal, c.known)
 			}
-			if got := core.view.Zones[c.zone].GetEmptied(); got != (c.refusal == schema.RefusalKind_REFUSAL_NONE) {
+			if got := core.state.View().Zones[c.zone].GetEmptied(); got != (c.refusal == schema.RefusalKind_REFUSAL_NONE) {
 				t.Fatalf("emptied: %v", got)
 			}
 		})
