--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -159,34 +159,6 @@
 	}
 }
 
-// SetSeeds takes the seeds of changed settings: a node that knows nobody asks them, and the former ones may all be gone.
-func (c *Machine) SetSeeds(now time.Duration, seeds []string) {
-	c.now = now
-	if len(seeds) == 0 || slices.Equal(seeds, c.options.Seeds) {
-		return
-	}
-	c.options.Seeds = slices.Clone(seeds)
-	c.peerSampler.SetSeeds(c.options.Seeds)
-	c.subscription.SetSeeds(c.options.Seeds)
-	c.bootstrap.SetSeeds(c.options.Seeds)
-	c.heartbeats.SetSeeds(c.options.Seeds)
-	c.log.Info("seeds have changed", "seeds", seeds)
-}
-
-// SetHealthReports takes what this node saw of back ends.
-func (c *Machine) SetHealthReports(healthReports []*schema.HealthReport) {
-	c.heartbeats.SetHealthReports(healthReports)
-}
-
-// SetReservationReplica takes the number of the replica set that this node has taken up, and whether it is ready to
-// serve as a replica of it.
-func (c *Machine) SetReservationReplica(number uint64, isReady bool) {
-	c.heartbeats.SetReservationReplica(number, isReady)
-}
-
-// SetOldestIndex takes the lowest snapshot version that a keyed attempt in flight was begun on; none is 0.
-func (c *Machine) SetOldestIndex(index uint64) { c.heartbeats.SetOldestIndex(index) }
-
 // Stop marks the node as stopping and tells the leader, so that nobody sends requests to it any more; a leader hands over.
 func (c *Machine) Stop(now time.Duration) {
 	c.now = now
@@ -198,14 +170,6 @@
 	}
 }
 
-// Want has a reader hold the rows of a service.
-func (c *Machine) Want(now time.Duration, service string) {
-	c.now = now
-	if c.quorum == nil {
-		c.sendAll(c.subscription.Want(now, service))
-	}
-}
-
 // SetListRead takes a read of the platform's list in a fleet of entries; only the leader uses it.
 func (c *Machine) SetListRead(now time.Duration, read discovery.ListRead) {
 	c.now = now
--- a/internal/controlplane/replicate.go
+++ b/internal/controlplane/replication.go
@@ -77,3 +77,11 @@
 	}
 	return c.state.FreshAt()
 }
+
+// Want asks for the rows of a service for the next minutes; a node that keeps the log has all rows.
+func (c *Machine) Want(now time.Duration, service string) {
+	c.now = now
+	if c.quorum == nil {
+		c.sendAll(c.subscription.Want(now, service))
+	}
+}
