--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -9,7 +9,7 @@
 
 // Whole gives the snapshot at the applied index, for a follower or for the disk.
 func (c *Machine) Whole() *schema.Snapshot {
-	snapshot := c.state.Table().Whole()
+	snapshot := c.state.Table().Snapshot()
 	c.quorum.DescribeSnapshot(snapshot)
 	snapshot.Version = c.shownFleet()
 	return snapshot
--- a/internal/controlplane/version.go
+++ b/internal/controlplane/version.go
@@ -27,10 +27,10 @@
 
 // shownFleet is the fleet's version as it is sent: 0 stands for the first one.
 func (c *Machine) shownFleet() uint32 {
-	if c.state.View().Fleet == protocolversion.First {
+	if c.state.View().FleetVersion == protocolversion.First {
 		return 0
 	}
-	return uint32(c.state.View().Fleet)
+	return uint32(c.state.View().FleetVersion)
 }
 
 // spoken names in a node the versions that this process speaks.
--- a/internal/controlplane/zones_test.go
+++ b/internal/controlplane/zones_test.go
@@ -30,8 +30,8 @@
 			core.Synced(now, effects)
 		}
 	}
-	if len(core.state.View().Zones) != 182 || len(core.state.View().Regions) != 46 || len(core.state.View().Groups) < 46 || len(core.state.View().Defaults) != 46 {
-		t.Errorf("%d districts, %d regions, %d groups, %d standings, want 182, 46, 46 or more and 46", len(core.state.View().Zones), len(core.state.View().Regions), len(core.state.View().Groups), len(core.state.View().Defaults))
+	if len(core.state.View().Zones) != 182 || len(core.state.View().Regions) != 46 || len(core.state.View().Groups) < 46 || len(core.state.View().DefaultAssignments) != 46 {
+		t.Errorf("%d districts, %d regions, %d groups, %d standings, want 182, 46, 46 or more and 46", len(core.state.View().Zones), len(core.state.View().Regions), len(core.state.View().Groups), len(core.state.View().DefaultAssignments))
 	}
 }
 
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -97,7 +97,7 @@
 		{"in time", constants.FailoverPlanEvery, func(*Leader) {}, true},
 		{"asked for", 1, (*Leader).PlanNow, true},
 		{"a back end has ended", 1, func(l *Leader) { l.Take(startedAt, BackendEnded{"i"}) }, true},
-		{"rows of a service have changed", 1, func(l *Leader) { l.RowsApplied([]*schema.Row{{Key: store.PolicyKey("s")}}) }, true},
+		{"rows of a service have changed", 1, func(l *Leader) { l.RowsApplied([]*schema.Row{{Key: store.ServicePolicyKey("s")}}) }, true},
 		{"rows of nodes have changed", 1, func(l *Leader) { l.RowsApplied([]*schema.Row{nodeRow(readyNode("n"))}) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/leader/version_test.go
+++ b/internal/leader/version_test.go
@@ -76,9 +76,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			rows := []*schema.Row{systemRow}
 			if c.inUse > 1 {
-				rows = append(rows, store.EncodeRow(store.VersionKey, &schema.FleetVersion{Version: uint32(c.inUse)}))
+				rows = append(rows, store.EncodeRow(store.FleetVersionKey, &schema.FleetVersion{Version: uint32(c.inUse)}))
 			}
-			proposer := &fakeProposer{inFlight: map[string]bool{store.VersionKey: c.isRising}}
+			proposer := &fakeProposer{inFlight: map[string]bool{store.FleetVersionKey: c.isRising}}
 			l := New(Options{Self: "l", Speaks: protocolversion.Span{Low: 1, High: 2}, Proposer: proposer, Log: &fakeLog{members: &schema.Members{}}, Logger: slog.New(slog.DiscardHandler)})
 			l.version.proposed = 2
 			if got := l.isFit(newState(t, startedAt, rows...), c.node); got != c.isFit {
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -16,13 +16,16 @@
 )
 
 func route(host, prefix, service string) *schema.Route {
-	return &schema.Route{Name: "r" + prefix, Host: host, Prefix: prefix, TimeoutMs: 2000, TargetMs: 300, MaxAttempts: 2, Targets: []*schema.Target{{Service: service, Weight: 1}}}
+	return &schema.Route{Name: "r" + prefix, Host: host, Prefix: prefix, TimeoutMs: 2000, TargetMs: 300, MaxAttempts: 2,
+		Targets: []*schema.Target{{Service: service, Weight: 1}}}
 }
 
 func good() *schema.RouteConfig {
 	return &schema.RouteConfig{Version: 8, Base: 7, Document: []byte("eight"),
-		Routes:   []*schema.Route{route("one.example", "/a/", "copper"), route("one.example", "/a/b/", "nickel"), route("two.example", "/a/", "copper")},
-		Services: []*schema.ServicePolicy{{Service: "copper", ColdRate: 17}, {Service: "nickel", Keyed: true}}, Limits: &schema.Limits{BodyBytes: 1 << 20}}
+		Routes: []*schema.Route{route("one.example", "/a/", "copper"), route("one.example", "/a/b/", "nickel"),
+			route("two.example", "/a/", "copper")},
+		Services: []*schema.ServicePolicy{{Service: "copper", ColdRate: 17},
+			{Service: "nickel", Keyed: true}}, Limits: &schema.Limits{BodyBytes: 1 << 20}}
 }
 
 func TestCheck(t *testing.T) {
@@ -33,7 +36,8 @@
 	}{
 		{"good", func(*schema.RouteConfig) {}, ""},
 		{"good: no routes at all", func(c *schema.RouteConfig) { c.Routes = nil }, ""},
-		{"good: the same prefix under another host", func(c *schema.RouteConfig) { c.Routes[1].Host, c.Routes[1].Prefix = "three.example", "/a/" }, ""},
+		{"good: the same prefix under another host",
+			func(c *schema.RouteConfig) { c.Routes[1].Host, c.Routes[1].Prefix = "three.example", "/a/" }, ""},
 		{"good: exactly ten minutes", func(c *schema.RouteConfig) { c.Routes[0].TimeoutMs = 600000 }, ""},
 		{"good: a target a little less than a minute over", func(c *schema.RouteConfig) { c.Routes[0].TargetMs = 2000 + 59999 }, ""},
 		{"good: one weight of two is 0", func(c *schema.RouteConfig) {
@@ -82,7 +86,8 @@
 func TestCheckKnowsServicesFromTheList(t *testing.T) {
 	table := store.NewTable()
 	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
-		store.EncodeRow(store.BackendKey("zinc", "z-1"), &schema.Backend{Service: "zinc", Instance: "z-1", State: schema.BackendState_BACKEND_READY})}})
+		store.EncodeRow(store.BackendKey("zinc", "z-1"),
+			&schema.Backend{Service: "zinc", Instance: "z-1", State: schema.BackendState_BACKEND_READY})}})
 	config := good()
 	config.Routes[0].Targets[0].Service = "zinc"
 	if faults := Check(config, 7, store.Compile(table)); len(faults) > 0 {
@@ -114,7 +119,8 @@
 	t.Helper()
 	table := store.NewTable()
 	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{
-		store.EncodeRow(store.BackendKey("copper", "c-1"), &schema.Backend{Service: "copper", Instance: "c-1", State: schema.BackendState_BACKEND_READY}),
+		store.EncodeRow(store.BackendKey("copper", "c-1"),
+			&schema.Backend{Service: "copper", Instance: "c-1", State: schema.BackendState_BACKEND_READY}),
 		store.EncodeRow(store.ShardRangeKey("nickel", 0), &schema.ShardRange{Service: "nickel", Last: 65535, Instance: "n-1"})}})
 	config := good()
 	apply(t, table, 2, Plan(table, config, []byte("d8")))
@@ -122,16 +128,18 @@
 }
 
 func TestPlanHoldsOnlyWhatChanges(t *testing.T) {
-	always := []string{store.DocumentKey, store.HeadKey, store.AcceptedKey(9)}
+	always := []string{store.CatalogDocumentKey, store.CatalogHeadKey, store.AcceptedKey(9)}
 	for _, c := range []struct {
 		name string
 		turn func(*schema.RouteConfig)
 		want []string
 	}{
 		{"nothing but the version", func(*schema.RouteConfig) {}, nil},
-		{"one route moves to another service", func(c *schema.RouteConfig) { c.Routes[0].Targets[0].Service = "nickel" }, []string{"route/one.example/a/"}},
+		{"one route moves to another service", func(c *schema.RouteConfig) { c.Routes[0].Targets[0].Service = "nickel" },
+			[]string{"route/one.example/a/"}},
 		{"a route goes", func(c *schema.RouteConfig) { c.Routes = c.Routes[1:] }, []string{"-route/one.example/a/"}},
-		{"a route is added", func(c *schema.RouteConfig) { c.Routes = append(c.Routes, route("Six.Example", "/", "copper")) }, []string{"route/six.example/"}},
+		{"a route is added", func(c *schema.RouteConfig) { c.Routes = append(c.Routes, route("Six.Example", "/", "copper")) },
+			[]string{"route/six.example/"}},
 		{"a service goes, its back ends and shard ranges stay", func(c *schema.RouteConfig) {
 			c.Services, c.Routes[1].Targets[0].Service = c.Services[:1], "copper"
 		}, []string{"-s/nickel/policy", "route/one.example/a/b/"}},
@@ -150,7 +158,7 @@
 			}
 			apply(t, table, 3, record)
 			view := store.Compile(table)
-			if view.Head.Version != 9 || view.Services["copper"].Backend("c-1") == nil || len(view.Services["nickel"].Spans) != 1 {
+			if view.Head.Version != 9 || view.Services["copper"].Backend("c-1") == nil || len(view.Services["nickel"].ShardRanges) != 1 {
 				t.Fatalf("after it: version %d, services %v", view.Head.Version, view.Services)
 			}
 			count := 0
@@ -187,7 +195,7 @@
 	for i := range uint64(64) {
 		head.Recent = append(head.Recent, &schema.AcceptedConfig{Version: 64 - i, Digest: fmt.Append(nil, "digest ", 64-i)})
 	}
-	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.HeadKey, head)}})
+	apply(t, table, 1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.CatalogHeadKey, head)}})
 	for next := uint64(65); next < 90; next++ {
 		for version := uint64(1); version < next; version++ {
 			if got := Recall(table, &schema.RouteConfig{Version: version}, fmt.Append(nil, "digest ", version)); got != Accepted {
@@ -207,7 +215,7 @@
 	for i := range uint64(constants.AcceptedConfigs + extra) {
 		apply(t, table, raft.Index(i+1), Plan(table, number(i), fmt.Append(nil, "digest ", i)))
 	}
-	head := store.DecodeRow[schema.CatalogHead](table.Get(store.HeadKey))
+	head := store.DecodeRow[schema.CatalogHead](table.Get(store.CatalogHeadKey))
 	if len(head.Recent) != constants.RecentConfigs {
 		t.Fatalf("every node gets %d", len(head.Recent))
 	}
@@ -232,7 +240,7 @@
 	if got := Recall(table, onNewest, []byte("old version")); got != NeverAccepted {
 		t.Errorf("an old version on top of the newest is recalled as %d; it can't have been accepted", got)
 	}
-	document := store.DecodeRow[schema.CatalogDocument](table.Get(store.DocumentKey))
+	document := store.DecodeRow[schema.CatalogDocument](table.Get(store.CatalogDocumentKey))
 	if want := fmt.Appendf(nil, "document %d", head.Version-1); document.Version != head.Version || !bytes.Equal(document.Document, want) {
 		t.Fatalf("document %d %q, want %q", document.Version, document.Document, want)
 	}
--- a/internal/statemachine/changes.go
+++ b/internal/statemachine/changes.go
@@ -64,7 +64,7 @@
 
 // isAssignment tells whether a row key is that of a region's default failover assignment, or of an entry's.
 func isAssignment(key string) bool {
-	if strings.HasPrefix(key, store.DefaultKey("")) {
+	if strings.HasPrefix(key, store.DefaultAssignmentKey("")) {
 		return true
 	}
 	parts := strings.SplitN(key, "/", 4)
