--- a/internal/controlplane/local.go
+++ b/internal/controlplane/local.go
@@ -1,7 +1,6 @@
 package controlplane
 
 import (
-	"slices"
 	"time"
 
 	"topazshed/internal/raft"
@@ -80,9 +79,7 @@
 	if c.quorum != nil {
 		c.describeLog(local)
 	}
-	if c.routed == nil {
-		local.PeersAt = c.peersAt()
-	}
+	local.PeersAt = c.workload.peersHeardAt()
 	return local
 }
 
@@ -101,28 +98,3 @@
 		local.FreshAt = c.quorum.LeadershipConfirmedAt()
 	}
 }
-
-// peersAt is the latest instant since which half of the region's ready nodes, this one among them, have been heard of; 0
-// is that they have not.
-func (c *Machine) peersAt() time.Duration {
-	count := 0
-	var heardAt []time.Duration
-	for id, node := range c.state.View().Nodes {
-		if node.Region != c.self.Region || node.State != schema.NodeState_NODE_READY {
-			continue
-		}
-		count++
-		if id != c.self.Id {
-			heardAt = append(heardAt, c.peers[id])
-		}
-	}
-	needed := count / 2
-	switch {
-	case needed > 0 && len(heardAt) >= needed:
-		slices.Sort(heardAt)
-		return heardAt[len(heardAt)-needed]
-	case needed == 0 && count > 0:
-		return c.now
-	}
-	return 0
-}
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -38,8 +38,8 @@
 	log     *slog.Logger
 	self    *schema.Node
 	speaks  protocolversion.Span
-	// routed is nil in a fleet of entries.
-	routed *routedState
+	// workload is what depends on whether the fleet carries entries or routes.
+	workload workload
 
 	// quorum and proposals are nil on a reader, which keeps no log.
 	quorum       *raft.Node
@@ -78,7 +78,6 @@
 func New(now time.Duration, options Options) *Machine {
 	c := &Machine{
 		options:   options,
-		timing:    timing.ForEntries(),
 		log:       options.Log,
 		self:      proto.Clone(options.Self).(*schema.Node),
 		speaks:    options.Speaks.OrOwn(),
@@ -88,10 +87,8 @@
 		now:       now,
 		tickedAt:  now,
 	}
-	if options.Routed != nil {
-		c.timing = timing.ForRoutes(options.Routed.Quiet)
-		c.routed = newRoutedState(options)
-	}
+	c.workload = newWorkload(c)
+	c.timing = c.workload.timing()
 	// The order of the draws is fixed: one seed is one history in the simulator.
 	c.heartbeats = c.newHeartbeatSender(c.firstSerial())
 	c.subscription = c.newSubscription(c.firstSerial())
@@ -116,7 +113,7 @@
 		Seeds:       c.options.Seeds,
 		Draw:        c.options.Draw,
 		Timing:      c.timing.Sampler,
-		PrefersHome: c.routed != nil,
+		PrefersHome: c.options.Routes != nil,
 	})
 }
 
@@ -125,7 +122,7 @@
 	c.guardState(c.state.Load(c.now, c.options.Snapshot))
 	c.quorum = raft.New(c.now, raft.Options{
 		ID:           c.self.Id,
-		HardState:    c.restored(c.options.Hard),
+		HardState:    c.workload.restorable(c.options.Hard),
 		Snapshot:     c.options.Snapshot,
 		Entries:      c.options.Items,
 		Draw:         c.options.Draw,
--- a/internal/controlplane/options.go
+++ b/internal/controlplane/options.go
@@ -26,9 +26,9 @@
 	Restart bool
 	// Rejoin says that the system was founded before, so that this node never founds one.
 	Rejoin bool
-	// Routed is set in a fleet of routes, and nil in a fleet of entries. Routes never send an attempt id twice, so that they
-	// need no reservations and no fences.
-	Routed *Routed
+	// Routes is set in a fleet of routes, and nil in a fleet of entries. Routes never send an attempt id twice, so that they
+	// need neither reservations nor fences.
+	Routes *RouteOptions
 	// Epoch is the time of day at which this node's clock would have stood at 0; records of failover assignments tell by it
 	// when they were made.
 	Epoch time.Time
--- a/internal/controlplane/receive.go
+++ b/internal/controlplane/receive.go
@@ -32,7 +32,7 @@
 	case *schema.Frame_ProbeResponse:
 		// noteSender has told the sampler that the sender responds.
 	case *schema.Frame_Heartbeat:
-		c.receiveHeartbeat(f, body.Heartbeat)
+		c.workload.receiveHeartbeat(f, body.Heartbeat)
 	case *schema.Frame_HeartbeatResponse:
 		c.takeHeartbeatResponse(f.Address, body.HeartbeatResponse)
 	case *schema.Frame_Subscribe:
--- a/internal/controlplane/replication.go
+++ b/internal/controlplane/replication.go
@@ -21,7 +21,7 @@
 		RenewEvery:  c.timing.SubscribeInterval,
 		DigestEvery: c.timing.DigestInterval,
 	}
-	if c.routed != nil {
+	if c.options.Routes != nil {
 		options.Base = store.RoutedPrefixes
 		options.BaseOnly = true
 		options.PrefersHome = true
@@ -39,7 +39,7 @@
 	if c.quorum.Role() == raft.Leader {
 		confirmation.Age = c.now - c.quorum.LeadershipConfirmedAt()
 	}
-	if c.routed != nil {
+	if c.options.Routes != nil {
 		confirmation.Leader = c.leader
 	}
 	return confirmation
