--- a/internal/controlplane/effects.go
+++ b/internal/controlplane/effects.go
@@ -38,10 +38,13 @@
 	if to == "" || to == c.self.Address {
 		return frame.Envelope{}, false
 	}
-	f.System, f.From, f.Address = c.bootstrap.System(), c.self.Id, c.self.Address
+	f.System = c.bootstrap.System()
+	f.From = c.self.Id
+	f.Address = c.self.Address
 	return frame.Envelope{To: to, Frame: f}, true
 }
 
+// sendAll adds the frames of a part to the effects, in their order.
 func (c *Machine) sendAll(envelopes []frame.Envelope) {
 	for _, envelope := range envelopes {
 		c.send(envelope.To, envelope.Frame)
