--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -33,7 +33,7 @@
 	for _, name := range f.names {
 		self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "g", Disk: name != "r", Incarnation: 1, State: schema.NodeState_NODE_READY}
 		f.cores[name] = New(f.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-			Routed: &Routed{HoldMost: 10 * time.Second, Zones: map[string]string{"z": "g", "y": "g"}, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+			Routes: &RouteOptions{LongestLease: 10 * time.Second, Zones: map[string]string{"z": "g", "y": "g"}, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 	}
 	f.run(8 * time.Second)
 	if f.leader() == "" || len(f.cores[f.leader()].quorum.Members().Voters) != 3 {
@@ -162,8 +162,8 @@
 				}
 			}
 			for _, name := range f.names {
-				if !f.isDown[name] && f.cores[name].view.Head.GetVersion() != c.head {
-					t.Errorf("%s holds version %d, want %d", name, f.cores[name].view.Head.GetVersion(), c.head)
+				if !f.isDown[name] && f.cores[name].state.View().Head.GetVersion() != c.head {
+					t.Errorf("%s holds version %d, want %d", name, f.cores[name].state.View().Head.GetVersion(), c.head)
 				}
 			}
 		})
@@ -201,7 +201,7 @@
 		t.Fatalf("%d of eight changes on one version were taken", winners)
 	}
 	for _, name := range f.names {
-		if f.cores[name].view.Route("h", "/"+winner+"/") == nil || len(f.cores[name].view.Hosts["h"]) != 1 {
+		if f.cores[name].state.View().Route("h", "/"+winner+"/") == nil || len(f.cores[name].state.View().Hosts["h"]) != 1 {
 			t.Errorf("%s does not hold exactly the winner's route", name)
 		}
 	}
@@ -249,7 +249,7 @@
 					}
 				}
 				for _, name := range f.names {
-					if got := f.cores[name].view.Zones["y"].GetEmptied(); got != c.want {
+					if got := f.cores[name].state.View().Zones["y"].GetEmptied(); got != c.want {
 						t.Errorf("%s: emptied %v, want %v", name, got, c.want)
 					}
 				}
@@ -291,7 +291,7 @@
 				t.Fatalf("again: %v", f.responses[again])
 			}
 			for _, name := range f.names {
-				if !f.isDown[name] && f.cores[name].view.Head.GetVersion() != 1 {
+				if !f.isDown[name] && f.cores[name].state.View().Head.GetVersion() != 1 {
 					t.Errorf("%s does not hold the configuration", name)
 				}
 			}
@@ -304,7 +304,7 @@
 	random := rand.New(rand.NewSource(int64(f.now)))
 	self := &schema.Node{Id: fmt.Sprintf("id-%s-%d", name, f.now), Address: name, Proxy: name, Admin: name, Zone: "z", Region: "g", Disk: true, Incarnation: uint64(f.now.Milliseconds()), State: schema.NodeState_NODE_READY}
 	f.cores[name] = New(f.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: random.Int63n, Rejoin: true, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+		Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 	f.isDown[name] = false
 }
 
@@ -373,7 +373,7 @@
 			core := f.cores[f.leader()]
 			former := configOf(2, 1, "two").Routes
 			digest := sha256.Sum256(former.Document)
-			if _, _, err := core.quorum.Propose(f.now, routes.Plan(core.table, former, digest[:])); err != nil {
+			if _, _, err := core.quorum.Propose(f.now, routes.Plan(core.state.Table(), former, digest[:])); err != nil {
 				t.Fatal(err)
 			}
 			ticket := f.order(f.leader(), c.order)
@@ -381,7 +381,7 @@
 			if got := f.refused(ticket); got != c.want {
 				t.Errorf("%v (%s), want %v", got, f.responses[ticket].Message, c.want)
 			}
-			if head := core.view.Head.GetVersion(); head != c.head {
+			if head := core.state.View().Head.GetVersion(); head != c.head {
 				t.Errorf("version %d is in force, want %d", head, c.head)
 			}
 		})
--- a/internal/controlplane/owners_test.go
+++ b/internal/controlplane/owners_test.go
@@ -19,7 +19,7 @@
 		t.Run(fmt.Sprint(c.backends), func(t *testing.T) {
 			self := &schema.Node{Id: "a", Address: "a", Zone: "d", Region: "r", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
 			core := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-				Routed: &Routed{HoldMost: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
+				Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.ServicePolicyKey("s"), &schema.ServicePolicy{Service: "s", Keyed: true})}}
 			for i := range c.backends {
 				name := fmt.Sprint("i", i)
@@ -29,7 +29,7 @@
 			for now := time.Hour; now < time.Hour+12*time.Second && leases == 0; now += tick {
 				core.Tick(now)
 				if core.IsLeading() && !isPut {
-					isPut = core.propose(record)
+					isPut = core.proposals.Propose(core.now, record)
 				}
 				for range 8 {
 					effects := core.Take()
@@ -44,7 +44,7 @@
 					core.Synced(now, effects)
 				}
 				spans := 0
-				core.table.Each("s/s/", func(row *schema.Row) {
+				core.state.Table().Each("s/s/", func(row *schema.Row) {
 					if strings.Contains(row.Key, "/span/") {
 						spans++
 					}
--- a/internal/controlplane/replication.go
+++ b/internal/controlplane/replication.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"topazshed/internal/frame"
 	"topazshed/internal/raft"
 	"topazshed/internal/replication"
 	"topazshed/internal/schema"
@@ -22,13 +21,13 @@
 		RenewEvery:  c.timing.SubscribeInterval,
 		DigestEvery: c.timing.DigestInterval,
 	}
-	if c.routed != nil {
+	if c.options.Routes != nil {
 		options.Base = store.RoutedPrefixes
 		options.BaseOnly = true
 		options.PrefersHome = true
 		options.RemoteAfter = c.timing.RemoteSourceAfter
 	}
-	return replication.NewSubscription(options, c.table, fleetView{c})
+	return replication.NewSubscription(options, c.state.Table(), fleetView{c})
 }
 
 // confirmation is what this node may tell its subscribers about its rows now.
@@ -40,7 +39,7 @@
 	if c.quorum.Role() == raft.Leader {
 		confirmation.Age = c.now - c.quorum.LeadershipConfirmedAt()
 	}
-	if c.routed != nil {
+	if c.options.Routes != nil {
 		confirmation.Leader = c.leader
 	}
 	return confirmation
@@ -79,12 +78,6 @@
 	return c.state.FreshAt()
 }
 
-func (c *Machine) sendAll(envelopes []frame.Envelope) {
-	for _, envelope := range envelopes {
-		c.send(envelope.To, envelope.Frame)
-	}
-}
-
 // Want asks for the rows of a service for the next minutes; a node that keeps the log has all rows.
 func (c *Machine) Want(now time.Duration, service string) {
 	c.now = now
