--- a/internal/controlplane/pass_on_test.go
+++ b/internal/controlplane/forward_test.go
@@ -27,7 +27,7 @@
 		{"the leader answers", []step{{leader: "l", sends: 0}, {after: 420 * ms, sends: 1}, {answer: &schema.OperatorResponse{Version: 7}, isDone: true}}},
 		{"a leader is known after a while", []step{{after: 420 * ms}, {after: 200 * ms, leader: "l"}, {after: 220 * ms, sends: 1}, {answer: &schema.OperatorResponse{}, isDone: true}}},
 		{"the former leader was asked", []step{{leader: "old"}, {after: 420 * ms, sends: 1}, {answer: noLeader}, {after: 20 * ms, leader: "new"}, {after: 100 * ms, sends: 1}, {answer: &schema.OperatorResponse{}, isDone: true}}},
-		{"the query was lost on its way", []step{{leader: "l"}, {after: 420 * ms, sends: 1}, {after: 420 * ms, sends: 1}, {answer: &schema.OperatorResponse{}, isDone: true}}},
+		{"the request was lost on its way", []step{{leader: "l"}, {after: 420 * ms, sends: 1}, {after: 420 * ms, sends: 1}, {answer: &schema.OperatorResponse{}, isDone: true}}},
 		{"there is no leader", []step{{after: 420 * ms}, {after: 420 * ms}, {after: 420 * ms, refusal: schema.RefusalKind_REFUSAL_NO_LEADER, isDone: true}}},
 		{"nobody leads to the end", []step{{leader: "l"}, {after: 420 * ms, sends: 1}, {after: 480 * ms, sends: 1}, {after: 100 * ms}, {answer: noLeader, refusal: schema.RefusalKind_REFUSAL_NO_LEADER, isDone: true}}},
 	} {
@@ -62,18 +62,18 @@
 					}
 				}
 				if sends != s.sends {
-					t.Fatalf("step %d: passed on %d times, want %d", i, sends, s.sends)
+					t.Fatalf("step %d: forwarded %d times, want %d", i, sends, s.sends)
 				}
 				if isDone := len(effects.Responses) > 0; isDone != s.isDone || isDone && effects.Responses[0].Response.Refusal != s.refusal {
-					t.Fatalf("step %d: outcomes %v", i, effects.Responses)
+					t.Fatalf("step %d: responses %v", i, effects.Responses)
 				}
 			}
 		})
 	}
 }
 
-// An answer is given to a caller only if it comes from a node that the order was passed on to, and bears the number of an order that waits:
-// numbers of another life, of others' orders or of answered ones belong to nobody here.
+// A response is given to a caller only if it comes from a node that the request was forwarded to, and bears the number of
+// a pending request: numbers of another incarnation, of others' requests or of answered ones belong to nobody here.
 func TestAnAnswerGoesToNoOtherCaller(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -83,8 +83,8 @@
 	}{
 		{"from the node asked", "l", 5, true},
 		{"from another node", "other", 5, false},
-		{"to an order of another life", "l", 4, false},
-		{"to an order that is not there", "l", 6, false},
+		{"to a request of another incarnation", "l", 4, false},
+		{"to a request that is not there", "l", 6, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Hour
@@ -102,7 +102,7 @@
 				t.Fatal("an answer was given twice")
 			}
 			if staleResponses := core.Local().StaleResponses; c.want && staleResponses != 1 || !c.want && staleResponses != 2 {
-				t.Errorf("%d strays are counted", staleResponses)
+				t.Errorf("%d stale responses are counted", staleResponses)
 			}
 		})
 	}
--- a/internal/controlplane/load_bench_test.go
+++ b/internal/controlplane/load_bench_test.go
@@ -18,7 +18,7 @@
 	request := configOf(1, 0, "copper")
 	request.Routes.Services = append(request.Routes.Services, &schema.ServicePolicy{Service: "nickel", Keyed: true})
 	request.Routes.Routes = append(request.Routes.Routes, &schema.Route{Name: "n", Host: "h", Prefix: "/n/", TimeoutMs: 1000, Targets: []*schema.Target{{Service: "nickel", Weight: 1}}})
-	f.order(f.leader(), request)
+	f.operate(f.leader(), request)
 	f.run(time.Second)
 	var items []discovery.Listed
 	for i := range backends {
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/requests_test.go
@@ -89,8 +89,8 @@
 	return names[nth%len(names)]
 }
 
-// order gives a request to a machine, and its ticket.
-func (f *fleet) order(at string, request *schema.OperatorRequest) operations.Ticket {
+// operate gives a request to a machine, and gives its ticket.
+func (f *fleet) operate(at string, request *schema.OperatorRequest) operations.Ticket {
 	f.ticket++
 	f.cores[at].Operate(f.now, f.ticket, request)
 	return f.ticket
@@ -100,7 +100,7 @@
 	f.t.Helper()
 	response := f.responses[ticket]
 	if response == nil {
-		f.t.Fatalf("order %d has no answer", ticket)
+		f.t.Fatalf("request %d has no answer", ticket)
 	}
 	return response.Refusal
 }
@@ -117,11 +117,11 @@
 	invalid  = schema.RefusalKind_REFUSAL_INVALID
 )
 
-func TestOrdersOfConfigurations(t *testing.T) {
+func TestRequestsOfConfigurations(t *testing.T) {
 	type put struct {
 		generation, base uint64
 		text             string
-		// at is whom the order is given to: leader, or another by number.
+		// at is whom the request is given to: leader, or another by number.
 		at   int
 		want schema.RefusalKind
 	}
@@ -130,7 +130,7 @@
 	for _, c := range []struct {
 		name string
 		puts []put
-		// isLeaderLost ends the leader before the last order.
+		// isLeaderLost ends the leader before the last request.
 		isLeaderLost bool
 		head         uint64
 	}{
@@ -155,10 +155,10 @@
 				if p.at != leader {
 					at = f.other(p.at)
 				}
-				ticket := f.order(at, configOf(p.generation, p.base, p.text))
+				ticket := f.operate(at, configOf(p.generation, p.base, p.text))
 				f.run(time.Second)
 				if got := f.refused(ticket); got != p.want {
-					t.Fatalf("order %d, %s on %d: %v (%s), want %v", i, p.text, p.base, got, f.responses[ticket].Message, p.want)
+					t.Fatalf("request %d, %s on %d: %v (%s), want %v", i, p.text, p.base, got, f.responses[ticket].Message, p.want)
 				}
 			}
 			for _, name := range f.names {
@@ -170,9 +170,9 @@
 	}
 }
 
-func TestEightOrdersAtOnce(t *testing.T) {
+func TestEightRequestsAtOnce(t *testing.T) {
 	f := newFleet(t)
-	first := f.order(f.leader(), configOf(1, 0, "one"))
+	first := f.operate(f.leader(), configOf(1, 0, "one"))
 	f.run(time.Second)
 	if f.refused(first) != taken {
 		t.Fatal(f.responses[first])
@@ -183,7 +183,7 @@
 		if i%3 > 0 {
 			at = f.other(i)
 		}
-		tickets = append(tickets, f.order(at, configOf(2, 1, fmt.Sprintf("of-%d", i))))
+		tickets = append(tickets, f.operate(at, configOf(2, 1, fmt.Sprintf("of-%d", i))))
 	}
 	f.run(2 * time.Second)
 	winners, winner := 0, ""
@@ -194,7 +194,7 @@
 			winner = fmt.Sprintf("of-%d", i)
 		case conflict:
 		default:
-			t.Errorf("order %d: %v", i, got)
+			t.Errorf("request %d: %v", i, got)
 		}
 	}
 	if winners != 1 {
@@ -207,7 +207,7 @@
 	}
 	for i, ticket := range tickets {
 		text := fmt.Sprintf("of-%d", i)
-		again := f.order(f.other(i), configOf(2, 1, text))
+		again := f.operate(f.other(i), configOf(2, 1, text))
 		f.run(time.Second)
 		if f.refused(again) != f.refused(ticket) {
 			t.Errorf("%s again: %v, first %v", text, f.refused(again), f.refused(ticket))
@@ -215,12 +215,12 @@
 	}
 }
 
-func TestOrdersOfZonesAgain(t *testing.T) {
+func TestRequestsOfZonesAgain(t *testing.T) {
 	empty, restore := schema.OperatorKind_OPERATOR_EMPTY, schema.OperatorKind_OPERATOR_RESTORE
 	for _, c := range []struct {
-		name   string
-		orders []schema.OperatorKind
-		want   bool
+		name     string
+		requests []schema.OperatorKind
+		want     bool
 	}{
 		{"emptied", []schema.OperatorKind{empty}, true},
 		{"emptied twice", []schema.OperatorKind{empty, empty}, true},
@@ -232,12 +232,12 @@
 			t.Run(fmt.Sprint(c.name, " at once ", isAtOnce), func(t *testing.T) {
 				f := newFleet(t)
 				var tickets []operations.Ticket
-				for i, kind := range c.orders {
+				for i, kind := range c.requests {
 					at := f.leader()
 					if !isAtOnce && i%2 > 0 {
 						at = f.other(i)
 					}
-					tickets = append(tickets, f.order(at, &schema.OperatorRequest{Kind: kind, Zone: "y", Reason: "operator"}))
+					tickets = append(tickets, f.operate(at, &schema.OperatorRequest{Kind: kind, Zone: "y", Reason: "operator"}))
 					if !isAtOnce {
 						f.run(time.Second)
 					}
@@ -245,7 +245,7 @@
 				f.run(time.Second)
 				for _, ticket := range tickets {
 					if got := f.refused(ticket); got != taken {
-						t.Errorf("order %d: %v", ticket, got)
+						t.Errorf("request %d: %v", ticket, got)
 					}
 				}
 				for _, name := range f.names {
@@ -255,7 +255,7 @@
 				}
 				f.isDown[f.leader()] = true
 				f.run(5 * time.Second)
-				again := f.order(f.other(0), &schema.OperatorRequest{Kind: c.orders[len(c.orders)-1], Zone: "y", Reason: "operator"})
+				again := f.operate(f.other(0), &schema.OperatorRequest{Kind: c.requests[len(c.requests)-1], Zone: "y", Reason: "operator"})
 				f.run(time.Second)
 				if got := f.refused(again); got != taken {
 					t.Errorf("the last again, after the leader was lost: %v", got)
@@ -265,8 +265,8 @@
 	}
 }
 
-// A leader that is stopped in the middle of an order still has it taken, or taken when it is given again.
-func TestALeaderStopsDuringAnOrder(t *testing.T) {
+// A request whose leader is stopped in the middle of it is accepted, or is when it is repeated.
+func TestALeaderStopsDuringARequest(t *testing.T) {
 	for _, after := range []time.Duration{0, 20 * time.Millisecond, 40 * time.Millisecond, 200 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			f := newFleet(t)
@@ -274,7 +274,7 @@
 			if after == 0 {
 				f.cores[leader].Stop(f.now)
 			}
-			ticket := f.order(leader, configOf(1, 0, "one"))
+			ticket := f.operate(leader, configOf(1, 0, "one"))
 			if after > 0 {
 				f.run(after)
 				f.cores[leader].Stop(f.now)
@@ -285,7 +285,7 @@
 			}
 			f.isDown[leader] = true
 			f.run(4 * time.Second)
-			again := f.order(f.other(0), configOf(1, 0, "one"))
+			again := f.operate(f.other(0), configOf(1, 0, "one"))
 			f.run(time.Second)
 			if f.refused(again) != taken {
 				t.Fatalf("again: %v", f.responses[again])
@@ -316,7 +316,7 @@
 			f := newFleet(t)
 			version := uint64(0)
 			for round := range 4 {
-				ticket := f.order(f.leader(), configOf(version+1, version, fmt.Sprint("of-", round)))
+				ticket := f.operate(f.leader(), configOf(version+1, version, fmt.Sprint("of-", round)))
 				f.run(time.Second)
 				if f.refused(ticket) != taken {
 					t.Fatalf("round %d: %v", round, f.responses[ticket])
@@ -340,7 +340,7 @@
 				if voters := f.cores[leader].quorum.Members().Voters; len(voters) != 3 {
 					t.Fatalf("round %d: voters %v 4 s after the return of %s", round, voters, lost)
 				}
-				again := f.order(leader, configOf(version, version-1, fmt.Sprint("of-", round)))
+				again := f.operate(leader, configOf(version, version-1, fmt.Sprint("of-", round)))
 				f.run(time.Second)
 				if f.refused(again) != taken {
 					t.Fatalf("round %d: what was taken is lost: %v", round, f.responses[again])
@@ -350,22 +350,23 @@
 	}
 }
 
-// A former leader's proposal of an order may stand in the log, not yet applied, when the same order or another one comes to its successor, which
-// proposes it too: the second record is void. The same order was taken then, and only another one has lost.
-func TestAnOrderWhoseRecordIsVoidIsDecidedAnew(t *testing.T) {
+// A former leader's proposal may stand in the log, not yet applied, when the same request or another one comes to its
+// successor, which proposes it too: the second record is void. The same request was accepted then, and only another one
+// has lost.
+func TestARequestWhoseRecordIsVoidIsDecidedAnew(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		order *schema.OperatorRequest
-		want  schema.RefusalKind
-		head  uint64
+		name    string
+		request *schema.OperatorRequest
+		want    schema.RefusalKind
+		head    uint64
 	}{
-		{"the same order", configOf(2, 1, "two"), taken, 2},
+		{"the same request", configOf(2, 1, "two"), taken, 2},
 		{"another under its number", configOf(2, 1, "too"), conflict, 2},
 		{"one that builds on it", configOf(3, 2, "three"), taken, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t)
-			first := f.order(f.leader(), configOf(1, 0, "one"))
+			first := f.operate(f.leader(), configOf(1, 0, "one"))
 			f.run(time.Second)
 			if f.refused(first) != taken {
 				t.Fatal(f.responses[first])
@@ -376,7 +377,7 @@
 			if _, _, err := core.quorum.Propose(f.now, routes.Plan(core.state.Table(), former, digest[:])); err != nil {
 				t.Fatal(err)
 			}
-			ticket := f.order(f.leader(), c.order)
+			ticket := f.operate(f.leader(), c.request)
 			f.run(2 * time.Second)
 			if got := f.refused(ticket); got != c.want {
 				t.Errorf("%v (%s), want %v", got, f.responses[ticket].Message, c.want)
@@ -389,11 +390,11 @@
 }
 
 // What was taken is known after hundreds of further changes, also to machines that were started again meanwhile.
-func TestAnOrderIsKnownAfterHundredsOfChanges(t *testing.T) {
+func TestARequestIsKnownAfterHundredsOfChanges(t *testing.T) {
 	f := newFleet(t)
 	const changes = 300
 	for version := range uint64(changes) {
-		ticket := f.order(f.leader(), configOf(version+1, version, fmt.Sprint("of-", version+1)))
+		ticket := f.operate(f.leader(), configOf(version+1, version, fmt.Sprint("of-", version+1)))
 		f.run(100 * time.Millisecond)
 		if f.refused(ticket) != taken {
 			t.Fatalf("version %d: %v", version+1, f.responses[ticket])
@@ -402,8 +403,8 @@
 	f.isDown[f.leader()] = true
 	f.run(5 * time.Second)
 	for _, version := range []uint64{1, 2, 64, changes - 64, changes - 1, changes} {
-		same := f.order(f.other(0), configOf(version, version-1, fmt.Sprint("of-", version)))
-		other := f.order(f.leader(), configOf(version, version-1, "another"))
+		same := f.operate(f.other(0), configOf(version, version-1, fmt.Sprint("of-", version)))
+		other := f.operate(f.leader(), configOf(version, version-1, "another"))
 		f.run(time.Second)
 		if f.refused(same) != taken || f.refused(other) != conflict {
 			t.Errorf("version %d again: %v; another under its number: %v", version, f.responses[same], f.responses[other])
--- a/internal/controlplane/zones_test.go
+++ b/internal/controlplane/zones_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if len(core.state.View().Zones) != 182 || len(core.state.View().Regions) != 46 || len(core.state.View().Groups) < 46 || len(core.state.View().DefaultAssignments) != 46 {
-		t.Errorf("%d districts, %d regions, %d groups, %d standings, want 182, 46, 46 or more and 46", len(core.state.View().Zones), len(core.state.View().Regions), len(core.state.View().Groups), len(core.state.View().DefaultAssignments))
+		t.Errorf("%d zones, %d regions, %d groups, %d default assignments, want 182, 46, 46 or more and 46", len(core.state.View().Zones), len(core.state.View().Regions), len(core.state.View().Groups), len(core.state.View().DefaultAssignments))
 	}
 }
 
@@ -72,7 +72,7 @@
 				}
 			}
 			if response == nil || response.Refusal != c.refusal || len(core.state.View().Zones) != c.known {
-				t.Fatalf("outcome %v, %d districts, want %v and %d", response, len(core.state.View().Zones), c.refusal, c.known)
+				t.Fatalf("response %v, %d zones, want %v and %d", response, len(core.state.View().Zones), c.refusal, c.known)
 			}
 			if got := core.state.View().Zones[c.zone].GetEmptied(); got != (c.refusal == schema.RefusalKind_REFUSAL_NONE) {
 				t.Fatalf("emptied: %v", got)
