--- a/internal/proxy/machine_forward.go
+++ b/internal/proxy/machine_forward.go
@@ -100,9 +100,9 @@
 		sealed := &Result{Status: result.Status, Header: responseHeader(result.Header), Body: result.Body}
 		return Order{Kind: OrderReply, Result: sealed, KeepsConn: true}
 	}
-	refusal := forwardedRefusal(result)
+	refusal, kind := forwardedRefusal(result)
 	// That proxy is no longer the owner's, or does not know yet that it is.
-	mayRepeat := refusal.Result == ResultRefused && (refusal.Kind == kindMoved || refusal.Kind == kindBehind)
+	mayRepeat := refusal.Result == ResultRefused && (kind == kindMoved || kind == kindBehind)
 	order := m.endForward(refusal, mayRepeat)
 	order.KeepsConn = true
 	return order
@@ -131,9 +131,9 @@
 	}
 }
 
-// forwardedRefusal is the refusal that another proxy responded with.
-func forwardedRefusal(result *Result) *RefusalError {
-	refusal := &RefusalError{
+// forwardedRefusal is the refusal that another proxy responded with, and the kind that it gave, as far as its body could be read.
+func forwardedRefusal(result *Result) (refusal *RefusalError, kind string) {
+	refusal = &RefusalError{
 		Status:  result.Status,
 		Kind:    kindForwarded,
 		Result:  ResultAmbiguous,
@@ -150,7 +150,7 @@
 	if seconds, err := strconv.Atoi(result.Header.Get("Retry-After")); err == nil {
 		refusal.RetryAfter = time.Duration(seconds) * time.Second
 	}
-	return refusal
+	return refusal, body.Kind
 }
 
 // endForward ends the request with a refusal, or forwards it again after a pause. One that may have run needs the repeat budget for that.
