--- a/internal/controlplane/entry_workload.go
+++ b/internal/controlplane/entry_workload.go
@@ -13,7 +13,8 @@
 
 func (w *entryWorkload) timing() timing.Timing { return timing.ForEntries() }
 
-// restorable leaves out the commit index: a node must not hold its last state, since a leader that has not settled yet would seem to confirm it.
+// restorable leaves out the commit index: a node must not hold its last state, since a leader that has not settled yet
+// would seem to confirm it.
 func (w *entryWorkload) restorable(hard *schema.HardState) *schema.HardState {
 	if hard == nil {
 		return nil
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -9,7 +9,6 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/bootstrap"
-	"topazshed/internal/discovery"
 	"topazshed/internal/heartbeat"
 	"topazshed/internal/inflight"
 	"topazshed/internal/leader"
@@ -134,16 +133,6 @@
 	}
 }
 
-// SetListRead takes a read of the platform's list; only the leader uses it.
-func (c *Machine) SetListRead(now time.Duration, sweep discovery.ListRead) {
-	c.now = now
-	c.listFault = sweep.Reason
-	if sweep.IsWhole {
-		c.listAt = now
-	}
-	c.duties.Take(now, leader.ListRead{ListRead: sweep})
-}
-
 // SlowDisk tells that a sync took too long or failed; a leader hands over.
 func (c *Machine) SlowDisk(now time.Duration) {
 	if c.quorum != nil && c.quorum.Role() == raft.Leader {
--- a/internal/controlplane/platform.go
+++ b/internal/controlplane/platform.go
@@ -8,18 +8,29 @@
 	"topazshed/internal/sharding"
 )
 
-// SetListing takes a read of the platform's list of a routed fleet; only the leader uses it.
+// SetListRead takes a read of the platform's list by a fleet of entries; only the leader plans on it.
+func (c *Machine) SetListRead(now time.Duration, read discovery.ListRead) {
+	c.noteListRead(now, read.IsWhole, read.Reason)
+	c.duties.Take(now, leader.ListRead{ListRead: read})
+}
+
+// SetListing takes a read of the platform's list by a fleet of routes; only the leader plans on it.
 func (c *Machine) SetListing(now time.Duration, listing discovery.Listing) {
-	c.now = now
-	c.listFault = listing.Reason
-	if listing.IsWhole {
-		c.listAt = now
-	}
+	c.noteListRead(now, listing.IsWhole, listing.Reason)
 	if c.IsLeading() {
 		c.duties.Take(now, leader.Listing{Listing: listing})
 	}
 }
 
+// noteListRead keeps when the list was last read whole, and why the newest read is not.
+func (c *Machine) noteListRead(now time.Duration, isWhole bool, reason string) {
+	c.now = now
+	c.listFault = reason
+	if isWhole {
+		c.listAt = now
+	}
+}
+
 // SetDead tells that a back end's process has surely ended, so that it owns no shards any more.
 func (c *Machine) SetDead(instance string) {
 	c.duties.Take(c.now, leader.BackendEnded{Instance: instance})
--- a/internal/controlplane/route_workload.go
+++ b/internal/controlplane/route_workload.go
@@ -25,12 +25,13 @@
 	FitsWhole func(*schema.Snapshot) bool
 	// Load gives the load of shards, by key, since it was last asked; nil is none.
 	Load func(since time.Duration) []*schema.ShardLoad
-	// HealthReports gives the back ends that failed this node's requests, or served them although they are marked as failing, since it was last
-	// asked; nil is none.
+	// HealthReports gives the back ends that failed this node's requests, or served them although they are marked as
+	// failing, since it was last asked; nil is none.
 	HealthReports func() []*schema.HealthReport
 }
 
-// routeWorkload is the workload of a fleet that carries routes: nodes report through relays, and nobody needs a lease to serve.
+// routeWorkload is the workload of a fleet that carries routes: nodes report through relays, and nobody needs a lease
+// to serve.
 type routeWorkload struct{ machine *Machine }
 
 func (w *routeWorkload) timing() timing.Timing {
--- a/internal/leader/endpoints.go
+++ b/internal/leader/endpoints.go
@@ -5,7 +5,8 @@
 	"topazshed/internal/schema"
 )
 
-// entryEndpoints keeps the rows of back ends of a fleet of entries in line with the platform's list and with the nodes' probes.
+// entryEndpoints keeps the rows of back ends of a fleet of entries in line with the platform's list and with the nodes'
+// probes.
 type entryEndpoints struct {
 	list *discovery.Endpoints
 	// read is the newest read of the list that is not planned on yet, or nil.
@@ -23,7 +24,8 @@
 	}
 }
 
-// routeEndpoints keeps the rows of back ends of a fleet of routes in line with the platform's list, and ejects outliers.
+// routeEndpoints keeps the rows of back ends of a fleet of routes in line with the platform's list, and ejects
+// outliers.
 type routeEndpoints struct {
 	watch         *discovery.Watch
 	outlierQuorum *discovery.OutlierQuorum
--- a/internal/leader/entries.go
+++ b/internal/leader/entries.go
@@ -39,8 +39,8 @@
 
 func (e *entries) resigned() {}
 
-// plan performs the duties in the order in which one rests on the other: back ends, replicas of reservations, slots, failover assignments. A
-// new leader of a fleet that has services waits until it has heard of all nodes.
+// plan performs the duties in the order in which one rests on the other: back ends, replicas of reservations, slots,
+// failover assignments. A new leader of a fleet that has services waits until it has heard of all nodes.
 func (e *entries) plan(t *turn) []LeaseCall {
 	if t.sinceElected() < constants.FailoverSettle && len(t.View.Services) > 0 {
 		return nil
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// planEntryAssignments proposes the failover assignments of a fleet of entries. One that follows another is fenced until no lease on a state
-// before it is left.
+// planEntryAssignments proposes the failover assignments of a fleet of entries. One that follows another is fenced
+// until no lease on a state before it is left.
 func planEntryAssignments(t *turn, signer signer) {
 	released := func(index uint64) (bool, uint64) { return t.fleet.Released(t.State, raft.Index(index)) }
 	for _, record := range failover.PlanEntries(t.View, t.Table, released) {
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -21,7 +21,8 @@
 	OldestIndex raft.Index
 	// Suspects are the nodes that don't answer its probes.
 	Suspects []string
-	// ReplicaSet is the number of the newest replica set that the node knows, and IsReplicaReady tells whether it serves as a replica of it.
+	// ReplicaSet is the number of the newest replica set that the node knows, and IsReplicaReady tells whether it
+	// serves as a replica of it.
 	ReplicaSet     uint64
 	IsReplicaReady bool
 	// LeaseUntil is when the newest lease given to the node lapses at the latest, by this leader's clock.
@@ -33,8 +34,9 @@
 	return now-r.LastHeard <= constants.NodeLostAfter
 }
 
-// Fleet is the leader's registry of the nodes that report to it, with the leases that it has given them. It is empty at a node that doesn't
-// lead. Nothing of it is replicated: a new leader waits until the leases of its predecessor must have lapsed.
+// Fleet is the leader's registry of the nodes that report to it, with the leases that it has given them. It is empty at
+// a node that doesn't lead. Nothing of it is replicated: a new leader waits until the leases of its predecessor must
+// have lapsed.
 type Fleet struct {
 	nodes map[string]*NodeRecord
 	// releasedAt holds when the leases given before an index were first seen to have ended.
@@ -59,8 +61,8 @@
 // Node gives what was heard from a node, or nil if nothing was.
 func (f *Fleet) Node(id string) *NodeRecord { return f.nodes[id] }
 
-// Describe completes the description in a heartbeat. Most heartbeats name only a node's identity, state and incarnation; the rest is known from
-// an earlier one or from the node's row. It gives nil if it is not known.
+// Describe completes the description in a heartbeat. Most heartbeats name only a node's identity, state and
+// incarnation; the rest is known from an earlier one or from the node's row. It gives nil if it is not known.
 func (f *Fleet) Describe(node, row *schema.Node) *schema.Node {
 	if node.GetAddress() != "" {
 		return node
@@ -112,8 +114,8 @@
 	return at
 }
 
-// Released tells whether no node can act any more by a lease on a state older than an index: each has reported the index or its lease has
-// lapsed. It also gives since when, in milliseconds.
+// Released tells whether no node can act any more by a lease on a state older than an index: each has reported the
+// index or its lease has lapsed. It also gives since when, in milliseconds.
 func (f *Fleet) Released(state State, index raft.Index) (isReleased bool, sinceMillis uint64) {
 	for id := range state.View.Nodes {
 		record := f.nodes[id]
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,11 +1,14 @@
-// Package leader holds the duties of the node that leads the control plane: who keeps the log, which nodes there are and which leases they have,
-// which version the fleet uses, which back ends there are, who owns which shard, and which proxy group is active.
+// Package leader holds the duties of the node that leads the control plane: who keeps the log, which nodes there are
+// and which leases they have, which version the fleet uses, which back ends there are, who owns which shard, and which
+// proxy group is active.
 //
-// A Leader owns what the leader has heard and what it has planned; none of that is replicated, and a leader that resigns forgets it. It changes
-// the replicated state only by records that it proposes to the log. It has no sockets, files or clocks: the control machine calls it with the
-// time, from one goroutine, and sends the lease calls that it gives back.
+// A Leader owns what the leader has heard and what it has planned; none of that is replicated, and a leader that
+// resigns forgets it. It changes the replicated state only by records that it proposes to the log. It has no sockets,
+// files or clocks: the control machine calls it with the time, from one goroutine, and sends the lease calls that it
+// gives back.
 //
-// Each duty has a file of its own. What depends on whether the fleet carries entries or routes lies behind the interface workload.
+// Each duty has a file of its own. What depends on whether the fleet carries entries or routes lies behind the
+// interface workload.
 package leader
 
 import (
@@ -37,10 +40,11 @@
 	Term() raft.Term
 }
 
-// Proposer hands records of rows to the log and knows which rows have a proposal in flight; *proposals.Proposer implements it.
+// Proposer hands records of rows to the log and knows which rows have a proposal in flight; *proposals.Proposer
+// implements it.
 type Proposer interface {
-	// Propose hands a record to the log; it tells whether it did. It doesn't if there is nothing to change, or if one of the rows has a
-	// proposal in flight.
+	// Propose hands a record to the log; it tells whether it did. It doesn't if there is nothing to change, or if one
+	// of the rows has a proposal in flight.
 	Propose(now time.Duration, record *schema.Record) bool
 	// IsInFlight tells whether a row has a proposal in flight.
 	IsInFlight(key string) bool
@@ -139,8 +143,8 @@
 	}
 }
 
-// TakeHeartbeat takes a node's heartbeat. It tells whether the leader accepts it: the node must be known or describe itself, and must speak what
-// the fleet uses.
+// TakeHeartbeat takes a node's heartbeat. It tells whether the leader accepts it: the node must be known or describe
+// itself, and must speak what the fleet uses.
 func (l *Leader) TakeHeartbeat(state State, heartbeat *schema.Heartbeat) bool {
 	reported := heartbeat.Node
 	if reported == nil || reported.Address != "" && !l.isFit(state, reported) {
@@ -159,8 +163,9 @@
 	return true
 }
 
-// GrantLease gives a node whose row is in place a lease to serve by the rows that it has, and tells its length; 0 is none. The node must have
-// applied the newest fence. The lease ends while a majority certainly still followed this leader.
+// GrantLease gives a node whose row is in place a lease to serve by the rows that it has, and tells its length; 0 is
+// none. The node must have applied the newest fence. The lease ends while a majority certainly still followed this
+// leader.
 func (l *Leader) GrantLease(state State, id string, newestFence raft.Index) time.Duration {
 	row, record := state.View.Nodes[id], l.fleet.Node(id)
 	isInPlace := row != nil && record != nil && row.State == record.Node.State && row.State != schema.NodeState_NODE_LOST
@@ -175,8 +180,8 @@
 	return length
 }
 
-// Step performs the duties if they are due: members of the log first, then nodes, then the fleet's version, then what the fleet carries. It
-// gives the lease calls that must be sent to back ends.
+// Step performs the duties if they are due: members of the log first, then nodes, then the fleet's version, then what
+// the fleet carries. It gives the lease calls that must be sent to back ends.
 func (l *Leader) Step(state State) []LeaseCall {
 	if state.Now-l.plannedAt < constants.FailoverPlanEvery {
 		return nil
@@ -194,7 +199,8 @@
 	})
 }
 
-// ToleratedLosses gives how many more voters may be lost before there is no majority, and the voters that are unresponsive already.
+// ToleratedLosses gives how many more voters may be lost before there is no majority, and the voters that are
+// unresponsive already.
 func (l *Leader) ToleratedLosses(state State) (tolerated uint32, unresponsive []string) {
 	return ToleratedLosses(l.membershipFacts(state))
 }
--- a/internal/leader/node_rows.go
+++ b/internal/leader/node_rows.go
@@ -40,7 +40,8 @@
 
 // Error names the node and both regions.
 func (e *ZoneConflictError) Error() string {
-	return fmt.Sprintf("node %s puts zone %s into region %s, but it belongs to region %s; mend the node's settings", e.Node, e.Zone, e.Region, e.KnownRegion)
+	return fmt.Sprintf("node %s puts zone %s into region %s, but it belongs to region %s; mend the node's settings",
+		e.Node, e.Zone, e.Region, e.KnownRegion)
 }
 
 // NodePlan is what a look at the fleet has found.
@@ -77,7 +78,8 @@
 	newest map[string]uint64
 }
 
-// PlanNodes brings the rows of the system, of zones, regions and nodes in line with what was heard. It forgets the nodes whose rows it deletes.
+// PlanNodes brings the rows of the system, of zones, regions and nodes in line with what was heard. It forgets the
+// nodes whose rows it deletes.
 func (f *Fleet) PlanNodes(facts NodeFacts) NodePlan {
 	p := &nodePlanner{NodeFacts: facts, fleet: f, change: newChange(facts.Table, "nodes")}
 	p.readPlaces()
@@ -189,7 +191,8 @@
 	}
 }
 
-// isLost tells whether a node counts as lost: enough others suspect it too, or nothing was heard of it for twice as long.
+// isLost tells whether a node counts as lost: enough others suspect it too, or nothing was heard of it for twice as
+// long.
 func (p *nodePlanner) isLost(sinceHeard time.Duration, suspicions int) bool {
 	if sinceHeard > 2*p.Rules.LostAfter {
 		return true
@@ -197,7 +200,8 @@
 	return sinceHeard > p.Rules.LostAfter && suspicions >= constants.SuspectWitnesses
 }
 
-// isGoneForGood tells whether a node without a disk is gone: it was stopping and nothing of its lease is left, or it was not heard of for long.
+// isGoneForGood tells whether a node without a disk is gone: it was stopping and nothing of its lease is left, or it
+// was not heard of for long.
 func isGoneForGood(row *schema.Node, sinceHeard time.Duration) bool {
 	hasLapsed := sinceHeard > constants.LeaseDuration+constants.LeaseClockMargin+constants.ReservationWindow
 	return hasLapsed && row.State == schema.NodeState_NODE_STOPPING || sinceHeard > forgetNodeAfter
--- a/internal/leader/replicasets.go
+++ b/internal/leader/replicasets.go
@@ -11,7 +11,8 @@
 	"topazshed/internal/store"
 )
 
-// replicaSettle is how long a node must have been heard of before it becomes a replica: nodes that start together join in one change.
+// replicaSettle is how long a node must have been heard of before it becomes a replica: nodes that start together join
+// in one change.
 const replicaSettle = 2 * time.Second
 
 // replicaCandidates are the nodes that should be the replicas of a region.
@@ -23,8 +24,8 @@
 	isCatchingUp bool
 }
 
-// PlanReplicaSets gives one record for each region whose replicas of reservations should change now. A set that follows another one is fenced
-// until no node can rely on the former one any more.
+// PlanReplicaSets gives one record for each region whose replicas of reservations should change now. A set that follows
+// another one is fenced until no node can rely on the former one any more.
 func (f *Fleet) PlanReplicaSets(state State) []*schema.Record {
 	var records []*schema.Record
 	for _, region := range slices.Sorted(maps.Keys(state.View.Regions)) {
@@ -78,8 +79,8 @@
 	return candidates
 }
 
-// isReplicaSetDue tells whether the set must change now. A set that loses a replica changes at once; one that only grows waits until nodes that
-// have just started have settled and the present replicas have caught up.
+// isReplicaSetDue tells whether the set must change now. A set that loses a replica changes at once; one that only
+// grows waits until nodes that have just started have settled and the present replicas have caught up.
 func isReplicaSetDue(present *schema.ReplicaSet, candidates replicaCandidates) bool {
 	if present == nil {
 		return true
--- a/internal/leader/routes.go
+++ b/internal/leader/routes.go
@@ -61,7 +61,8 @@
 	return false
 }
 
-// isUrgent tells whether rows of services have changed: each move of shards takes two records, and the second one should follow at once.
+// isUrgent tells whether rows of services have changed: each move of shards takes two records, and the second one
+// should follow at once.
 func (r *routes) isUrgent(rows []*schema.Row) bool {
 	return slices.ContainsFunc(rows, func(row *schema.Row) bool { return strings.HasPrefix(row.Key, "s/") })
 }
@@ -73,7 +74,8 @@
 	r.shards.reset()
 }
 
-// plan performs the duties in the order in which one rests on the other: back ends, outliers, failover assignments, leases of shards.
+// plan performs the duties in the order in which one rests on the other: back ends, outliers, failover assignments,
+// leases of shards.
 func (r *routes) plan(t *turn) []LeaseCall {
 	r.endpoints.plan(t)
 	planGroupAssignments(t, r.signer)
--- a/internal/leader/shards.go
+++ b/internal/leader/shards.go
@@ -16,7 +16,8 @@
 	Incarnation uint64
 }
 
-// shardLeases assigns the shards of a fleet of routes to back ends and keeps their leases. It begins anew each time that this node resigns.
+// shardLeases assigns the shards of a fleet of routes to back ends and keeps their leases. It begins anew each time
+// that this node resigns.
 type shardLeases struct {
 	longestLease time.Duration
 	manager      *sharding.LeaseManager
@@ -63,7 +64,8 @@
 	return calls
 }
 
-// hasEnded tells whether a back end's process has surely ended: it was refused twice at its address, or two whole reads of the list lacked it.
+// hasEnded tells whether a back end's process has surely ended: it was refused twice at its address, or two whole reads
+// of the list lacked it.
 func (s *shardLeases) hasEnded(view *store.View, instance string) bool {
 	if s.ended[instance] {
 		return true
@@ -76,7 +78,7 @@
 	return len(view.Services) > 0
 }
 
-// loadReport is what one node told of the load of shards.
+// loadReport is what one node has reported of the load of shards.
 type loadReport struct {
 	at    time.Duration
 	loads []*schema.ShardLoad
@@ -91,8 +93,8 @@
 	r[node] = reports[max(0, len(reports)-constants.LoadReports):]
 }
 
-// sum gives how many requests the back ends of each service work on at once, by equal buckets of its keys. It forgets nodes that have stopped
-// to report.
+// sum gives how many requests the back ends of each service work on at once, by equal buckets of its keys. It forgets
+// nodes that have stopped to report.
 func (r loadReports) sum(now time.Duration) map[string][]float64 {
 	sums := map[string][]float64{}
 	for id, reports := range r {
--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -23,8 +23,8 @@
 // indexOf is where a row was changed last; 0 is a row that isn't there.
 func (s State) indexOf(key string) raft.Index { return raft.Index(s.Table.Get(key).GetIndex()) }
 
-// change collects the rows of one record. Each row is guarded by the index at which the leader read it, so that the record is void if another
-// one changes the row first.
+// change collects the rows of one record. Each row is guarded by the index at which the leader read it, so that the
+// record is void if another one changes the row first.
 type change struct {
 	table  *store.Table
 	record *schema.Record
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -12,7 +12,8 @@
 	"topazshed/internal/store"
 )
 
-// versionRise lets the fleet use a newer protocol version once all nodes can read it, and keeps nodes out that don't speak the one in use.
+// versionRise lets the fleet use a newer protocol version once all nodes can read it, and keeps nodes out that don't
+// speak the one in use.
 type versionRise struct {
 	speaks protocolversion.Span
 	// riseAfter is how long all must have been able to read a version.
@@ -33,7 +34,8 @@
 	return &versionRise{speaks: speaks, riseAfter: riseAfter, refused: map[string]uint64{}}
 }
 
-// check tells why a node may not take part: it doesn't speak the version in use, or the one that the fleet is about to use.
+// check tells why a node may not take part: it doesn't speak the version in use, or the one that the fleet is about to
+// use.
 func (v *versionRise) check(inUse protocolversion.Version, isRising bool, node *schema.Node) error {
 	if isRising {
 		inUse = max(inUse, v.proposed)
@@ -54,8 +56,8 @@
 	return true
 }
 
-// next gives the version that the fleet should use now, or 0 if it stays. All readers must have been able to read it for long enough, and
-// nothing may be under way in the log, so that nobody joins between the decision and the record.
+// next gives the version that the fleet should use now, or 0 if it stays. All readers must have been able to read it
+// for long enough, and nothing may be under way in the log, so that nobody joins between the decision and the record.
 func (v *versionRise) next(state State, readers []protocolversion.Reader, lastIndex raft.Index) protocolversion.Version {
 	next, _ := protocolversion.Rise(state.View.FleetVersion, v.speaks, readers)
 	if next != v.risingTo || next == state.View.FleetVersion {
@@ -68,7 +70,8 @@
 	return next
 }
 
-// readers are all who must read what the fleet uses: members of the log, nodes of the table, and nodes heard of that have no row yet.
+// readers are all who must read what the fleet uses: members of the log, nodes of the table, and nodes heard of that
+// have no row yet.
 func readers(state State, fleet *Fleet, members *schema.Members) []protocolversion.Reader {
 	isLogMember, isKnown := map[string]bool{}, map[string]bool{}
 	for _, m := range allMembers(members) {
--- a/internal/leader/voters.go
+++ b/internal/leader/voters.go
@@ -22,7 +22,8 @@
 type MemberProgress struct {
 	// SinceHeard is how long the member has not answered this leader.
 	SinceHeard time.Duration
-	// HasCaughtUp tells whether the member's disk has nearly all of the log, and all that was committed when the members last changed.
+	// HasCaughtUp tells whether the member's disk has nearly all of the log, and all that was committed when the
+	// members last changed.
 	HasCaughtUp bool
 }
 
@@ -46,8 +47,8 @@
 	LostAfter time.Duration
 }
 
-// NextMembers gives the next change of the log's members with its reason, or nil if none is needed. There is one change at a time, so that any
-// majority before it and any majority after it have a member in common.
+// NextMembers gives the next change of the log's members with its reason, or nil if none is needed. There is one change
+// at a time, so that any majority before it and any majority after it have a member in common.
 func NextMembers(facts MembershipFacts) (next *schema.Members, reason string) {
 	members := proto.Clone(facts.Members).(*schema.Members)
 	changes := []func(*schema.Members) string{
@@ -64,7 +65,8 @@
 	return nil, ""
 }
 
-// ToleratedLosses gives how many more voters may be lost before there is no majority, and the voters that are unresponsive already.
+// ToleratedLosses gives how many more voters may be lost before there is no majority, and the voters that are
+// unresponsive already.
 func ToleratedLosses(facts MembershipFacts) (tolerated uint32, unresponsive []string) {
 	voters := facts.Members.GetVoters()
 	for _, m := range voters {
@@ -82,7 +84,8 @@
 	return slices.IndexFunc(members, func(m *schema.Member) bool { return m.Id == id })
 }
 
-// dropReplacedVoter takes out a voter whose disk is gone: it never votes again, and each such voter raises the majority that the others must be.
+// dropReplacedVoter takes out a voter whose disk is gone: it never votes again, and each such voter raises the majority
+// that the others must be.
 func (f MembershipFacts) dropReplacedVoter(members *schema.Members) string {
 	for i, m := range members.Voters {
 		if replacement := f.replacementOf(m); replacement != "" {
@@ -93,7 +96,8 @@
 	return ""
 }
 
-// replacementOf gives the newer process with a disk that runs at a voter's address under another identity, if there is one.
+// replacementOf gives the newer process with a disk that runs at a voter's address under another identity, if there is
+// one.
 func (f MembershipFacts) replacementOf(voter *schema.Member) string {
 	if !f.ReplacesByAddress || voter.Id == f.Self {
 		return ""
@@ -108,14 +112,19 @@
 	for _, id := range slices.Sorted(maps.Keys(f.Heard)) {
 		record := f.Heard[id]
 		node := record.Node
-		if id != voter.Id && node.GetDisk() && node.GetAddress() == voter.Address && node.GetIncarnation() > incarnation && record.isRecent(f.Now) {
+		isOther := id != voter.Id && node.GetAddress() == voter.Address
+		if !isOther || !node.GetDisk() || !record.isRecent(f.Now) {
+			continue
+		}
+		if node.GetIncarnation() > incarnation {
 			return id
 		}
 	}
 	return ""
 }
 
-// admit takes a node with a disk in as a learner, lets a learner vote that has caught up, or notes a voter's new address.
+// admit takes a node with a disk in as a learner, lets a learner vote that has caught up, or notes a voter's new
+// address.
 func (f MembershipFacts) admit(members *schema.Members) string {
 	for _, id := range slices.Sorted(maps.Keys(f.Heard)) {
 		record := f.Heard[id]
@@ -162,9 +171,9 @@
 	return ""
 }
 
-// dropUnresponsiveVoter takes out a voter that has not answered for long, if enough of the others are live. Where the majority gets smaller
-// without the unresponsive voters, so that one more loss is tolerated, that is done sooner: of four voters three must live, and of three that
-// are left only two.
+// dropUnresponsiveVoter takes out a voter that has not answered for long, if enough of the others are live. Where the
+// majority gets smaller without the unresponsive voters, so that one more loss is tolerated, that is done sooner: of
+// four voters three must live, and of three that are left only two.
 func (f MembershipFacts) dropUnresponsiveVoter(members *schema.Members) string {
 	count := len(members.Voters)
 	if count <= minimumVoters {
--- a/internal/leader/workload.go
+++ b/internal/leader/workload.go
@@ -9,7 +9,8 @@
 	"topazshed/internal/sharding"
 )
 
-// workload is the part of the leader's duties that depends on what the fleet carries. The types entries and routes implement it.
+// workload is the part of the leader's duties that depends on what the fleet carries. The types entries and routes
+// implement it.
 type workload interface {
 	// admissionRules gives how nodes and zones get their rows.
 	admissionRules() AdmissionRules
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,5 +1,6 @@
-// Package timing holds the intervals and time-outs of one node's control plane, chosen once for the kind of fleet that the node belongs to.
-// It owns no clock: the parts of the control plane compare these spans with the time that they are given.
+// Package timing holds the intervals and time-outs of one node's control plane, chosen once for the kind of fleet that
+// the node belongs to. It owns no clock: the parts of the control plane compare these spans with the time that they are
+// given.
 package timing
 
 import (
@@ -10,16 +11,19 @@
 	"topazshed/internal/raft"
 )
 
-// Timing is the set of intervals and time-outs that all parts of a node's control plane share. Every node of a fleet must use the same one.
+// Timing is the set of intervals and time-outs that all parts of a node's control plane share. Every node of a fleet
+// must use the same one.
 type Timing struct {
-	// Sampler is how often the peer sampler probes a peer and shuffles its views, and how long it waits for an answer. The zero value
-	// is that of membership.DefaultTiming.
+	// Sampler is how often the peer sampler probes a peer and shuffles its views, and how long it waits for an answer.
+	// The zero value is that of membership.DefaultTiming.
 	Sampler membership.Timing
-	// Raft is the interval of heartbeats between members of the log and the time-out of elections. The zero value is raft's own default.
+	// Raft is the interval of heartbeats between members of the log and the time-out of elections. The zero value is
+	// raft's own default.
 	Raft raft.Timing
 	// HeartbeatInterval is the pause between two heartbeats of a node to the leader or to the relay in front of it.
 	HeartbeatInterval time.Duration
-	// LostAfter is the time without a heartbeat after which the leader takes a node for lost, once other nodes suspect it too.
+	// LostAfter is the time without a heartbeat after which the leader takes a node for lost, once other nodes suspect
+	// it too.
 	LostAfter time.Duration
 	// DeltaInterval is the longest pause between two deltas to a subscriber, also when no row has changed.
 	DeltaInterval time.Duration
@@ -27,8 +31,8 @@
 	SubscribeInterval time.Duration
 	// DigestInterval is the pause between two comparisons of a reader's ranges with its source.
 	DigestInterval time.Duration
-	// RemoteSourceAfter is how long a reader looks for a source in its own region before it takes one in another region. Readers of a fleet of
-	// entries don't use it: they draw.
+	// RemoteSourceAfter is how long a reader looks for a source in its own region before it takes one in another
+	// region. Readers of a fleet of entries don't use it: they draw.
 	RemoteSourceAfter time.Duration
 }
 
@@ -43,8 +47,9 @@
 	}
 }
 
-// ForRoutes gives the timing of a fleet that carries routes. The recovery bound is the time after a fault within which a healthy node must
-// keep every promise again; it shortens elections and the search for a source where it is small. 0 means that it is not known.
+// ForRoutes gives the timing of a fleet that carries routes. The recovery bound is the time after a fault within which
+// a healthy node must keep every promise again; it shortens elections and the search for a source where it is small. 0
+// means that it is not known.
 func ForRoutes(recoveryBound time.Duration) Timing {
 	return Timing{
 		Sampler: membership.Timing{
@@ -62,7 +67,8 @@
 	}
 }
 
-// raftForRoutes scales raft's timing down, its parts in proportion, so that constants.QuietElections shortest elections fit into the bound.
+// raftForRoutes scales raft's timing down, its parts in proportion, so that constants.QuietElections shortest elections
+// fit into the bound.
 func raftForRoutes(recoveryBound time.Duration) raft.Timing {
 	pace := raft.Timing{
 		HeartbeatInterval: constants.RoutedRaftHeartbeat,
@@ -82,7 +88,8 @@
 	return pace
 }
 
-// remoteSourceAfter leaves enough of the bound for the loss of the former source to be seen and for the first answer of a remote one.
+// remoteSourceAfter leaves enough of the bound for the loss of the former source to be seen and for the first answer of
+// a remote one.
 func remoteSourceAfter(recoveryBound time.Duration) time.Duration {
 	if recoveryBound <= 0 {
 		return constants.FarSourceAfter
