--- a/internal/controlplane/entry_workload.go
+++ b/internal/controlplane/entry_workload.go
@@ -40,7 +40,7 @@
 // respond gives the response to a heartbeat, with a lease if this node leads and may give one.
 func (w *entryWorkload) respond(heartbeat *schema.Heartbeat) *schema.HeartbeatResponse {
 	c := w.machine
-	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: heartbeat.Serial, Version: uint64(c.table.Version())}
+	response := &schema.HeartbeatResponse{Leader: c.leader, Serial: heartbeat.Serial, Version: uint64(c.state.Version())}
 	if c.IsLeading() && c.duties.TakeHeartbeat(c.leaderState(), heartbeat) {
 		lease := c.duties.GrantLease(c.leaderState(), heartbeat.Node.Id, c.state.NewestFence())
 		response.Leader = c.self.Address
@@ -54,7 +54,7 @@
 	c := w.machine
 	count := 0
 	var heardAt []time.Duration
-	for id, node := range c.view.Nodes {
+	for id, node := range c.state.View().Nodes {
 		if node.Region != c.self.Region || node.State != schema.NodeState_NODE_READY {
 			continue
 		}
