--- a/internal/failover/evidence_test.go
+++ b/internal/failover/evidence_test.go
@@ -11,20 +11,20 @@
 func TestEachChangeHasItsEvidence(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		happen func(a *atlas)
+		happen func(a *routeFleet)
 		want   map[string]string
 	}{
-		{"a zone is emptied", func(a *atlas) { a.empty("kol-a", true) }, map[string]string{" in kol": "kol-a is emptied ("}},
-		{"a zone's machines are lost", func(a *atlas) { a.node("tor-b", schema.NodeState_NODE_LOST) },
+		{"a zone is emptied", func(a *routeFleet) { a.empty("kol-a", true) }, map[string]string{" in kol": "kol-a is emptied ("}},
+		{"a zone's nodes are lost", func(a *routeFleet) { a.node("tor-b", schema.NodeState_NODE_LOST) },
 			map[string]string{" in tor": "tor-b is unreachable: its nodes, 1, are lost"}},
-		{"a region is lost whole", func(a *atlas) { a.node("hal-a", schema.NodeState_NODE_LOST) },
+		{"a region is lost whole", func(a *routeFleet) { a.node("hal-a", schema.NodeState_NODE_LOST) },
 			map[string]string{" in hal": "hal-a is unreachable"}},
-		{"a service's back ends drain", func(a *atlas) { a.backend("copper", "hal-a", schema.BackendState_BACKEND_DRAINING) },
+		{"a service's back ends drain", func(a *routeFleet) { a.backend("copper", "hal-a", schema.BackendState_BACKEND_DRAINING) },
 			map[string]string{"copper in hal": "no zone of hal is emptied or unreachable; copper has 0 ready back ends in the others"}},
-		{"nothing happens", func(*atlas) {}, nil},
+		{"nothing happens", func(*routeFleet) {}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := newAtlas(t)
+			a := newRouteFleet(t)
 			c.happen(a)
 			met := map[string]bool{}
 			for range 20 {
--- a/internal/failover/routes_test.go
+++ b/internal/failover/routes_test.go
@@ -12,16 +12,17 @@
 	"topazshed/internal/store"
 )
 
-type atlas struct {
+// routeFleet is a fleet of routes in three regions, whose plans are applied until none is left.
+type routeFleet struct {
 	t     *testing.T
 	table *store.Table
 }
 
 var zonesOf = map[string][]string{"hal": {"hal-a"}, "kol": {"kol-a", "kol-b"}, "tor": {"tor-a", "tor-b"}}
 
-func newAtlas(t *testing.T) *atlas {
+func newRouteFleet(t *testing.T) *routeFleet {
 	t.Helper()
-	a := &atlas{t, store.NewTable()}
+	a := &routeFleet{t, store.NewTable()}
 	residue := uint32(0)
 	for i, region := range []string{"hal", "kol", "tor"} {
 		a.put(store.RegionKey(region), store.EncodeRow(store.RegionKey(region), &schema.Region{Name: region, Residue: uint32(2*i + 1)}))
@@ -36,7 +37,7 @@
 	return a
 }
 
-func (a *atlas) put(key string, row *schema.Row) {
+func (a *routeFleet) put(key string, row *schema.Row) {
 	a.t.Helper()
 	if _, err := a.table.Apply(a.table.Version()+1, &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{row}},
 		Check); err != nil {
@@ -44,27 +45,27 @@
 	}
 }
 
-func (a *atlas) node(zone string, state schema.NodeState) {
+func (a *routeFleet) node(zone string, state schema.NodeState) {
 	key := store.NodeKey("node-" + zone)
 	a.put(key, store.EncodeRow(key, &schema.Node{Id: "node-" + zone, Zone: zone, Region: zone[:3], State: state}))
 }
 
-func (a *atlas) backend(service, zone string, state schema.BackendState) {
+func (a *routeFleet) backend(service, zone string, state schema.BackendState) {
 	key := store.BackendKey(service, service+"-"+zone)
 	a.put(key, store.EncodeRow(key, &schema.Backend{Service: service, Instance: service + "-" + zone, Zone: zone, State: state}))
 }
 
-func (a *atlas) empty(zone string, isEmptied bool) {
+func (a *routeFleet) empty(zone string, isEmptied bool) {
 	key := store.ZoneKey(zone)
 	row := store.DecodeRow[schema.Zone](a.table.Get(key))
 	row.Emptied = isEmptied
 	a.put(key, store.EncodeRow(key, row))
 }
 
-func (a *atlas) view() *store.View { return store.Compile(a.table) }
+func (a *routeFleet) view() *store.View { return store.Compile(a.table) }
 
 // settle plans and applies until nothing is planned any more, and checks each step.
-func (a *atlas) settle() {
+func (a *routeFleet) settle() {
 	a.t.Helper()
 	for range 20 {
 		records := PlanRoutes(a.view(), a.table)
@@ -82,7 +83,7 @@
 }
 
 // check: each region's numbers resolve by their residue to one group of that region or, in one hop, to another region's.
-func (a *atlas) check() {
+func (a *routeFleet) check() {
 	a.t.Helper()
 	view := a.view()
 	residues := map[uint32]string{}
@@ -109,7 +110,7 @@
 	}
 }
 
-func (a *atlas) locate(service, region string) ActiveGroup {
+func (a *routeFleet) locate(service, region string) ActiveGroup {
 	a.t.Helper()
 	active, err := ResolveRegion(a.view(), service, region)
 	if err != nil {
@@ -122,23 +123,23 @@
 	lost, ready := schema.NodeState_NODE_LOST, schema.NodeState_NODE_READY
 	for _, c := range []struct {
 		name   string
-		turns  []func(*atlas)
+		turns  []func(*routeFleet)
 		region string
 		want   string
 	}{
 		{"at first the whole region", nil, "kol", "kol kol-a kol-b"},
-		{"a zone is emptied", []func(*atlas){func(a *atlas) { a.empty("kol-a", true) }}, "kol", "kol:kol-b kol-b"},
-		{"and given back", []func(*atlas){func(a *atlas) { a.empty("kol-a", true) }, func(a *atlas) { a.empty("kol-a", false) }},
+		{"a zone is emptied", []func(*routeFleet){func(a *routeFleet) { a.empty("kol-a", true) }}, "kol", "kol:kol-b kol-b"},
+		{"and given back", []func(*routeFleet){func(a *routeFleet) { a.empty("kol-a", true) }, func(a *routeFleet) { a.empty("kol-a", false) }},
 			"kol", "kol kol-a kol-b"},
-		{"a zone loses its nodes", []func(*atlas){func(a *atlas) { a.node("kol-b", lost) }}, "kol", "kol:kol-a kol-a"},
-		{"and they come back", []func(*atlas){func(a *atlas) { a.node("kol-b", lost) }, func(a *atlas) { a.node("kol-b", ready) }},
+		{"a zone loses its nodes", []func(*routeFleet){func(a *routeFleet) { a.node("kol-b", lost) }}, "kol", "kol:kol-a kol-a"},
+		{"and they come back", []func(*routeFleet){func(a *routeFleet) { a.node("kol-b", lost) }, func(a *routeFleet) { a.node("kol-b", ready) }},
 			"kol", "kol kol-a kol-b"},
-		{"stopping machines are not lost ones", []func(*atlas){func(a *atlas) { a.node("kol-b", schema.NodeState_NODE_STOPPING) }},
+		{"stopping nodes are not lost ones", []func(*routeFleet){func(a *routeFleet) { a.node("kol-b", schema.NodeState_NODE_STOPPING) }},
 			"kol", "kol kol-a kol-b"},
-		{"another region keeps its own", []func(*atlas){func(a *atlas) { a.empty("kol-a", true) }}, "tor", "tor tor-a tor-b"},
+		{"another region keeps its own", []func(*routeFleet){func(a *routeFleet) { a.empty("kol-a", true) }}, "tor", "tor tor-a tor-b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := newAtlas(t)
+			a := newRouteFleet(t)
 			was := a.locate("copper", c.region)
 			for _, turn := range c.turns {
 				turn(a)
@@ -158,28 +159,28 @@
 func TestPlanRoutesSendsAnEmptiedRegionElsewhere(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		turn func(*atlas)
-		back func(*atlas)
+		turn func(*routeFleet)
+		back func(*routeFleet)
 	}{
-		{"both zones emptied", func(a *atlas) { a.empty("kol-a", true); a.empty("kol-b", true) },
-			func(a *atlas) { a.empty("kol-a", false); a.empty("kol-b", false) }},
-		{"all machines lost", func(a *atlas) {
+		{"both zones emptied", func(a *routeFleet) { a.empty("kol-a", true); a.empty("kol-b", true) },
+			func(a *routeFleet) { a.empty("kol-a", false); a.empty("kol-b", false) }},
+		{"all nodes lost", func(a *routeFleet) {
 			a.node("kol-a", schema.NodeState_NODE_LOST)
 			a.node("kol-b", schema.NodeState_NODE_LOST)
-		}, func(a *atlas) {
+		}, func(a *routeFleet) {
 			a.node("kol-a", schema.NodeState_NODE_READY)
 			a.node("kol-b", schema.NodeState_NODE_READY)
 		}},
-		{"no back end of the service is ready", func(a *atlas) {
+		{"no back end of the service is ready", func(a *routeFleet) {
 			a.backend("copper", "kol-a", schema.BackendState_BACKEND_DRAINING)
 			a.backend("copper", "kol-b", schema.BackendState_BACKEND_DRAINING)
-		}, func(a *atlas) {
+		}, func(a *routeFleet) {
 			a.backend("copper", "kol-a", schema.BackendState_BACKEND_READY)
 			a.backend("copper", "kol-b", schema.BackendState_BACKEND_READY)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := newAtlas(t)
+			a := newRouteFleet(t)
 			was := a.locate("copper", "kol")
 			c.turn(a)
 			a.settle()
@@ -201,7 +202,7 @@
 }
 
 func TestResolveRegionFollowsOneHopOnly(t *testing.T) {
-	a := newAtlas(t)
+	a := newRouteFleet(t)
 	view := a.view()
 	hop := func(from, to string) {
 		key := store.DefaultAssignmentKey(from)
@@ -222,7 +223,7 @@
 }
 
 func TestCheckRouteRows(t *testing.T) {
-	a := newAtlas(t)
+	a := newRouteFleet(t)
 	group := a.view().Groups["kol"]
 	number := a.view().DefaultAssignments["kol"].Number
 	for _, c := range []struct {
@@ -284,7 +285,7 @@
 }
 
 func TestActiveGroups(t *testing.T) {
-	a := newAtlas(t)
+	a := newRouteFleet(t)
 	view := a.view()
 	for _, c := range []struct {
 		name    string
@@ -296,8 +297,8 @@
 		{"the arrival's own region comes first", nil, "kol", "kol", 3},
 		{"a home", []string{"kol", "tor"}, "tor", "tor", 2},
 		{"arrived outside its homes", []string{"kol"}, "tor", "kol", 1},
-		{"homes without machines", []string{"moon"}, "kol", "", 0},
-		{"one home without machines", []string{"moon", "hal"}, "kol", "hal", 1},
+		{"homes without nodes", []string{"moon"}, "kol", "", 0},
+		{"one home without nodes", []string{"moon", "hal"}, "kol", "hal", 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for i := range 50 {
@@ -332,7 +333,7 @@
 }
 
 func TestActiveGroupsKeepHomesWhenTheHomeIsEmptied(t *testing.T) {
-	a := newAtlas(t)
+	a := newRouteFleet(t)
 	a.empty("hal-a", true)
 	a.settle()
 	if groups := ActiveGroups(a.view(), "copper", []string{"hal"}, "hal", "x"); len(groups) != 0 {
@@ -348,7 +349,7 @@
 func TestPlanRoutesUnderRandomChange(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 7))
-		a := newAtlas(t)
+		a := newRouteFleet(t)
 		numbers := map[string]uint64{}
 		residues := map[string]uint32{}
 		for range 60 {
