--- a/internal/controlplane/replication.go
+++ b/internal/controlplane/replication.go
@@ -27,7 +27,7 @@
 		options.PrefersHome = true
 		options.RemoteAfter = c.timing.RemoteSourceAfter
 	}
-	return replication.NewSubscription(options, c.table, fleetView{c})
+	return replication.NewSubscription(options, c.state.Table(), fleetView{c})
 }
 
 // confirmation is what this node may tell its subscribers about its rows now.
