--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -16,7 +16,6 @@
 	"google.golang.org/protobuf/proto"
 
 	"topazshed/internal/bootstrap"
-	"topazshed/internal/discovery"
 	"topazshed/internal/heartbeat"
 	"topazshed/internal/inflight"
 	"topazshed/internal/leader"
@@ -167,16 +166,6 @@
 	}
 }
 
-// SetListRead takes a read of the platform's list in a fleet of entries; only the leader uses it.
-func (c *Machine) SetListRead(now time.Duration, read discovery.ListRead) {
-	c.now = now
-	c.listFault = read.Reason
-	if read.IsWhole {
-		c.listAt = now
-	}
-	c.duties.Take(now, leader.ListRead{ListRead: read})
-}
-
 // SlowDisk tells that a write to the disk took too long or failed; a leader hands over.
 func (c *Machine) SlowDisk(now time.Duration) {
 	if c.quorum != nil && c.quorum.Role() == raft.Leader {
