--- a/internal/controlplane/fleetview.go
+++ b/internal/controlplane/fleetview.go
@@ -19,8 +19,23 @@
 // IsListed tells whether the rows have a node of that id.
 func (v fleetView) IsListed(id string) bool { return v.machine.view.Nodes[id] != nil }
 
-// Addresses gives the addresses of the other known nodes that fit.
-func (v fleetView) Addresses(isFit func(*schema.Node) bool) []string { return v.machine.known(isFit) }
+// Addresses gives the addresses of the other nodes that fit: first those that the peer sampler knows, then those of the rows that are not lost.
+func (v fleetView) Addresses(isFit func(*schema.Node) bool) []string {
+	var addresses []string
+	for _, node := range v.machine.peerSampler.Known() {
+		if isFit(node) {
+			addresses = append(addresses, node.Address)
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(v.machine.view.Nodes)) {
+		node := v.machine.view.Nodes[id]
+		isOther := id != v.machine.self.Id && node.State != schema.NodeState_NODE_LOST
+		if isOther && isFit(node) && !slices.Contains(addresses, node.Address) {
+			addresses = append(addresses, node.Address)
+		}
+	}
+	return addresses
+}
 
 // ReadyDiskNodes gives the ready nodes of a region that have a disk, in order of their ids.
 func (v fleetView) ReadyDiskNodes(region string) []*schema.Node {
@@ -33,19 +48,3 @@
 	}
 	return nodes
 }
-
-// known gives the addresses of the other nodes that fit, of the views and of the table.
-func (c *Machine) known(isFit func(*schema.Node) bool) []string {
-	var addresses []string
-	for _, node := range c.peerSampler.Known() {
-		if isFit(node) {
-			addresses = append(addresses, node.Address)
-		}
-	}
-	for _, id := range slices.Sorted(maps.Keys(c.view.Nodes)) {
-		if node := c.view.Nodes[id]; id != c.self.Id && isFit(node) && node.State != schema.NodeState_NODE_LOST && !slices.Contains(addresses, node.Address) {
-			addresses = append(addresses, node.Address)
-		}
-	}
-	return addresses
-}
