--- a/internal/controlplane/fleetview.go
+++ b/internal/controlplane/fleetview.go
@@ -20,8 +20,23 @@
 // IsListed tells whether the rows have a node of that id.
 func (v fleetView) IsListed(id string) bool { return v.machine.state.View().Nodes[id] != nil }
 
-// Addresses gives the addresses of the other known nodes that fit.
-func (v fleetView) Addresses(isFit func(*schema.Node) bool) []string { return v.machine.known(isFit) }
+// Addresses gives the addresses of the other nodes that fit: first those that the peer sampler knows, then those of the rows that are not lost.
+func (v fleetView) Addresses(isFit func(*schema.Node) bool) []string {
+	var addresses []string
+	for _, node := range v.machine.peerSampler.Known() {
+		if isFit(node) {
+			addresses = append(addresses, node.Address)
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(v.machine.state.View().Nodes)) {
+		node := v.machine.state.View().Nodes[id]
+		isOther := id != v.machine.self.Id && node.State != schema.NodeState_NODE_LOST
+		if isOther && isFit(node) && !slices.Contains(addresses, node.Address) {
+			addresses = append(addresses, node.Address)
+		}
+	}
+	return addresses
+}
 
 // ReadyDiskNodes gives the ready nodes of a region that have a disk, in order of their ids.
 func (v fleetView) ReadyDiskNodes(region string) []*schema.Node {
@@ -35,26 +50,6 @@
 	return nodes
 }
 
-// known gives the addresses of the other nodes that fit, of the views and of the table.
-func (c *Machine) known(isFit func(*schema.Node) bool) []string {
-	var addresses []string
-	for _, node := range c.peerSampler.Known() {
-		if isFit(node) {
-			addresses = append(addresses, node.Address)
-		}
-	}
-	for _, id := range slices.Sorted(maps.Keys(c.state.View().Nodes)) {
-		node := c.state.View().Nodes[id]
-		if id == c.self.Id || !isFit(node) || node.State == schema.NodeState_NODE_LOST {
-			continue
-		}
-		if !slices.Contains(addresses, node.Address) {
-			addresses = append(addresses, node.Address)
-		}
-	}
-	return addresses
-}
-
 // sendSampler sends what the peer sampler wants sent; shuffles also tell of the system and its leader.
 func (c *Machine) sendSampler(envelopes []frame.Envelope) {
 	for _, envelope := range envelopes {
