--- a/internal/constants/operators.go
+++ b/internal/constants/operators.go
@@ -12,11 +12,11 @@
 	// OperatorPatience is how long a node seeks a leader for a request before it answers that there is none: below the second
 	// after which operators turn to another node.
 	OperatorPatience = 900 * time.Millisecond
-	// PassOnWait is how long a node waits for the leader's response before it forwards a request again: a commit over far links
+	// ForwardWait is how long a node waits for the leader's response before it forwards a request again: a commit over far links
 	// and a slow disk.
-	PassOnWait = 400 * time.Millisecond
-	// PassOnPause is how long a node waits to forward a request again after the receiver answered that it does not lead.
-	PassOnPause = 100 * time.Millisecond
+	ForwardWait = 400 * time.Millisecond
+	// ForwardPause is how long a node waits to forward a request again after the receiver answered that it does not lead.
+	ForwardPause = 100 * time.Millisecond
 	// DocumentLimit (bytes) of a configuration of entries: a sixteenth of FrameLimit, so that its rows fit one record.
 	DocumentLimit = 1 << 20
 	// EntriesLimit (entries) in one configuration.
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -49,7 +49,7 @@
 	return facts
 }
 
-// takeHeartbeatResponse takes the lease that a response grants, and the leader that it tells of.
+// takeHeartbeatResponse takes the lease that a response grants, and the leader that it names.
 func (c *Machine) takeHeartbeatResponse(from string, response *schema.HeartbeatResponse) {
 	if leader := c.heartbeats.TakeResponse(c.now, from, response, c.leader); leader != nil {
 		c.leader, c.leaderAt = leader.Address, leader.SeenAt
--- a/internal/controlplane/owners_test.go
+++ b/internal/controlplane/owners_test.go
@@ -56,11 +56,11 @@
 					}
 				}
 				if leases > 0 && (leases != c.spans || now-laidAt > 2*tick) {
-					t.Errorf("%d grants %v after their record, want %d within two ticks", leases, now-laidAt, c.spans)
+					t.Errorf("%d lease calls %v after their record, want %d within two ticks", leases, now-laidAt, c.spans)
 				}
 			}
 			if leases == 0 {
-				t.Errorf("no grants; the record was taken at %v", laidAt-time.Hour)
+				t.Errorf("no lease call; the record was taken at %v", laidAt-time.Hour)
 			}
 		})
 	}
--- a/internal/controlplane/route_workload.go
+++ b/internal/controlplane/route_workload.go
@@ -38,7 +38,7 @@
 	return timing.ForRoutes(w.machine.options.Routes.RecoveryBound)
 }
 
-// restorable gives all: a node serves on its own last state before a leader has told it the newest.
+// restorable gives all: a node serves on its own last state before a leader has sent it the newest.
 func (w *routeWorkload) restorable(hard *schema.HardState) *schema.HardState { return hard }
 
 // receiveHeartbeat takes a heartbeat and those that it relays if this node leads, and relays them if it keeps the log.
--- a/internal/controlplane/startup_world_test.go
+++ b/internal/controlplane/startup_world_test.go
@@ -43,7 +43,7 @@
 )
 
 // startupFleet starts empty routed nodes on virtual time: production cores, drivers, journals and wire encoding, with a listing, one keyed
-// service with heat, and back ends that take every lease. Its run depends on nothing but the seed.
+// service with load, and back ends that take every lease. Its run depends on nothing but the seed.
 type startupFleet struct {
 	t       *testing.T
 	now     time.Duration
@@ -206,7 +206,7 @@
 	f.after(constants.ListEvery, f.list)
 }
 
-// heat stands in for the work of the keyed service: a few buckets of it.
+// load stands in for the work of the keyed service: a few buckets of it.
 func (n *startupNode) load(span time.Duration) []*schema.ShardLoad {
 	h := &schema.ShardLoad{Service: startupService(0), SpanMs: uint32(span.Milliseconds())}
 	for bucket := n.random.Intn(64); bucket < constants.LoadBuckets; bucket += 64 + n.random.Intn(64) {
--- a/internal/controlplane/version_test.go
+++ b/internal/controlplane/version_test.go
@@ -174,7 +174,7 @@
 		want     string
 	}{
 		{"its own version", &schema.Snapshot{Index: 3, Term: 1, Members: members, Rows: rows(2)}, nil, ""},
-		{"a newer image", &schema.Snapshot{Index: 3, Term: 1, Members: members, Rows: rows(3)}, nil, "version 3"},
+		{"a newer snapshot", &schema.Snapshot{Index: 3, Term: 1, Members: members, Rows: rows(3)}, nil, "version 3"},
 		{"a newer record in the log", &schema.Snapshot{Index: 3, Term: 1, Members: members}, []*schema.LogItem{{Index: 4, Term: 1, Record: &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: rows(3)}}}, "version 3"},
 		{"a kind of record that it doesn't know", &schema.Snapshot{Index: 3, Term: 1, Members: members}, []*schema.LogItem{{Index: 4, Term: 1, Record: &schema.Record{Kind: 77}}}, "unknown kind 77"},
 	} {
--- a/internal/gateway/failing_test.go
+++ b/internal/gateway/failing_test.go
@@ -13,8 +13,8 @@
 )
 
 func TestChoiceAmongFailing(t *testing.T) {
-	isFailing := func(sponsors ...string) func(*schema.Backend) {
-		return func(b *schema.Backend) { b.Failing, b.SlowStartSenders = true, sponsors }
+	isFailing := func(senders ...string) func(*schema.Backend) {
+		return func(b *schema.Backend) { b.Failing, b.SlowStartSenders = true, senders }
 	}
 	few := func(turn func(*schema.Backend)) func(*world) {
 		return func(w *world) {
--- a/internal/gateway/request_machine_test.go
+++ b/internal/gateway/request_machine_test.go
@@ -122,9 +122,9 @@
 		{"the only one draining", func(w *world) { w.backend("i-0", "kol-a", "x", isDraining) }, nil, "begun", "refuse busy"},
 		{"the only one not run", func(w *world) { w.backend("i-0", "kol-a", "x") }, nil, "begun connected notrun", "connect, send, refuse busy"},
 		{"the only one broke off", func(w *world) { w.backend("i-0", "kol-a", "x") }, nil, "begun connected broken", "connect, send, fail 502"},
-		{"the only one cold, without this sponsor", func(w *world) { w.backend("i-0", "kol-a", "x", isColdBy("n2")) }, nil, "begun", "refuse cold"},
-		{"the only one cold, without any sponsor", func(w *world) { w.backend("i-0", "kol-a", "x", isColdBy()) }, nil, "begun", "refuse cold"},
-		{"the only one cold, by this sponsor", func(w *world) { w.backend("i-0", "kol-a", "x", isColdBy("n1", "n2")) }, nil, "begun connected answered", "connect, send, pass"},
+		{"the only one cold, without this node as a sender", func(w *world) { w.backend("i-0", "kol-a", "x", isColdBy("n2")) }, nil, "begun", "refuse cold"},
+		{"the only one cold, without any sender", func(w *world) { w.backend("i-0", "kol-a", "x", isColdBy()) }, nil, "begun", "refuse cold"},
+		{"the only one cold, by this node as a sender", func(w *world) { w.backend("i-0", "kol-a", "x", isColdBy("n1", "n2")) }, nil, "begun connected answered", "connect, send, pass"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t)
@@ -307,7 +307,7 @@
 			near(w)
 			w.put(store.ZoneKey("tor-a"), &schema.Zone{Name: "tor-a", Region: "tor", Residue: 4, Emptied: true})
 		}, func(s *Situation) { s.Route.HomeRegions = []string{"tor"} }, []string{"no-standing"}},
-		{"cold ones by their sponsors alone", func(w *world) { w.backend("c", "kol-a", "x", isColdBy("n2")) }, nil, []string{"cold"}},
+		{"cold ones by their slow-start senders alone", func(w *world) { w.backend("c", "kol-a", "x", isColdBy("n2")) }, nil, []string{"cold"}},
 		{"a zone that settles has no slow-start senders", func(w *world) {
 			w.backend("c", "kol-a", "x")
 			w.put(store.ZoneKey("kol-a"), &schema.Zone{Name: "kol-a", Region: "kol", Settling: true})
--- a/internal/gateway/slow_start_test.go
+++ b/internal/gateway/slow_start_test.go
@@ -12,21 +12,21 @@
 func TestLoadsKeepAColdBackendsPart(t *testing.T) {
 	for _, c := range []struct {
 		rate     float64
-		sponsors int
+		senders int
 		want     bool
 	}{{17, 4, true}, {17, 1, true}, {4, 3, true}, {0, 4, true}, {40, 2, true}, {100, 4, true}} {
 		policy := &schema.ServicePolicy{Service: "copper", ColdRate: c.rate}
 		bound := c.rate*bounds.ColdExcess + bounds.ColdMargin
 		for seed := range uint64(5) {
 			random := rand.New(rand.NewPCG(seed, 13))
-			loads := make([]*Loads, c.sponsors)
+			loads := make([]*Loads, c.senders)
 			for i := range loads {
 				loads[i] = NewLoads(0, bounds)
 			}
 			var sends []time.Duration
 			for at := time.Minute; at < time.Minute+8*time.Second; at += time.Duration(random.Int64N(int64(8 * time.Millisecond))) {
 				for _, l := range loads {
-					if random.IntN(2) == 0 && l.MayCold(at, "i-1", policy, c.sponsors) {
+					if random.IntN(2) == 0 && l.MayCold(at, "i-1", policy, c.senders) {
 						sends = append(sends, at)
 					}
 				}
@@ -74,7 +74,7 @@
 			}
 		})
 	}
-	// Four sponsors are killed and back within the second: together with what their former lives sent it is within the bound.
+	// Four senders are killed and back within the second: together with what their former incarnations sent it is within the bound.
 	sent := 0
 	for range 4 {
 		for _, began := range []time.Duration{0, time.Hour} {
--- a/internal/heartbeat/relay.go
+++ b/internal/heartbeat/relay.go
@@ -16,7 +16,7 @@
 
 func newRelay() relay { return relay{heartbeats: map[string]*schema.Heartbeat{}} }
 
-// add keeps a heartbeat; what an earlier one told and this one leaves out is kept with it.
+// add keeps a heartbeat; what an earlier one reported and this one leaves out is kept with it.
 func (r *relay) add(heartbeat *schema.Heartbeat) {
 	heartbeat.Relayed = nil
 	id := heartbeat.Node.GetId()
--- a/internal/membership/sampler.go
+++ b/internal/membership/sampler.go
@@ -122,9 +122,9 @@
 }
 
 // refute raises this node's incarnation above one that others take for lost, so that they see it is alive.
-func (s *Sampler) refute(claim *schema.Node) {
-	if claim.GetState() == schema.NodeState_NODE_LOST && claim.Incarnation >= s.self.Incarnation {
-		s.self.Incarnation = claim.Incarnation + 1
+func (s *Sampler) refute(rumor *schema.Node) {
+	if rumor.GetState() == schema.NodeState_NODE_LOST && rumor.Incarnation >= s.self.Incarnation {
+		s.self.Incarnation = rumor.Incarnation + 1
 	}
 }
 
--- a/internal/membership/sampler_test.go
+++ b/internal/membership/sampler_test.go
@@ -136,7 +136,7 @@
 func TestANodeRefutesThatItIsLost(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		claim *schema.Node
+		rumor *schema.Node
 		want  uint64
 	}{
 		{"in this incarnation", &schema.Node{Id: "self", Incarnation: 5, State: lost}, 6},
@@ -146,7 +146,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sampler := newSampler(t, nil)
-			sampler.Learn(c.claim)
+			sampler.Learn(c.rumor)
 			if got := sampler.Self().Incarnation; got != c.want {
 				t.Fatalf("incarnation %d, want %d", got, c.want)
 			}
--- a/internal/operations/forward.go
+++ b/internal/operations/forward.go
@@ -54,7 +54,7 @@
 	p := m.forwarded[at]
 	if m.mayForwardAgain(p, response) {
 		p.wasLeaderReachable = false
-		p.forwardedAt = m.now - constants.PassOnWait + constants.PassOnPause
+		p.forwardedAt = m.now - constants.ForwardWait + constants.ForwardPause
 		return
 	}
 	m.forwarded = slices.Delete(m.forwarded, at, at+1)
@@ -73,7 +73,7 @@
 		return
 	}
 	for _, p := range slices.Clone(m.forwarded) {
-		if m.now-p.forwardedAt < constants.PassOnWait {
+		if m.now-p.forwardedAt < constants.ForwardWait {
 			continue
 		}
 		switch {
--- a/internal/operations/forward_test.go
+++ b/internal/operations/forward_test.go
@@ -23,7 +23,7 @@
 
 	h.leader = "leader"
 	h.manager.Operate(h.now, 2, show())
-	h.pass(2 * constants.PassOnWait)
+	h.pass(2 * constants.ForwardWait)
 	if got := len(h.sends["leader"]); got != 1 {
 		t.Errorf("forwarded %d times, want once", got)
 	}
@@ -34,7 +34,7 @@
 func TestRoutesAreForwardedAgain(t *testing.T) {
 	h := forwardingHost(t, &RouteOptions{}, "leader")
 	h.manager.Operate(h.now, ticket, show())
-	h.pass(constants.PassOnWait - time.Millisecond)
+	h.pass(constants.ForwardWait - time.Millisecond)
 	if got := len(h.sends["leader"]); got != 1 {
 		t.Errorf("forwarded %d times, want once", got)
 	}
@@ -69,7 +69,7 @@
 	h := forwardingHost(t, &RouteOptions{}, "")
 	h.manager.Operate(h.now, ticket, show())
 	h.isLeading = true
-	h.pass(constants.PassOnWait)
+	h.pass(constants.ForwardWait)
 	h.confirm()
 	h.check(ticket, accepted)
 }
@@ -77,10 +77,10 @@
 func TestARequestThatFindsNoLeaderIsRefusedInTime(t *testing.T) {
 	h := forwardingHost(t, &RouteOptions{}, "")
 	h.manager.Operate(h.now, ticket, show())
-	h.pass(constants.PassOnWait)
-	h.pass(constants.PassOnWait)
+	h.pass(constants.ForwardWait)
+	h.pass(constants.ForwardWait)
 	h.checkPending(ticket)
-	h.pass(constants.PassOnWait)
+	h.pass(constants.ForwardWait)
 	h.check(ticket, isNoLeader)
 }
 
--- a/internal/replication/subscription.go
+++ b/internal/replication/subscription.go
@@ -78,7 +78,7 @@
 	// IsInstalled says that the table changed; Changed are the rows that did.
 	IsInstalled bool
 	Changed     []*schema.Row
-	// Leader is nil if the delta told nothing fresh of the leader.
+	// Leader is nil if the delta says nothing fresh of the leader.
 	Leader *LeaderHint
 }
 
--- a/internal/sharding/state.go
+++ b/internal/sharding/state.go
@@ -22,7 +22,7 @@
 	callProgress
 	// isGranted is true once the owner has taken a lease.
 	isGranted bool
-	// refusals counts the refusals since the last grant; the fence rises by as many.
+	// refusals counts the refusals since the last lease was given; the fence rises by as many.
 	refusals uint64
 	// isRefused is true once the owner has refused the fence, so that the row needs a higher one.
 	isRefused bool
