--- a/internal/gateway/slow_start_test.go
+++ b/internal/gateway/slow_start_test.go
@@ -11,9 +11,9 @@
 
 func TestLoadsKeepAColdBackendsPart(t *testing.T) {
 	for _, c := range []struct {
-		rate     float64
+		rate    float64
 		senders int
-		want     bool
+		want    bool
 	}{{17, 4, true}, {17, 1, true}, {4, 3, true}, {0, 4, true}, {40, 2, true}, {100, 4, true}} {
 		policy := &schema.ServicePolicy{Service: "copper", ColdRate: c.rate}
 		bound := c.rate*bounds.ColdExcess + bounds.ColdMargin
