--- a/internal/controlplane/bootstrap.go
+++ b/internal/controlplane/bootstrap.go
@@ -14,7 +14,7 @@
 		Seeds:      c.options.Seeds,
 		System:     c.options.System,
 		IsRejoin:   c.options.Rejoin,
-		WasMember:  c.options.Restart && c.options.Hard.GetId() != "",
+		WasMember:  c.options.Restart && c.options.HardState.GetId() != "",
 		IsRestart:  c.options.Restart,
 		MixedSeeds: c.options.Routes != nil,
 		Draw:       c.options.Draw,
@@ -26,11 +26,11 @@
 // findSystem asks for a system to join, and founds one if that falls to this node.
 func (c *Machine) findSystem() {
 	c.sendAll(c.bootstrap.Ask(c.now))
-	if c.quorum == nil || c.quorum.LastIndex() > 0 {
+	if c.raft == nil || c.raft.LastIndex() > 0 {
 		return
 	}
 	if record := c.bootstrap.Found(c.now); record != nil {
-		c.quorum.Bootstrap(c.now, record)
+		c.raft.Bootstrap(c.now, record)
 	}
 }
 
--- a/internal/controlplane/catch_up_test.go
+++ b/internal/controlplane/catch_up_test.go
@@ -58,7 +58,7 @@
 		}, 0},
 		{"changes go on", (*machine).kill, (*machine).start, func(w *world, _ *machine) {
 			if leader := w.leader(); leader != nil {
-				w.order(leader, largeRoutesOf(w.random, w.newest()+1, bytes), func(*schema.OperatorResponse) {})
+				w.operate(leader, largeRoutesOf(w.random, w.newest()+1, bytes), func(*schema.OperatorResponse) {})
 			}
 		}, 0},
 	} {
@@ -76,7 +76,7 @@
 				for version < changes {
 					version++
 					taken := false
-					w.order(w.leader(), largeRoutesOf(w.random, version, bytes), func(o *schema.OperatorResponse) { taken = o.Refusal == schema.RefusalKind_REFUSAL_NONE })
+					w.operate(w.leader(), largeRoutesOf(w.random, version, bytes), func(o *schema.OperatorResponse) { taken = o.Refusal == schema.RefusalKind_REFUSAL_NONE })
 					for until := w.now + 2*time.Second; w.now < until && !taken; {
 						w.run(10 * time.Millisecond)
 					}
@@ -96,7 +96,7 @@
 				w.loss = 0
 				w.run(5 * time.Second)
 				newest := w.newest()
-				if held := away.core.Local().View.Head.GetVersion(); held != newest || newest < changes {
+				if held := away.control.Local().View.Head.GetVersion(); held != newest || newest < changes {
 					t.Fatalf("seed %d: it holds version %d, the others %d\n%s", seed, held, newest, w.status())
 				}
 				if w.parts == 0 {
@@ -116,7 +116,7 @@
 		request.Routes.Document = []byte(strings.Repeat(fmt.Sprint("packs well ", version), bytes/12))
 		w.put(w.leader(), request)
 		for _, m := range w.machines {
-			if inMemory := m.core.Quorum().LogBytes(); inMemory > constants.RaftLogBytes+2*bytes {
+			if inMemory := m.control.Raft().LogBytes(); inMemory > constants.RaftLogBytes+2*bytes {
 				t.Fatalf("%s holds %d bytes of log in memory after %d changes", m.name, inMemory, version)
 			}
 		}
@@ -128,7 +128,7 @@
 	w := newSizedWorld(t, 1, 3, 0, journal.Options{Files: 4, FileBytes: 512 << 10, SnapshotBytes: 512 << 10})
 	w.put(w.leader(), routesOf(1, 0, "one"))
 	var refusal *schema.OperatorResponse
-	w.order(w.leader(), largeRoutesOf(w.random, 2, 400<<10), func(o *schema.OperatorResponse) { refusal = o })
+	w.operate(w.leader(), largeRoutesOf(w.random, 2, 400<<10), func(o *schema.OperatorResponse) { refusal = o })
 	w.run(time.Second)
 	if refusal == nil || refusal.Refusal != schema.RefusalKind_REFUSAL_OVERSIZE {
 		t.Fatalf("a document that fits the log but no snapshot: %v", refusal)
--- a/internal/controlplane/changes_test.go
+++ b/internal/controlplane/changes_test.go
@@ -13,12 +13,12 @@
 )
 
 type solo struct {
-	core     *Machine
-	now      time.Duration
-	epoch    time.Time
-	items    []*schema.LogItem
-	hard     *schema.HardState
-	response *schema.OperatorResponse
+	control   *Machine
+	now       time.Duration
+	epoch     time.Time
+	entries   []*schema.LogItem
+	hardState *schema.HardState
+	response  *schema.OperatorResponse
 }
 
 func (s *solo) options() Options {
@@ -30,41 +30,41 @@
 // run lets time pass; the machines whose zones are named report in the meantime.
 func (s *solo) run(span time.Duration, zones ...string) {
 	for until := s.now + span; s.now < until; s.now += 20 * time.Millisecond {
-		s.core.Tick(s.now)
-		if s.core.IsLeading() {
+		s.control.Tick(s.now)
+		if s.control.IsLeading() {
 			for _, zone := range zones {
-				s.core.workload.takeOwnHeartbeat(&schema.Heartbeat{Version: uint64(s.core.state.Version()), Node: &schema.Node{Id: "of-" + zone, Address: zone, Proxy: zone, Admin: zone, Zone: zone, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
+				s.control.workload.takeOwnHeartbeat(&schema.Heartbeat{Version: uint64(s.control.state.Version()), Node: &schema.Node{Id: "of-" + zone, Address: zone, Proxy: zone, Admin: zone, Zone: zone, Region: "mu", Incarnation: 1, State: schema.NodeState_NODE_READY}})
 			}
 		}
 		for range 8 {
-			effects := s.core.Take()
+			effects := s.control.Take()
 			if !effects.IsWork {
 				break
 			}
-			if effects.Hard != nil {
-				s.hard = effects.Hard
+			if effects.HardState != nil {
+				s.hardState = effects.HardState
 			}
 			for _, response := range effects.Responses {
 				s.response = response.Response
 			}
-			s.items = append(s.items, effects.Quorum.Entries...)
-			s.core.Synced(s.now, effects)
+			s.entries = append(s.entries, effects.Raft.Entries...)
+			s.control.Synced(s.now, effects)
 		}
 	}
 }
 
 func (s *solo) ask(request *schema.OperatorRequest, zones ...string) *schema.OperatorResponse {
 	s.response = nil
-	s.core.Operate(s.now, 7, request)
+	s.control.Operate(s.now, 7, request)
 	s.run(400*time.Millisecond, zones...)
 	return s.response
 }
 
 func TestChangesOfAssignmentsAreReportedFromTheLog(t *testing.T) {
 	s := &solo{now: time.Hour, epoch: time.Date(2026, 5, 4, 12, 0, 0, 0, time.UTC)}
-	s.core = New(s.now, s.options())
+	s.control = New(s.now, s.options())
 	s.run(5*time.Second, "mu-a", "mu-b")
-	begun := len(s.core.state.Changes())
+	begun := len(s.control.state.Changes())
 	emptied := s.ask(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_EMPTY, Zone: "mu-b", Reason: "new racks"}, "mu-a", "mu-b")
 	if emptied.GetRefusal() != schema.RefusalKind_REFUSAL_NONE {
 		t.Fatal(emptied)
@@ -75,7 +75,7 @@
 		t.Fatalf("%d changes, had %d", len(status.Changes), begun)
 	}
 	last := status.Changes[begun]
-	row := store.DecodeRow[schema.FailoverAssignment](s.core.state.Table().Get(store.DefaultAssignmentKey("mu")))
+	row := store.DecodeRow[schema.FailoverAssignment](s.control.state.Table().Get(store.DefaultAssignmentKey("mu")))
 	if last.Region != "mu" || last.From >= last.To || last.To != row.Number || last.Cause != row.Reason || last.Evidence != "mu-b is emptied (new racks)" || last.Leader != "a" || last.Term == 0 ||
 		last.AtMs > at || last.AtMs < at-1000 {
 		t.Errorf("%v, row %v, at %d", last, row, at)
@@ -91,11 +91,11 @@
 	// The same after a start from the disk: the log is read again.
 	restarted := &solo{now: time.Hour, epoch: s.epoch}
 	options := restarted.options()
-	options.Restart, options.System, options.Hard = true, s.hard.System, proto.Clone(s.hard).(*schema.HardState)
-	for _, item := range s.items {
-		options.Items = append(options.Items, proto.Clone(item).(*schema.LogItem))
+	options.Restart, options.System, options.HardState = true, s.hardState.System, proto.Clone(s.hardState).(*schema.HardState)
+	for _, item := range s.entries {
+		options.Entries = append(options.Entries, proto.Clone(item).(*schema.LogItem))
 	}
-	restarted.core = New(restarted.now, options)
+	restarted.control = New(restarted.now, options)
 	restarted.run(3*time.Second, "mu-a", "mu-b")
 	again := restarted.ask(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}, "mu-a", "mu-b")
 	if len(again.GetChanges()) < begun+1 || !proto.Equal(again.Changes[begun], last) {
@@ -105,7 +105,7 @@
 
 func TestReportsTellWhereAConfigurationIsInForce(t *testing.T) {
 	s := &solo{now: time.Hour}
-	s.core = New(s.now, s.options())
+	s.control = New(s.now, s.options())
 	s.run(5*time.Second, "mu-a", "mu-b")
 	config := &schema.RouteConfig{Version: 1, Document: []byte("{}")}
 	if response := s.ask(&schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: config}, "mu-a"); response.GetRefusal() != schema.RefusalKind_REFUSAL_NONE {
--- a/internal/controlplane/cut_off_test.go
+++ b/internal/controlplane/cut_off_test.go
@@ -18,7 +18,7 @@
 func (w *world) put(m *machine, request *schema.OperatorRequest) {
 	w.t.Helper()
 	var got *schema.OperatorResponse
-	w.order(m, request, func(o *schema.OperatorResponse) { got = o })
+	w.operate(m, request, func(o *schema.OperatorResponse) { got = o })
 	w.run(time.Second)
 	if got == nil || got.Refusal != schema.RefusalKind_REFUSAL_NONE {
 		w.t.Fatalf("%s: %v", request.Routes.GetDocument(), got)
@@ -58,9 +58,9 @@
 					for step := 0; step < 600 && answered == nil; step++ {
 						w.run(10 * time.Millisecond)
 						for _, m := range w.machines {
-							if m != former && m.isUp && m.core.IsLeading() && asks == 0 {
+							if m != former && m.isUp && m.control.IsLeading() && asks == 0 {
 								asks++
-								w.order(m, c.change, func(o *schema.OperatorResponse) { answered = o })
+								w.operate(m, c.change, func(o *schema.OperatorResponse) { answered = o })
 							}
 						}
 					}
@@ -72,7 +72,7 @@
 						w.run(former.frozenUntil - w.now - 10*time.Millisecond)
 					}
 					var got *schema.OperatorResponse
-					w.order(former, c.ask, func(o *schema.OperatorResponse) { got = o })
+					w.operate(former, c.ask, func(o *schema.OperatorResponse) { got = o })
 					w.run(700 * time.Millisecond)
 					if got == nil {
 						continue
@@ -142,7 +142,7 @@
 				w.run(c.apart)
 				var leader *machine
 				for _, m := range w.machines {
-					if m.isUp && m.core.IsLeading() && !isCut(m) {
+					if m.isUp && m.control.IsLeading() && !isCut(m) {
 						leader = m
 					}
 				}
@@ -151,8 +151,8 @@
 				}
 				w.put(leader, routesOf(2, 1, "two"))
 				w.run(applyWithin - time.Second)
-				if version := reader.core.Local().View.Head.GetVersion(); version != 2 {
-					t.Errorf("seed %d: the reader holds version %d by %s, confirmed %v ago", seed, version, reader.core.Source(), w.now-reader.core.Local().FreshAt)
+				if version := reader.control.Local().View.Head.GetVersion(); version != 2 {
+					t.Errorf("seed %d: the reader holds version %d by %s, confirmed %v ago", seed, version, reader.control.Source(), w.now-reader.control.Local().FreshAt)
 				}
 			}
 		})
--- a/internal/controlplane/driver.go
+++ b/internal/controlplane/driver.go
@@ -13,7 +13,7 @@
 // Driver performs a Machine's effects in their order: write, apply, send, answer. The node and the simulator both use
 // it. While the disk is busy, what rests on nothing unwritten goes on.
 type Driver struct {
-	Core *Machine
+	Machine *Machine
 	// Journal is the disk; nil is a node that keeps no log.
 	Journal *journal.Journal
 	// Now gives the time of the node's clock.
@@ -35,7 +35,7 @@
 // Perform works until nothing is due or the disk is busy. After an error, of the disk or Machine.Refused, nothing may be sent any more.
 func (d *Driver) Perform() error {
 	for !d.isBusy && d.failed == nil {
-		effects := d.Core.Take()
+		effects := d.Machine.Take()
 		if !effects.IsWork {
 			break
 		}
@@ -46,16 +46,16 @@
 		d.finish(effects)
 	}
 	if d.failed == nil {
-		d.failed = d.Core.Refused()
+		d.failed = d.Machine.Refused()
 	}
 	if d.failed != nil {
 		return d.failed
 	}
-	if d.Journal != nil && !d.isBusy && (d.Core.Compactable() || d.Journal.NeedsSnapshot()) {
+	if d.Journal != nil && !d.isBusy && (d.Machine.NeedsSnapshot() || d.Journal.NeedsSnapshot()) {
 		d.compact(func() {})
 	}
 	if d.isBusy {
-		d.deliver(d.Core.TakeUnbound())
+		d.deliver(d.Machine.TakeIndependent())
 	}
 	d.Publish()
 	return d.failed
@@ -75,12 +75,12 @@
 // store writes what the log needs and finishes the effects. A full journal is compacted once, and the write repeated.
 func (d *Driver) store(effects Effects, isAgain bool) {
 	d.write(func() error {
-		if snapshot := effects.Quorum.Snapshot; snapshot != nil && uint64(d.Journal.SnapshotIndex()) < snapshot.Index {
+		if snapshot := effects.Raft.Snapshot; snapshot != nil && uint64(d.Journal.SnapshotIndex()) < snapshot.Index {
 			if err := d.Journal.WriteSnapshot(snapshot); err != nil {
 				return err
 			}
 		}
-		return d.Journal.Append(effects.Hard, effects.Quorum.Entries)
+		return d.Journal.Append(effects.HardState, effects.Raft.Entries)
 	}, func(err error) {
 		var full *journal.RingFullError
 		switch {
@@ -96,7 +96,7 @@
 
 // finish goes on with effects that are on the disk.
 func (d *Driver) finish(effects Effects) {
-	d.Core.Synced(d.Now(), effects)
+	d.Machine.Synced(d.Now(), effects)
 	d.Publish()
 	d.deliver(effects)
 }
@@ -116,7 +116,7 @@
 
 // compact writes a snapshot, which lets the journal drop what is older, and then calls next.
 func (d *Driver) compact(next func()) {
-	snapshot := d.Core.Whole()
+	snapshot := d.Machine.Snapshot()
 	if snapshot.Index == 0 || uint64(d.Journal.SnapshotIndex()) >= snapshot.Index {
 		next()
 		return
@@ -126,7 +126,7 @@
 			d.failed = err
 			return
 		}
-		d.Core.Compacted(raft.Index(snapshot.Index))
+		d.Machine.SnapshotWritten(raft.Index(snapshot.Index))
 		next()
 	})
 }
--- a/internal/controlplane/driver_test.go
+++ b/internal/controlplane/driver_test.go
@@ -31,11 +31,11 @@
 			}
 			now := time.Hour
 			self := &schema.Node{Id: "a", Address: "a", Zone: "d", Region: "r", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
-			machine := controlplane.New(now, controlplane.Options{Self: self, Seeds: []string{"a", "b", "c"}, System: "s", Hard: state.HardState, Snapshot: state.Snapshot, Items: state.Entries,
+			machine := controlplane.New(now, controlplane.Options{Self: self, Seeds: []string{"a", "b", "c"}, System: "s", HardState: state.HardState, Snapshot: state.Snapshot, Entries: state.Entries,
 				Draw: func(n int64) int64 { return n - 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 			var finish func(error)
 			votes, others := 0, 0
-			driver := &controlplane.Driver{Core: machine, Journal: j, Now: func() time.Duration { return now }, Publish: func() {}, Answer: func(controlplane.LocalResponse) {}, Synced: func(time.Duration, error) {},
+			driver := &controlplane.Driver{Machine: machine, Journal: j, Now: func() time.Duration { return now }, Publish: func() {}, Answer: func(controlplane.LocalResponse) {}, Synced: func(time.Duration, error) {},
 				Send: func(_ string, f *schema.Frame) {
 					if raft := f.GetRaft(); raft != nil && raft.Kind == schema.RaftKind_RAFT_VOTE_RESPONSE && !raft.Rejected {
 						votes++
--- a/internal/controlplane/effects.go
+++ b/internal/controlplane/effects.go
@@ -16,9 +16,9 @@
 // Effects are what a Driver performs: it writes what the log needs to the disk, calls Synced, and only then sends and answers.
 type Effects struct {
 	// Quorum is the log's part: entries and a snapshot to write, and reads that a majority has confirmed.
-	Quorum raft.Ready
+	Raft raft.Ready
 	// Hard is the hard state to write; nil is none.
-	Hard      *schema.HardState
+	HardState *schema.HardState
 	Sends     []frame.Envelope
 	Responses []LocalResponse
 	Calls     []leader.LeaseCall
@@ -58,7 +58,7 @@
 	}
 	effects := c.effects
 	c.effects = Effects{}
-	if c.quorum != nil && c.bootstrap.System() != "" {
+	if c.raft != nil && c.bootstrap.System() != "" {
 		c.takeReady(&effects)
 	}
 	effects.IsWork = effects.needsDisk() || effects.hasReads() || effects.hasOutput()
@@ -67,35 +67,35 @@
 
 // takeReady adds what the log wants written and sent.
 func (c *Machine) takeReady(effects *Effects) {
-	effects.Quorum = c.quorum.Take()
-	for _, message := range effects.Quorum.Messages {
+	effects.Raft = c.raft.Take()
+	for _, message := range effects.Raft.Messages {
 		f := &schema.Frame{Body: &schema.Frame_Raft{Raft: message}}
 		if envelope, isSent := c.seal(c.addressOf(message.To), f); isSent {
 			effects.Sends = append(effects.Sends, envelope)
 		}
 	}
-	if hard := effects.Quorum.HardState; hard != nil {
-		effects.Hard = proto.Clone(hard).(*schema.HardState)
-		effects.Hard.Id = c.self.Id
-		effects.Hard.System = c.bootstrap.System()
-		effects.Hard.Version = c.shownFleet()
+	if hardState := effects.Raft.HardState; hardState != nil {
+		effects.HardState = proto.Clone(hardState).(*schema.HardState)
+		effects.HardState.Id = c.self.Id
+		effects.HardState.System = c.bootstrap.System()
+		effects.HardState.Version = c.shownFleet()
 	}
 }
 
 // needsDisk tells whether the effects must be written before anything else is done.
 func (e *Effects) needsDisk() bool {
-	return e.Hard != nil || len(e.Quorum.Entries) > 0 || e.Quorum.Snapshot != nil
+	return e.HardState != nil || len(e.Raft.Entries) > 0 || e.Raft.Snapshot != nil
 }
 
-func (e *Effects) hasReads() bool { return len(e.Quorum.Reads) > 0 || len(e.Quorum.LostReads) > 0 }
+func (e *Effects) hasReads() bool { return len(e.Raft.Reads) > 0 || len(e.Raft.LostReads) > 0 }
 
 func (e *Effects) hasOutput() bool {
 	return len(e.Sends) > 0 || len(e.Responses) > 0 || len(e.Calls) > 0
 }
 
 // TakeUnbound applies what a majority has on disk and gives the effects that rest on nothing unwritten, while this disk is busy.
-func (c *Machine) TakeUnbound() Effects {
-	if c.quorum != nil {
+func (c *Machine) TakeIndependent() Effects {
+	if c.raft != nil {
 		c.apply()
 		c.state.Refresh(c.now)
 		c.publishDeltas()
@@ -111,19 +111,19 @@
 // Synced tells that the effects are on disk; committed items are applied now.
 func (c *Machine) Synced(now time.Duration, effects Effects) {
 	c.now = now
-	if c.quorum == nil {
+	if c.raft == nil {
 		return
 	}
-	if snapshot := effects.Quorum.Snapshot; snapshot != nil && c.guardState(c.state.Restore(now, snapshot)) != nil {
+	if snapshot := effects.Raft.Snapshot; snapshot != nil && c.guardState(c.state.Restore(now, snapshot)) != nil {
 		return
 	}
-	c.quorum.Synced(now, effects.Quorum)
+	c.raft.Synced(now, effects.Raft)
 	defer c.state.Refresh(now)
 	c.apply()
-	for _, number := range effects.Quorum.Reads {
+	for _, number := range effects.Raft.Reads {
 		c.operations.ReadConfirmed(now, number)
 	}
-	for _, number := range effects.Quorum.LostReads {
+	for _, number := range effects.Raft.LostReads {
 		c.operations.ReadLost(now, number)
 	}
 	c.publishDeltas()
@@ -155,6 +155,6 @@
 
 // members are the voters and the learners of the log.
 func (c *Machine) members() []*schema.Member {
-	members := c.quorum.Members()
+	members := c.raft.Members()
 	return slices.Concat(members.Voters, members.Learners)
 }
--- a/internal/controlplane/entry_workload.go
+++ b/internal/controlplane/entry_workload.go
@@ -15,11 +15,11 @@
 
 // restorable leaves out the commit index: a node must not hold its last state, since a leader that has not settled yet
 // would seem to confirm it.
-func (w *entryWorkload) restorable(hard *schema.HardState) *schema.HardState {
-	if hard == nil {
+func (w *entryWorkload) restorable(hardState *schema.HardState) *schema.HardState {
+	if hardState == nil {
 		return nil
 	}
-	return &schema.HardState{Term: hard.Term, Vote: hard.Vote, Id: hard.Id, System: hard.System}
+	return &schema.HardState{Term: hardState.Term, Vote: hardState.Vote, Id: hardState.Id, System: hardState.System}
 }
 
 func (w *entryWorkload) receiveHeartbeat(frame *schema.Frame, heartbeat *schema.Heartbeat) {
--- a/internal/controlplane/export_test.go
+++ b/internal/controlplane/export_test.go
@@ -16,7 +16,7 @@
 func (c *Machine) IsFull() bool { return c.isFull() }
 
 // Quorum is this machine's part in the agreement.
-func (c *Machine) Quorum() *raft.Node { return c.quorum }
+func (c *Machine) Raft() *raft.Node { return c.raft }
 
 // Source is the machine that this one takes rows from, and FreshAt when a majority last confirmed its rows.
 func (c *Machine) Source() string { return c.subscription.Source() }
--- a/internal/controlplane/forward_test.go
+++ b/internal/controlplane/forward_test.go
@@ -33,30 +33,30 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Hour
-			core := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r"}, Seeds: []string{"s"}, System: "x", Draw: func(int64) int64 { return 0 },
+			control := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r"}, Seeds: []string{"s"}, System: "x", Draw: func(int64) int64 { return 0 },
 				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routes: &RouteOptions{LongestLease: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
-			core.Operate(now, 5, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
-			core.Take()
+			control.Operate(now, 5, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
+			control.Take()
 			for i, s := range c.steps {
 				if s.leader != "" {
-					core.leader, core.leaderAt = s.leader, now
+					control.leader, control.leaderAt = s.leader, now
 				}
 				if s.answer != nil {
-					core.Receive(now, &schema.Frame{System: "x", From: core.leader, Address: core.leader, Call: 5, Response: true, Body: &schema.Frame_OperatorResponse{OperatorResponse: s.answer}})
+					control.Receive(now, &schema.Frame{System: "x", From: control.leader, Address: control.leader, Call: 5, Response: true, Body: &schema.Frame_OperatorResponse{OperatorResponse: s.answer}})
 				}
 				for until := now + s.after; now < until; {
 					now += 20 * ms
-					if core.leader != "" {
-						core.leaderAt = now
+					if control.leader != "" {
+						control.leaderAt = now
 					}
-					core.Tick(now)
+					control.Tick(now)
 				}
 				sends := 0
-				effects := core.Take()
+				effects := control.Take()
 				for _, send := range effects.Sends {
 					if send.Frame.GetOperatorRequest() != nil {
 						sends++
-						if send.To != core.leader || send.Frame.Call != 5 {
+						if send.To != control.leader || send.Frame.Call != 5 {
 							t.Errorf("step %d: sent to %s as call %d", i, send.To, send.Frame.Call)
 						}
 					}
@@ -88,20 +88,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Hour
-			core := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r"}, Seeds: []string{"s"}, System: "x", Draw: func(int64) int64 { return 0 },
+			control := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r"}, Seeds: []string{"s"}, System: "x", Draw: func(int64) int64 { return 0 },
 				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routes: &RouteOptions{LongestLease: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
-			core.leader, core.leaderAt = "l", now
-			core.Operate(now, 5, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
+			control.leader, control.leaderAt = "l", now
+			control.Operate(now, 5, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_SHOW})
 			answer := &schema.Frame{System: "x", From: c.from, Address: c.from, Call: c.call, Response: true, Body: &schema.Frame_OperatorResponse{OperatorResponse: &schema.OperatorResponse{Version: 7}}}
-			core.Receive(now, answer)
-			if got := len(core.Take().Responses) == 1; got != c.want {
+			control.Receive(now, answer)
+			if got := len(control.Take().Responses) == 1; got != c.want {
 				t.Fatalf("given to the caller: %v, want %v", got, c.want)
 			}
-			core.Receive(now, answer)
-			if len(core.Take().Responses) != 0 {
+			control.Receive(now, answer)
+			if len(control.Take().Responses) != 0 {
 				t.Fatal("an answer was given twice")
 			}
-			if staleResponses := core.Local().StaleResponses; c.want && staleResponses != 1 || !c.want && staleResponses != 2 {
+			if staleResponses := control.Local().StaleResponses; c.want && staleResponses != 1 || !c.want && staleResponses != 2 {
 				t.Errorf("%d stale responses are counted", staleResponses)
 			}
 		})
--- a/internal/controlplane/founding_test.go
+++ b/internal/controlplane/founding_test.go
@@ -27,35 +27,35 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			random := rand.New(rand.NewSource(1))
-			cores := map[string]*Machine{}
+			machines := map[string]*Machine{}
 			names := []string{"a", "b", "c", "d", "e"}
 			for _, name := range names {
 				self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "r"}
 				for _, disk := range c.disks {
 					self.Disk = self.Disk || string(disk) == name
 				}
-				cores[name] = New(time.Hour, Options{Self: self, Seeds: c.seeds, Draw: random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Rejoin: c.isRejoin,
+				machines[name] = New(time.Hour, Options{Self: self, Seeds: c.seeds, Draw: random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Rejoin: c.isRejoin,
 					Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			}
 			founded := map[string]string{}
 			for now := time.Hour; now < time.Hour+12*time.Second; now += 20 * time.Millisecond {
 				for _, name := range names {
-					core := cores[name]
-					core.Tick(now)
+					control := machines[name]
+					control.Tick(now)
 					for range 8 {
-						effects := core.Take()
+						effects := control.Take()
 						if !effects.IsWork {
 							break
 						}
-						core.Synced(now, effects)
+						control.Synced(now, effects)
 						for _, s := range effects.Sends {
-							if to := cores[s.To]; to != nil {
+							if to := machines[s.To]; to != nil {
 								to.Receive(now, s.Frame)
 							}
 						}
 					}
-					if core.bootstrap.System() != "" {
-						founded[core.bootstrap.System()] = name
+					if control.bootstrap.System() != "" {
+						founded[control.bootstrap.System()] = name
 					}
 				}
 			}
@@ -73,8 +73,8 @@
 					t.Fatalf("system %s, want %s to found", system, c.founder)
 				}
 			}
-			for name, core := range cores {
-				if core.bootstrap.System() == "" || core.quorum != nil && !core.quorum.IsVoter(core.self.Id) {
+			for name, control := range machines {
+				if control.bootstrap.System() == "" || control.raft != nil && !control.raft.IsVoter(control.self.Id) {
 					t.Errorf("%s did not join", name)
 				}
 			}
--- a/internal/controlplane/frames_test.go
+++ b/internal/controlplane/frames_test.go
@@ -19,26 +19,26 @@
 		name   string
 		system string
 		heard  *schema.Frame
-		change func(core *Machine, now time.Duration)
+		change func(control *Machine, now time.Duration)
 	}{
-		{"shuffles before a stop", "x", nil, func(core *Machine, now time.Duration) { core.Stop(now) }},
-		{"questions for a system before a stop", "", nil, func(core *Machine, now time.Duration) { core.Stop(now) }},
-		{"an introduction before a stop", "x", &schema.Frame{System: "x", From: "p", Address: "p", Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: peer}}}, func(core *Machine, now time.Duration) { core.Stop(now) }},
-		{"shuffles before a refuted suspicion", "x", nil, func(core *Machine, now time.Duration) {
-			core.Receive(now, &schema.Frame{System: "x", From: "p", Address: "p", Body: &schema.Frame_Shuffle{Shuffle: &schema.Shuffle{Nodes: []*schema.Node{lostSelf}, Reply: true}}})
+		{"shuffles before a stop", "x", nil, func(control *Machine, now time.Duration) { control.Stop(now) }},
+		{"questions for a system before a stop", "", nil, func(control *Machine, now time.Duration) { control.Stop(now) }},
+		{"an introduction before a stop", "x", &schema.Frame{System: "x", From: "p", Address: "p", Body: &schema.Frame_DiscoverRequest{DiscoverRequest: &schema.DiscoverRequest{Node: peer}}}, func(control *Machine, now time.Duration) { control.Stop(now) }},
+		{"shuffles before a refuted suspicion", "x", nil, func(control *Machine, now time.Duration) {
+			control.Receive(now, &schema.Frame{System: "x", From: "p", Address: "p", Body: &schema.Frame_Shuffle{Shuffle: &schema.Shuffle{Nodes: []*schema.Node{lostSelf}, Reply: true}}})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Hour
-			core := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r", State: schema.NodeState_NODE_READY}, Seeds: []string{"s"}, System: c.system,
+			control := New(now, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r", State: schema.NodeState_NODE_READY}, Seeds: []string{"s"}, System: c.system,
 				Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routes: &RouteOptions{LongestLease: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			if c.heard != nil {
-				core.Receive(now, c.heard)
+				control.Receive(now, c.heard)
 			}
 			for until := now + 400*ms; now < until; now += 20 * ms {
-				core.Tick(now)
+				control.Tick(now)
 			}
-			sends := core.Take().Sends
+			sends := control.Take().Sends
 			var before []*schema.Frame
 			carriers := 0
 			for _, send := range sends {
@@ -50,8 +50,8 @@
 			if carriers == 0 {
 				t.Fatal("no frame that carries the node's own description was sent")
 			}
-			c.change(core, now)
-			if core.self.Incarnation == 0 {
+			c.change(control, now)
+			if control.self.Incarnation == 0 {
 				t.Fatal("the node's description did not change")
 			}
 			for i, send := range sends {
--- a/internal/controlplane/health_test.go
+++ b/internal/controlplane/health_test.go
@@ -33,31 +33,31 @@
 			node := func(id string) *schema.Node {
 				return &schema.Node{Id: id, Address: id, Proxy: id, Admin: id, Zone: "d", Region: "r", Disk: id == "a", Incarnation: 1, State: schema.NodeState_NODE_READY}
 			}
-			core := New(time.Hour, Options{Self: node("a"), Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+			control := New(time.Hour, Options{Self: node("a"), Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 				Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }, HealthReports: func() []*schema.HealthReport { return c.own }}})
 			isFailing := false
 			for now := time.Hour; now < time.Hour+12*time.Second; now += 20 * time.Millisecond {
-				core.Tick(now)
-				if core.IsLeading() {
-					var items []discovery.Listed
+				control.Tick(now)
+				if control.IsLeading() {
+					var entries []discovery.Listed
 					for i := range 8 {
 						id := fmt.Sprint("i-", i)
-						items = append(items, discovery.Listed{Service: "copper", Instance: id, Address: id, Zone: "d", Slots: 6})
+						entries = append(entries, discovery.Listed{Service: "copper", Instance: id, Address: id, Zone: "d", Slots: 6})
 					}
-					core.SetListing(now, discovery.Listing{Items: items, BegunAt: now, IsWhole: true})
+					control.SetListing(now, discovery.Listing{Items: entries, BegunAt: now, IsWhole: true})
 					for i := range 4 {
-						core.workload.takeOwnHeartbeat(&schema.Heartbeat{Node: node(fmt.Sprint("idle-", i))})
+						control.workload.takeOwnHeartbeat(&schema.Heartbeat{Node: node(fmt.Sprint("idle-", i))})
 					}
-					core.workload.receiveHeartbeat(nil, &schema.Heartbeat{Node: node("b"), Health: c.straight, Relayed: []*schema.Heartbeat{{Node: node("c"), Health: c.relayed}}})
+					control.workload.receiveHeartbeat(nil, &schema.Heartbeat{Node: node("b"), Health: c.straight, Relayed: []*schema.Heartbeat{{Node: node("c"), Health: c.relayed}}})
 				}
 				for range 8 {
-					effects := core.Take()
+					effects := control.Take()
 					if !effects.IsWork {
 						break
 					}
-					core.Synced(now, effects)
+					control.Synced(now, effects)
 				}
-				if service := core.state.View().Services["copper"]; service != nil {
+				if service := control.state.View().Services["copper"]; service != nil {
 					for _, b := range service.Backends {
 						if b.Failing && b.Instance != "i-0" {
 							t.Fatalf("%s is failing", b.Instance)
@@ -66,8 +66,8 @@
 					}
 				}
 			}
-			if len(core.state.View().Services["copper"].Backends) != 8 || isFailing != c.want {
-				t.Fatalf("%d back ends; failing %v, want %v", len(core.state.View().Services["copper"].Backends), isFailing, c.want)
+			if len(control.state.View().Services["copper"].Backends) != 8 || isFailing != c.want {
+				t.Fatalf("%d back ends; failing %v, want %v", len(control.state.View().Services["copper"].Backends), isFailing, c.want)
 			}
 		})
 	}
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -41,9 +41,9 @@
 		Version:  c.state.Version(),
 		Suspects: c.peerSampler.Suspects(),
 		Leader:   heartbeat.Leader{Address: c.leader, SeenAt: c.leaderAt},
-		IsLeader: c.quorum != nil && c.quorum.Role() == raft.Leader,
+		IsLeader: c.raft != nil && c.raft.Role() == raft.Leader,
 	}
-	if source, isAlive := c.subscription.LiveSource(c.now); isAlive && c.quorum == nil {
+	if source, isAlive := c.subscription.LiveSource(c.now); isAlive && c.raft == nil {
 		facts.Relay = source
 	}
 	return facts
--- a/internal/controlplane/history_test.go
+++ b/internal/controlplane/history_test.go
@@ -113,14 +113,14 @@
 		}
 		again(maxSinceHeard)
 		up := slices.DeleteFunc(slices.Clone(w.machines), func(m *machine) bool { return !m.isUp })
-		leading := slices.DeleteFunc(slices.Clone(up), func(m *machine) bool { return !m.core.IsLeading() })
+		leading := slices.DeleteFunc(slices.Clone(up), func(m *machine) bool { return !m.control.IsLeading() })
 		if len(leading) > 0 && w.random.Intn(2) == 0 {
 			up = leading
 		}
 		if len(up) == 0 {
 			return
 		}
-		w.order(up[w.random.Intn(len(up))], request, func(response *schema.OperatorResponse) {
+		w.operate(up[w.random.Intn(len(up))], request, func(response *schema.OperatorResponse) {
 			switch {
 			case isDone || w.random.Float64() < o.ackLoss:
 			case response.Refusal == schema.RefusalKind_REFUSAL_NO_LEADER || response.Refusal == schema.RefusalKind_REFUSAL_AMBIGUOUS:
@@ -146,7 +146,7 @@
 	var newest uint64
 	for _, m := range w.machines {
 		if m.isUp {
-			newest = max(newest, m.core.Local().View.Head.GetVersion())
+			newest = max(newest, m.control.Local().View.Head.GetVersion())
 		}
 	}
 	return newest
--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -12,8 +12,8 @@
 		LostAfter: c.timing.LostAfter,
 		Logger:    c.log,
 	}
-	if c.quorum != nil {
-		options.Log, options.Proposer = c.quorum, c.proposals
+	if c.raft != nil {
+		options.Log, options.Proposer = c.raft, c.proposals
 	}
 	if routes := c.options.Routes; routes != nil {
 		options.Routes = &leader.RouteOptions{
--- a/internal/controlplane/load_bench_test.go
+++ b/internal/controlplane/load_bench_test.go
@@ -14,18 +14,18 @@
 func loaded(b *testing.B, backends int) (*fleet, *Machine) {
 	b.Helper()
 	f := newFleetOf(b)
-	leader := f.cores[f.leader()]
+	leader := f.machines[f.leader()]
 	request := configOf(1, 0, "copper")
 	request.Routes.Services = append(request.Routes.Services, &schema.ServicePolicy{Service: "nickel", Keyed: true})
 	request.Routes.Routes = append(request.Routes.Routes, &schema.Route{Name: "n", Host: "h", Prefix: "/n/", TimeoutMs: 1000, Targets: []*schema.Target{{Service: "nickel", Weight: 1}}})
 	f.operate(f.leader(), request)
 	f.run(time.Second)
-	var items []discovery.Listed
+	var entries []discovery.Listed
 	for i := range backends {
 		service := []string{"copper", "nickel", "copper"}[i%3]
-		items = append(items, discovery.Listed{Service: service, Instance: fmt.Sprint("i-", i), Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Zone: "z", Slots: 6})
+		entries = append(entries, discovery.Listed{Service: service, Instance: fmt.Sprint("i-", i), Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Zone: "z", Slots: 6})
 	}
-	leader.SetListing(f.now, discovery.Listing{BegunAt: f.now, IsWhole: true, Items: items})
+	leader.SetListing(f.now, discovery.Listing{BegunAt: f.now, IsWhole: true, Items: entries})
 	f.run(5 * time.Second)
 	if known := len(leader.state.View().Services["nickel"].Backends); known < backends/3 || len(leader.state.Table().Rows([]string{store.ServicePrefix("nickel") + "span/"})) == 0 {
 		b.Fatalf("%d back ends known", known)
--- a/internal/controlplane/local.go
+++ b/internal/controlplane/local.go
@@ -76,7 +76,7 @@
 		IsStopping:     c.self.State == schema.NodeState_NODE_STOPPING,
 		StaleResponses: c.countStaleResponses(),
 	}
-	if c.quorum != nil {
+	if c.raft != nil {
 		c.describeLog(local)
 	}
 	local.PeersAt = c.workload.peersHeardAt()
@@ -89,12 +89,12 @@
 }
 
 func (c *Machine) describeLog(local *Local) {
-	local.Role = c.quorum.Role().String()
-	local.Term = uint64(c.quorum.Term())
-	local.Commit = uint64(c.quorum.CommitIndex())
-	local.Members = c.quorum.Members()
-	local.First = uint64(c.quorum.SnapshotIndex())
-	if c.quorum.Role() == raft.Leader {
-		local.FreshAt = c.quorum.LeadershipConfirmedAt()
+	local.Role = c.raft.Role().String()
+	local.Term = uint64(c.raft.Term())
+	local.Commit = uint64(c.raft.CommitIndex())
+	local.Members = c.raft.Members()
+	local.First = uint64(c.raft.SnapshotIndex())
+	if c.raft.Role() == raft.Leader {
+		local.FreshAt = c.raft.LeadershipConfirmedAt()
 	}
 }
--- a/internal/controlplane/losses_test.go
+++ b/internal/controlplane/losses_test.go
@@ -165,7 +165,7 @@
 		}
 		w.run(2 * time.Second)
 		for _, m := range lost {
-			m.core.Stop(w.now)
+			m.control.Stop(w.now)
 			m.perform()
 		}
 		return func() {
@@ -215,7 +215,7 @@
 			fmt.Fprintf(&text, "%s is down\n", m.name)
 			continue
 		}
-		local := m.core.Local()
+		local := m.control.Local()
 		var voters, learners []string
 		for _, v := range local.Members.GetVoters() {
 			voters = append(voters, v.Id)
@@ -232,7 +232,7 @@
 func TestTheLeaderTellsWhatIsBorne(t *testing.T) {
 	w := newWorld(t, 1, 6, 0)
 	ask := func() (response *schema.OperatorResponse) {
-		w.order(w.leader(), &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}, func(o *schema.OperatorResponse) { response = o })
+		w.operate(w.leader(), &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_STATUS}, func(o *schema.OperatorResponse) { response = o })
 		w.run(time.Second)
 		return response
 	}
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -41,7 +41,7 @@
 	workload workload
 
 	// quorum and proposals are nil on a reader, which keeps no log.
-	quorum       *raft.Node
+	raft         *raft.Node
 	proposals    *proposals.Proposer
 	state        *statemachine.Machine
 	peerSampler  *membership.Sampler
@@ -99,7 +99,7 @@
 	}
 	c.duties = c.newDuties()
 	c.operations = newOperations(c)
-	if c.quorum != nil {
+	if c.raft != nil {
 		c.apply()
 		c.learnMembers()
 	}
@@ -119,27 +119,27 @@
 // loadLog restores the state and the log from what the journal held.
 func (c *Machine) loadLog() {
 	c.guardState(c.state.Load(c.now, c.options.Snapshot))
-	c.quorum = raft.New(c.now, raft.Options{
+	c.raft = raft.New(c.now, raft.Options{
 		ID:           c.self.Id,
-		HardState:    c.workload.restorable(c.options.Hard),
+		HardState:    c.workload.restorable(c.options.HardState),
 		Snapshot:     c.options.Snapshot,
-		Entries:      c.options.Items,
+		Entries:      c.options.Entries,
 		Draw:         c.options.Draw,
-		TakeSnapshot: c.Whole,
+		TakeSnapshot: c.Snapshot,
 		Timing:       c.timing.Raft,
 	})
-	c.proposals = proposals.New(c.quorum, c.state.Table())
+	c.proposals = proposals.New(c.raft, c.state.Table())
 }
 
 // firstSerial draws where this incarnation begins to number its requests, so that a response to a former incarnation's is known as stale.
 func (c *Machine) firstSerial() uint64 { return uint64(c.options.Draw(inflight.FirstSerialLimit)) }
 
 // IsLeading tells whether this node leads and has settled.
-func (c *Machine) IsLeading() bool { return c.quorum != nil && c.quorum.HasCommittedInTerm() }
+func (c *Machine) IsLeading() bool { return c.raft != nil && c.raft.HasCommittedInTerm() }
 
 // isFull tells whether this node keeps the log as a voter or a learner, and so holds all rows.
 func (c *Machine) isFull() bool {
-	if c.quorum == nil {
+	if c.raft == nil {
 		return false
 	}
 	isSelf := func(member *schema.Member) bool { return member.Id == c.self.Id }
@@ -161,14 +161,14 @@
 	c.self.State = schema.NodeState_NODE_STOPPING
 	c.self.Incarnation++
 	c.sendHeartbeat()
-	if c.quorum != nil && c.quorum.Role() == raft.Leader {
-		c.quorum.TransferLeadership(now)
+	if c.raft != nil && c.raft.Role() == raft.Leader {
+		c.raft.TransferLeadership(now)
 	}
 }
 
 // SlowDisk tells that a write to the disk took too long or failed; a leader hands over.
 func (c *Machine) SlowDisk(now time.Duration) {
-	if c.quorum != nil && c.quorum.Role() == raft.Leader {
-		c.quorum.TransferLeadership(now)
+	if c.raft != nil && c.raft.Role() == raft.Leader {
+		c.raft.TransferLeadership(now)
 	}
 }
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -39,7 +39,7 @@
 func (h operatorHost) IsLeading() bool { return h.machine.IsLeading() }
 
 func (h operatorHost) ConfirmLeadership(now time.Duration, number uint64) error {
-	return h.machine.quorum.ReadIndex(now, number)
+	return h.machine.raft.ReadIndex(now, number)
 }
 
 func (h operatorHost) Table() *store.Table { return h.machine.state.Table() }
--- a/internal/controlplane/options.go
+++ b/internal/controlplane/options.go
@@ -16,9 +16,9 @@
 	// System is the id of the system that this node belongs to; "" is none yet.
 	System string
 	// Hard, Snapshot and Items are what the journal held; a node without a disk has none.
-	Hard     *schema.HardState
-	Snapshot *schema.Snapshot
-	Items    []*schema.LogItem
+	HardState *schema.HardState
+	Snapshot  *schema.Snapshot
+	Entries   []*schema.LogItem
 	// Draw gives a random number from 0 up to, and without, its argument.
 	Draw func(int64) int64
 	Log  *slog.Logger
--- a/internal/controlplane/owners_test.go
+++ b/internal/controlplane/owners_test.go
@@ -18,7 +18,7 @@
 	for _, c := range []struct{ backends, spans int }{{1, 1}, {4, 12}} {
 		t.Run(fmt.Sprint(c.backends), func(t *testing.T) {
 			self := &schema.Node{Id: "a", Address: "a", Zone: "d", Region: "r", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
-			core := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+			control := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 				Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			record := &schema.Record{Kind: schema.RecordKind_RECORD_ROWS, Rows: []*schema.Row{store.EncodeRow(store.ServicePolicyKey("s"), &schema.ServicePolicy{Service: "s", Keyed: true})}}
 			for i := range c.backends {
@@ -27,12 +27,12 @@
 			}
 			isPut, laidAt, leases := false, time.Duration(0), 0
 			for now := time.Hour; now < time.Hour+12*time.Second && leases == 0; now += tick {
-				core.Tick(now)
-				if core.IsLeading() && !isPut {
-					isPut = core.proposals.Propose(core.now, record)
+				control.Tick(now)
+				if control.IsLeading() && !isPut {
+					isPut = control.proposals.Propose(control.now, record)
 				}
 				for range 8 {
-					effects := core.Take()
+					effects := control.Take()
 					if !effects.IsWork {
 						break
 					}
@@ -41,10 +41,10 @@
 							leases++
 						}
 					}
-					core.Synced(now, effects)
+					control.Synced(now, effects)
 				}
 				spans := 0
-				core.state.Table().Each("s/s/", func(row *schema.Row) {
+				control.state.Table().Each("s/s/", func(row *schema.Row) {
 					if strings.Contains(row.Key, "/span/") {
 						spans++
 					}
--- a/internal/controlplane/platform.go
+++ b/internal/controlplane/platform.go
@@ -32,7 +32,7 @@
 }
 
 // SetDead tells that a back end's process has surely ended, so that it owns no shards any more.
-func (c *Machine) SetDead(instance string) {
+func (c *Machine) BackendEnded(instance string) {
 	c.duties.Take(c.now, leader.BackendEnded{Instance: instance})
 }
 
--- a/internal/controlplane/receive.go
+++ b/internal/controlplane/receive.go
@@ -71,7 +71,7 @@
 // receiveRaft steps the log. A node that belongs to no system joins that of a leader which sends it entries or a
 // snapshot, and takes no other messages until then.
 func (c *Machine) receiveRaft(f *schema.Frame, message *schema.Raft) {
-	if c.quorum == nil || c.bootstrap.System() != "" && f.System == "" {
+	if c.raft == nil || c.bootstrap.System() != "" && f.System == "" {
 		return
 	}
 	if isFromLeader(message.Kind) {
@@ -81,8 +81,8 @@
 		return
 	}
 	c.addresses[f.From] = f.Address
-	c.quorum.Step(c.now, message)
-	if c.quorum.LeaderID() != f.From {
+	c.raft.Step(c.now, message)
+	if c.raft.LeaderID() != f.From {
 		return
 	}
 	c.leader, c.leaderAt = f.Address, c.now
@@ -136,7 +136,7 @@
 
 // receiveDigestResponse has ranges fetched again that differ from the source's; only readers have a source.
 func (c *Machine) receiveDigestResponse(from string, response *schema.DigestResponse) {
-	if c.quorum == nil {
+	if c.raft == nil {
 		c.sendAll(c.subscription.TakeDigests(c.now, from, response))
 	}
 }
--- a/internal/controlplane/replication.go
+++ b/internal/controlplane/replication.go
@@ -36,8 +36,8 @@
 		return replication.Confirmation{}
 	}
 	confirmation := replication.Confirmation{IsMember: true, Age: c.now - c.state.FreshAt()}
-	if c.quorum.Role() == raft.Leader {
-		confirmation.Age = c.now - c.quorum.LeadershipConfirmedAt()
+	if c.raft.Role() == raft.Leader {
+		confirmation.Age = c.now - c.raft.LeadershipConfirmedAt()
 	}
 	if c.options.Routes != nil {
 		confirmation.Leader = c.leader
@@ -52,7 +52,7 @@
 
 // takeDelta takes rows from the source; a node that keeps the log asks for none.
 func (c *Machine) takeDelta(from string, delta *schema.Delta) {
-	if c.quorum != nil {
+	if c.raft != nil {
 		c.staleResponses++
 		return
 	}
@@ -72,7 +72,7 @@
 
 // rowsFreshAt is the latest instant for which a majority has confirmed this node's rows.
 func (c *Machine) rowsFreshAt() time.Duration {
-	if c.quorum == nil {
+	if c.raft == nil {
 		return c.subscription.FreshAt()
 	}
 	return c.state.FreshAt()
@@ -81,7 +81,7 @@
 // Want asks for the rows of a service for the next minutes; a node that keeps the log has all rows.
 func (c *Machine) Want(now time.Duration, service string) {
 	c.now = now
-	if c.quorum == nil {
+	if c.raft == nil {
 		c.sendAll(c.subscription.Want(now, service))
 	}
 }
--- a/internal/controlplane/requests_test.go
+++ b/internal/controlplane/requests_test.go
@@ -19,7 +19,7 @@
 	t         testing.TB
 	now       time.Duration
 	names     []string
-	cores     map[string]*Machine
+	machines  map[string]*Machine
 	isDown    map[string]bool
 	responses map[operations.Ticket]*schema.OperatorResponse
 	ticket    operations.Ticket
@@ -28,15 +28,15 @@
 func newFleet(t *testing.T) *fleet { return newFleetOf(t) }
 
 func newFleetOf(t testing.TB) *fleet {
-	f := &fleet{t: t, now: time.Hour, names: []string{"a", "b", "c", "r"}, cores: map[string]*Machine{}, isDown: map[string]bool{}, responses: map[operations.Ticket]*schema.OperatorResponse{}}
+	f := &fleet{t: t, now: time.Hour, names: []string{"a", "b", "c", "r"}, machines: map[string]*Machine{}, isDown: map[string]bool{}, responses: map[operations.Ticket]*schema.OperatorResponse{}}
 	random := rand.New(rand.NewSource(3))
 	for _, name := range f.names {
 		self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "g", Disk: name != "r", Incarnation: 1, State: schema.NodeState_NODE_READY}
-		f.cores[name] = New(f.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		f.machines[name] = New(f.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 			Routes: &RouteOptions{LongestLease: 10 * time.Second, Zones: map[string]string{"z": "g", "y": "g"}, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 	}
 	f.run(8 * time.Second)
-	if f.leader() == "" || len(f.cores[f.leader()].quorum.Members().Voters) != 3 {
+	if f.leader() == "" || len(f.machines[f.leader()].raft.Members().Voters) != 3 {
 		t.Fatal("no leader of three voters")
 	}
 	return f
@@ -48,19 +48,19 @@
 			if f.isDown[name] {
 				continue
 			}
-			core := f.cores[name]
-			core.Tick(f.now)
+			control := f.machines[name]
+			control.Tick(f.now)
 			for range 12 {
-				effects := core.Take()
+				effects := control.Take()
 				for _, o := range effects.Responses {
 					f.responses[o.Ticket] = o.Response
 				}
 				if !effects.IsWork {
 					break
 				}
-				core.Synced(f.now, effects)
+				control.Synced(f.now, effects)
 				for _, s := range effects.Sends {
-					if to := f.cores[s.To]; to != nil && !f.isDown[s.To] {
+					if to := f.machines[s.To]; to != nil && !f.isDown[s.To] {
 						to.Receive(f.now, s.Frame)
 					}
 				}
@@ -71,7 +71,7 @@
 
 func (f *fleet) leader() string {
 	for _, name := range f.names {
-		if !f.isDown[name] && f.cores[name].IsLeading() {
+		if !f.isDown[name] && f.machines[name].IsLeading() {
 			return name
 		}
 	}
@@ -82,7 +82,7 @@
 func (f *fleet) other(nth int) string {
 	var names []string
 	for _, name := range f.names {
-		if !f.isDown[name] && !f.cores[name].IsLeading() {
+		if !f.isDown[name] && !f.machines[name].IsLeading() {
 			names = append(names, name)
 		}
 	}
@@ -92,7 +92,7 @@
 // operate gives a request to a machine, and gives its ticket.
 func (f *fleet) operate(at string, request *schema.OperatorRequest) operations.Ticket {
 	f.ticket++
-	f.cores[at].Operate(f.now, f.ticket, request)
+	f.machines[at].Operate(f.now, f.ticket, request)
 	return f.ticket
 }
 
@@ -162,8 +162,8 @@
 				}
 			}
 			for _, name := range f.names {
-				if !f.isDown[name] && f.cores[name].state.View().Head.GetVersion() != c.head {
-					t.Errorf("%s holds version %d, want %d", name, f.cores[name].state.View().Head.GetVersion(), c.head)
+				if !f.isDown[name] && f.machines[name].state.View().Head.GetVersion() != c.head {
+					t.Errorf("%s holds version %d, want %d", name, f.machines[name].state.View().Head.GetVersion(), c.head)
 				}
 			}
 		})
@@ -201,7 +201,7 @@
 		t.Fatalf("%d of eight changes on one version were taken", winners)
 	}
 	for _, name := range f.names {
-		if f.cores[name].state.View().Route("h", "/"+winner+"/") == nil || len(f.cores[name].state.View().Hosts["h"]) != 1 {
+		if f.machines[name].state.View().Route("h", "/"+winner+"/") == nil || len(f.machines[name].state.View().Hosts["h"]) != 1 {
 			t.Errorf("%s does not hold exactly the winner's route", name)
 		}
 	}
@@ -249,7 +249,7 @@
 					}
 				}
 				for _, name := range f.names {
-					if got := f.cores[name].state.View().Zones["y"].GetEmptied(); got != c.want {
+					if got := f.machines[name].state.View().Zones["y"].GetEmptied(); got != c.want {
 						t.Errorf("%s: emptied %v, want %v", name, got, c.want)
 					}
 				}
@@ -272,12 +272,12 @@
 			f := newFleet(t)
 			leader := f.leader()
 			if after == 0 {
-				f.cores[leader].Stop(f.now)
+				f.machines[leader].Stop(f.now)
 			}
 			ticket := f.operate(leader, configOf(1, 0, "one"))
 			if after > 0 {
 				f.run(after)
-				f.cores[leader].Stop(f.now)
+				f.machines[leader].Stop(f.now)
 			}
 			f.run(3 * time.Second)
 			if f.refused(ticket) != taken && f.refused(ticket) != schema.RefusalKind_REFUSAL_NO_LEADER {
@@ -291,7 +291,7 @@
 				t.Fatalf("again: %v", f.responses[again])
 			}
 			for _, name := range f.names {
-				if !f.isDown[name] && f.cores[name].state.View().Head.GetVersion() != 1 {
+				if !f.isDown[name] && f.machines[name].state.View().Head.GetVersion() != 1 {
 					t.Errorf("%s does not hold the configuration", name)
 				}
 			}
@@ -303,7 +303,7 @@
 func (f *fleet) wipe(name string) {
 	random := rand.New(rand.NewSource(int64(f.now)))
 	self := &schema.Node{Id: fmt.Sprintf("id-%s-%d", name, f.now), Address: name, Proxy: name, Admin: name, Zone: "z", Region: "g", Disk: true, Incarnation: uint64(f.now.Milliseconds()), State: schema.NodeState_NODE_READY}
-	f.cores[name] = New(f.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: random.Int63n, Rejoin: true, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+	f.machines[name] = New(f.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: random.Int63n, Rejoin: true, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 	f.isDown[name] = false
 }
@@ -337,7 +337,7 @@
 				if leader == "" {
 					t.Fatalf("round %d: nobody leads after %s lost its disk", round, lost)
 				}
-				if voters := f.cores[leader].quorum.Members().Voters; len(voters) != 3 {
+				if voters := f.machines[leader].raft.Members().Voters; len(voters) != 3 {
 					t.Fatalf("round %d: voters %v 4 s after the return of %s", round, voters, lost)
 				}
 				again := f.operate(leader, configOf(version, version-1, fmt.Sprint("of-", round)))
@@ -371,10 +371,10 @@
 			if f.refused(first) != taken {
 				t.Fatal(f.responses[first])
 			}
-			core := f.cores[f.leader()]
+			control := f.machines[f.leader()]
 			former := configOf(2, 1, "two").Routes
 			digest := sha256.Sum256(former.Document)
-			if _, _, err := core.quorum.Propose(f.now, routes.Plan(core.state.Table(), former, digest[:])); err != nil {
+			if _, _, err := control.raft.Propose(f.now, routes.Plan(control.state.Table(), former, digest[:])); err != nil {
 				t.Fatal(err)
 			}
 			ticket := f.operate(f.leader(), c.request)
@@ -382,7 +382,7 @@
 			if got := f.refused(ticket); got != c.want {
 				t.Errorf("%v (%s), want %v", got, f.responses[ticket].Message, c.want)
 			}
-			if head := core.state.View().Head.GetVersion(); head != c.head {
+			if head := control.state.View().Head.GetVersion(); head != c.head {
 				t.Errorf("version %d is in force, want %d", head, c.head)
 			}
 		})
--- a/internal/controlplane/route_workload.go
+++ b/internal/controlplane/route_workload.go
@@ -39,13 +39,13 @@
 }
 
 // restorable gives all: a node serves on its own last state before a leader has sent it the newest.
-func (w *routeWorkload) restorable(hard *schema.HardState) *schema.HardState { return hard }
+func (w *routeWorkload) restorable(hardState *schema.HardState) *schema.HardState { return hardState }
 
 // receiveHeartbeat takes a heartbeat and those that it relays if this node leads, and relays them if it keeps the log.
 func (w *routeWorkload) receiveHeartbeat(_ *schema.Frame, heartbeat *schema.Heartbeat) {
 	c := w.machine
 	if !c.IsLeading() {
-		if c.quorum != nil {
+		if c.raft != nil {
 			c.heartbeats.Relay(heartbeat)
 		}
 		return
--- a/internal/controlplane/seeds_test.go
+++ b/internal/controlplane/seeds_test.go
@@ -27,20 +27,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			drawn := int64(0)
-			core := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r"}, Seeds: []string{"old-1", "old-2"}, System: c.system, Rejoin: true,
+			control := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r"}, Seeds: []string{"old-1", "old-2"}, System: c.system, Rejoin: true,
 				Draw: func(n int64) int64 { drawn++; return drawn % n }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 				Routes: &RouteOptions{LongestLease: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			now := time.Hour
 			asked := map[string]bool{}
 			for turn := range 2 {
 				if turn == 1 {
-					core.SetSeeds(now, c.changed)
+					control.SetSeeds(now, c.changed)
 					clear(asked)
 				}
 				for until := now + 4*time.Second; now < until; {
 					now += 20 * time.Millisecond
-					core.Tick(now)
-					for _, send := range core.Take().Sends {
+					control.Tick(now)
+					for _, send := range control.Take().Sends {
 						asked[send.To] = true
 					}
 				}
--- a/internal/controlplane/startup_test.go
+++ b/internal/controlplane/startup_test.go
@@ -68,7 +68,7 @@
 	counts := map[string]int{}
 	for _, n := range f.nodes {
 		switch {
-		case n.core.IsLeading():
+		case n.control.IsLeading():
 			counts["leader"]++
 		case n.self.Disk:
 			counts["voter"]++
@@ -84,9 +84,9 @@
 // checkRows checks the leader's rows, of which every zone has one.
 func (f *startupFleet) checkRows() {
 	f.t.Helper()
-	leader := f.leader().core
+	leader := f.leader().control
 	rows := map[string]int{}
-	for _, row := range leader.Whole().Rows {
+	for _, row := range leader.Snapshot().Rows {
 		parts := strings.Split(row.Key, "/")
 		kind := parts[0]
 		if kind == "s" && len(parts) > 2 {
--- a/internal/controlplane/startup_world_test.go
+++ b/internal/controlplane/startup_world_test.go
@@ -63,7 +63,7 @@
 type startupNode struct {
 	index         int
 	self          *schema.Node
-	core          *controlplane.Machine
+	control       *controlplane.Machine
 	driver        *controlplane.Driver
 	random        *rand.Rand
 	clockOffset   time.Duration
@@ -153,10 +153,10 @@
 			f.t.Fatal(err)
 		}
 		opened = ring
-		options.Hard, options.Snapshot, options.Items = state.HardState, state.Snapshot, state.Entries
+		options.HardState, options.Snapshot, options.Entries = state.HardState, state.Snapshot, state.Entries
 	}
-	n.core = controlplane.New(f.clock(n), options)
-	n.driver = &controlplane.Driver{Core: n.core, Journal: opened, Now: func() time.Duration { return f.clock(n) },
+	n.control = controlplane.New(f.clock(n), options)
+	n.driver = &controlplane.Driver{Machine: n.control, Journal: opened, Now: func() time.Duration { return f.clock(n) },
 		Send:   func(to string, sent *schema.Frame) { f.send(n, to, sent) },
 		Answer: func(controlplane.LocalResponse) {},
 		Synced: func(time.Duration, error) {},
@@ -165,7 +165,7 @@
 			err := work()
 			f.after(startupSyncTime, func() { f.step(n, func() { done(err) }) })
 		},
-		Publish: func() { f.publish(n, n.core.Local()) }}
+		Publish: func() { f.publish(n, n.control.Local()) }}
 	f.tick(n)
 }
 
@@ -173,7 +173,7 @@
 	fmt.Fprintln(f.history, "grant", f.now, n.index, call.ID)
 	f.after(startupLeaseDelay, func() {
 		f.step(n, func() {
-			n.core.LeaseAnswered(f.clock(n), call.Incarnation, sharding.Answer{ID: call.ID, Result: sharding.Done})
+			n.control.LeaseAnswered(f.clock(n), call.Incarnation, sharding.Answer{ID: call.ID, Result: sharding.Done})
 		})
 	})
 }
@@ -193,14 +193,14 @@
 }
 
 func (f *startupFleet) tick(n *startupNode) {
-	f.step(n, func() { n.core.Tick(f.clock(n)) })
+	f.step(n, func() { n.control.Tick(f.clock(n)) })
 	f.after(constants.RoutedTick, func() { f.tick(n) })
 }
 
 func (f *startupFleet) list() {
 	if n := f.leader(); n != nil {
 		f.step(n, func() {
-			n.core.SetListing(f.clock(n), discovery.Listing{Items: slices.Clone(f.listing), BegunAt: f.clock(n), IsWhole: true})
+			n.control.SetListing(f.clock(n), discovery.Listing{Items: slices.Clone(f.listing), BegunAt: f.clock(n), IsWhole: true})
 		})
 	}
 	f.after(constants.ListEvery, f.list)
@@ -225,7 +225,7 @@
 
 func (f *startupFleet) leader() *startupNode {
 	for _, n := range f.nodes {
-		if n.core != nil && n.core.IsLeading() {
+		if n.control != nil && n.control.IsLeading() {
 			return n
 		}
 	}
@@ -269,11 +269,11 @@
 	link.arrived.Write(wire)
 	received, err := link.reader.Read()
 	link.arrived.Reset()
-	if err != nil || n.core == nil {
+	if err != nil || n.control == nil {
 		return
 	}
 	n.bytesIn += len(wire)
-	f.step(n, func() { n.core.Receive(f.clock(n), received) })
+	f.step(n, func() { n.control.Receive(f.clock(n), received) })
 }
 
 // config is the whole configuration of a version, with its text; each version after the first changes one route.
@@ -305,7 +305,7 @@
 	}
 	f.putAt[version] = f.now
 	request := &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_PUT_ROUTES, Routes: startupConfig(version)}
-	f.step(leader, func() { leader.core.Operate(f.clock(leader), operations.Ticket(version), request) })
+	f.step(leader, func() { leader.control.Operate(f.clock(leader), operations.Ticket(version), request) })
 }
 
 // settle puts the first configuration as soon as there is a leader, and gives the time from the start until every node held every row.
@@ -327,7 +327,7 @@
 	if leader == nil || len(f.putAt) == 0 || f.now-f.lastRowAt < startupCalm {
 		return false
 	}
-	want := leader.core.Local().View
+	want := leader.control.Local().View
 	backends := 0
 	for _, service := range want.Services {
 		backends += len(service.Backends)
@@ -335,7 +335,7 @@
 	if backends != startupBackends || len(want.Nodes) != len(f.nodes) || want.Head.GetVersion() == 0 {
 		return false
 	}
-	return !slices.ContainsFunc(f.nodes, func(n *startupNode) bool { return n.core.Local().View.Version != want.Version })
+	return !slices.ContainsFunc(f.nodes, func(n *startupNode) bool { return n.control.Local().View.Version != want.Version })
 }
 
 // change puts so many further configurations, each after the pause, and gives how long each node took to have each.
@@ -354,7 +354,7 @@
 // digest sums up the history and the rows of every node.
 func (f *startupFleet) digest() string {
 	for _, n := range f.nodes {
-		index, rows := n.core.Digest()
+		index, rows := n.control.Digest()
 		fmt.Fprintln(f.history, "rows", n.index, index, rows)
 	}
 	return fmt.Sprintf("%x", f.history.Sum(nil))
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -8,9 +8,9 @@
 )
 
 // Whole gives the snapshot at the applied index, for a follower or for the disk.
-func (c *Machine) Whole() *schema.Snapshot {
+func (c *Machine) Snapshot() *schema.Snapshot {
 	snapshot := c.state.Table().Snapshot()
-	c.quorum.DescribeSnapshot(snapshot)
+	c.raft.DescribeSnapshot(snapshot)
 	snapshot.Version = c.shownFleet()
 	return snapshot
 }
@@ -37,11 +37,11 @@
 
 // apply applies what is committed. A node that doesn't know a record, or the fleet's version, applies nothing any more.
 func (c *Machine) apply() {
-	items := c.quorum.Committed()
+	entries := c.raft.Committed()
 	if c.refused != nil {
 		return
 	}
-	applied, err := c.state.Apply(items)
+	applied, err := c.state.Apply(entries)
 	var changed []*schema.Row
 	for _, item := range applied {
 		c.noteApplied(item)
@@ -72,12 +72,12 @@
 }
 
 // Compactable tells whether a new snapshot should be written.
-func (c *Machine) Compactable() bool {
-	return c.quorum != nil && c.state.NeedsSnapshot(c.quorum.LogBytes())
+func (c *Machine) NeedsSnapshot() bool {
+	return c.raft != nil && c.state.NeedsSnapshot(c.raft.LogBytes())
 }
 
 // Compacted tells that a snapshot of that index is on disk.
-func (c *Machine) Compacted(index raft.Index) {
+func (c *Machine) SnapshotWritten(index raft.Index) {
 	c.state.SnapshotWritten(index)
-	c.quorum.Compact(index)
+	c.raft.Compact(index)
 }
--- a/internal/controlplane/tick.go
+++ b/internal/controlplane/tick.go
@@ -19,21 +19,21 @@
 		c.findSystem()
 		return
 	}
-	if c.quorum != nil {
-		c.quorum.Tick(now)
+	if c.raft != nil {
+		c.raft.Tick(now)
 		c.lead()
 		c.state.Refresh(now)
 	}
 	if c.heartbeats.IsDue(now) {
 		c.sendHeartbeat()
 	}
-	if c.quorum == nil {
+	if c.raft == nil {
 		c.seekMembers()
 		c.sendAll(c.subscription.Tick(now))
 	}
 	c.publishDeltas()
 	c.operations.Tick(now)
-	if c.quorum == nil {
+	if c.raft == nil {
 		c.perform(c.subscription.DropUnwanted(now))
 	}
 }
--- a/internal/controlplane/version_test.go
+++ b/internal/controlplane/version_test.go
@@ -16,16 +16,16 @@
 )
 
 type mixedWorld struct {
-	cores  map[string]*Machine
-	names  []string
-	cut    map[string]bool
-	now    time.Duration
-	random *rand.Rand
+	machines map[string]*Machine
+	names    []string
+	cut      map[string]bool
+	now      time.Duration
+	random   *rand.Rand
 }
 
 func (w *mixedWorld) add(name string, speaks protocolversion.Span) {
 	self := &schema.Node{Id: "id-" + name, Address: name, Proxy: name, Admin: name, Zone: "z", Region: "r", Disk: name <= "c", Incarnation: 1, State: schema.NodeState_NODE_READY}
-	w.cores[name] = New(w.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: w.random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Speaks: speaks, RiseAfter: 4 * time.Second,
+	w.machines[name] = New(w.now, Options{Self: self, Seeds: []string{"a", "b", "c"}, Draw: w.random.Int63n, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Speaks: speaks, RiseAfter: 4 * time.Second,
 		Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 	w.names = append(w.names, name)
 }
@@ -36,23 +36,23 @@
 			if w.cut[name] {
 				continue
 			}
-			core := w.cores[name]
-			core.Tick(w.now)
+			control := w.machines[name]
+			control.Tick(w.now)
 			for range 8 {
-				effects := core.Take()
+				effects := control.Take()
 				if !effects.IsWork {
 					break
 				}
-				core.Synced(w.now, effects)
+				control.Synced(w.now, effects)
 				for _, s := range effects.Sends {
-					if to := w.cores[s.To]; to != nil && !w.cut[s.To] {
+					if to := w.machines[s.To]; to != nil && !w.cut[s.To] {
 						to.Receive(w.now, s.Frame)
 					}
 				}
 			}
-			for id, node := range core.state.View().Nodes {
-				if span, err := protocolversion.ReadSpan(node.SpeaksLow, node.SpeaksHigh); err != nil || !span.Has(core.state.View().FleetVersion) {
-					t.Fatalf("%s: the fleet uses %d and node %s speaks %v", name, core.state.View().FleetVersion, id, span)
+			for id, node := range control.state.View().Nodes {
+				if span, err := protocolversion.ReadSpan(node.SpeaksLow, node.SpeaksHigh); err != nil || !span.Has(control.state.View().FleetVersion) {
+					t.Fatalf("%s: the fleet uses %d and node %s speaks %v", name, control.state.View().FleetVersion, id, span)
 				}
 			}
 		}
@@ -60,7 +60,7 @@
 }
 
 func newMixedWorld(speaks map[string]protocolversion.Span) *mixedWorld {
-	w := &mixedWorld{cores: map[string]*Machine{}, cut: map[string]bool{}, now: time.Hour, random: rand.New(rand.NewSource(1))}
+	w := &mixedWorld{machines: map[string]*Machine{}, cut: map[string]bool{}, now: time.Hour, random: rand.New(rand.NewSource(1))}
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		w.add(name, speaks[name])
 	}
@@ -90,14 +90,14 @@
 			w.run(t, 2500*time.Millisecond)
 			w.cut[c.unresponsive] = true
 			w.run(t, 17500*time.Millisecond)
-			for name, core := range w.cores {
+			for name, control := range w.machines {
 				if w.cut[name] {
 					continue
 				}
-				if core.state.View().FleetVersion != c.want || core.refused != nil || len(core.state.View().Nodes) != 5 {
-					t.Errorf("%s: the fleet uses %d, %d nodes known, refused %v", name, core.state.View().FleetVersion, len(core.state.View().Nodes), core.refused)
+				if control.state.View().FleetVersion != c.want || control.refused != nil || len(control.state.View().Nodes) != 5 {
+					t.Errorf("%s: the fleet uses %d, %d nodes known, refused %v", name, control.state.View().FleetVersion, len(control.state.View().Nodes), control.refused)
 				}
-				if voters := core.quorum; voters != nil && c.unresponsive == "" && len(voters.Members().Voters) != 3 {
+				if voters := control.raft; voters != nil && c.unresponsive == "" && len(voters.Members().Voters) != 3 {
 					t.Errorf("%s: %d voters", name, len(voters.Members().Voters))
 				}
 			}
@@ -114,26 +114,26 @@
 	w.run(t, 5*time.Second)
 	for _, name := range []string{"b2", "f"} {
 		var fleet *protocolversion.FleetError
-		if err := w.cores[name].Refused(); !errors.As(err, &fleet) || fleet.Fleet != 2 {
+		if err := w.machines[name].Refused(); !errors.As(err, &fleet) || fleet.Fleet != 2 {
 			t.Errorf("%s: refused with %v", name, err)
 		}
-		if effects := w.cores[name].Take(); effects.IsWork {
+		if effects := w.machines[name].Take(); effects.IsWork {
 			t.Errorf("%s still works: %v", name, effects)
 		}
 	}
 	landed := &schema.Heartbeat{Serial: 1, Node: &schema.Node{Id: "id-g", Address: "g", Proxy: "g", Admin: "g", Zone: "z", Region: "r", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}}
 	for range 20 {
 		for _, name := range []string{"a", "b", "c"} {
-			core := w.cores[name]
-			core.Receive(w.now, &schema.Frame{System: core.bootstrap.System(), From: "id-g", Address: "g", Body: &schema.Frame_Heartbeat{Heartbeat: landed}})
+			control := w.machines[name]
+			control.Receive(w.now, &schema.Frame{System: control.bootstrap.System(), From: "id-g", Address: "g", Body: &schema.Frame_Heartbeat{Heartbeat: landed}})
 		}
 		w.run(t, 400*time.Millisecond)
 	}
-	for name, core := range w.cores {
-		if len(core.state.View().Nodes) != 5 && core.refused == nil {
-			t.Errorf("%s knows %d nodes", name, len(core.state.View().Nodes))
+	for name, control := range w.machines {
+		if len(control.state.View().Nodes) != 5 && control.refused == nil {
+			t.Errorf("%s knows %d nodes", name, len(control.state.View().Nodes))
 		}
-		if core.quorum != nil && slices.ContainsFunc(slices.Concat(core.quorum.Members().Voters, core.quorum.Members().Learners), func(m *schema.Member) bool { return m.Id == "id-g" || m.Id == "id-b2" }) {
+		if control.raft != nil && slices.ContainsFunc(slices.Concat(control.raft.Members().Voters, control.raft.Members().Learners), func(m *schema.Member) bool { return m.Id == "id-g" || m.Id == "id-b2" }) {
 			t.Errorf("%s has an old member", name)
 		}
 	}
@@ -146,15 +146,15 @@
 		w.run(t, 5*time.Second+offset)
 		w.add("f", protocolversion.Span{Low: 1, High: 1})
 		w.run(t, 10*time.Second)
-		isIn := w.cores["a"].state.View().Nodes["id-f"] != nil
-		fleet := w.cores["a"].state.View().FleetVersion
+		isIn := w.machines["a"].state.View().Nodes["id-f"] != nil
+		fleet := w.machines["a"].state.View().FleetVersion
 		if isIn {
 			joined++
 		} else {
 			refused++
 		}
-		if isIn != (w.cores["f"].refused == nil) || isIn != (fleet == 1) {
-			t.Errorf("joined after %v: in the table %v, refused %v, fleet at %d", offset, isIn, w.cores["f"].refused, fleet)
+		if isIn != (w.machines["f"].refused == nil) || isIn != (fleet == 1) {
+			t.Errorf("joined after %v: in the table %v, refused %v, fleet at %d", offset, isIn, w.machines["f"].refused, fleet)
 		}
 	}
 	if joined == 0 || refused == 0 {
@@ -170,7 +170,7 @@
 	for _, c := range []struct {
 		name     string
 		snapshot *schema.Snapshot
-		items    []*schema.LogItem
+		entries  []*schema.LogItem
 		want     string
 	}{
 		{"its own version", &schema.Snapshot{Index: 3, Term: 1, Members: members, Rows: rows(2)}, nil, ""},
@@ -179,18 +179,18 @@
 		{"a kind of record that it doesn't know", &schema.Snapshot{Index: 3, Term: 1, Members: members}, []*schema.LogItem{{Index: 4, Term: 1, Record: &schema.Record{Kind: 77}}}, "unknown kind 77"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			core := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r", Disk: true}, Seeds: []string{"n"}, System: "x", Draw: func(int64) int64 { return 0 },
+			control := New(time.Hour, Options{Self: &schema.Node{Id: "n", Address: "n", Zone: "z", Region: "r", Disk: true}, Seeds: []string{"n"}, System: "x", Draw: func(int64) int64 { return 0 },
 				Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Routes: &RouteOptions{LongestLease: time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }},
-				Hard: &schema.HardState{Term: 1, Id: "n", System: "x", Commit: 4}, Snapshot: c.snapshot, Items: c.items, Restart: true})
+				HardState: &schema.HardState{Term: 1, Id: "n", System: "x", Commit: 4}, Snapshot: c.snapshot, Entries: c.entries, Restart: true})
 			for now := time.Hour; now < time.Hour+5*time.Second; now += 20 * time.Millisecond {
-				core.Tick(now)
-				effects := core.Take()
+				control.Tick(now)
+				effects := control.Take()
 				if c.want != "" && effects.IsWork {
 					t.Fatalf("a refused node works: %v", effects)
 				}
-				core.Synced(now, effects)
+				control.Synced(now, effects)
 			}
-			if err := core.Refused(); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
+			if err := control.Refused(); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 				t.Errorf("refused with %v, want %q", err, c.want)
 			}
 		})
--- a/internal/controlplane/workload.go
+++ b/internal/controlplane/workload.go
@@ -13,7 +13,7 @@
 	// timing gives the intervals and time-outs of all parts.
 	timing() timing.Timing
 	// restorable gives the part of a voter's hard state on disk that it may start with; nil is none.
-	restorable(hard *schema.HardState) *schema.HardState
+	restorable(hardState *schema.HardState) *schema.HardState
 	// receiveHeartbeat takes a heartbeat that came in a frame, and takeOwnHeartbeat that of this node, which leads.
 	receiveHeartbeat(frame *schema.Frame, heartbeat *schema.Heartbeat)
 	takeOwnHeartbeat(heartbeat *schema.Heartbeat)
--- a/internal/controlplane/world_test.go
+++ b/internal/controlplane/world_test.go
@@ -52,7 +52,7 @@
 	region      string
 	isDisk      bool
 	disk        *sim.Disk
-	core        *controlplane.Machine
+	control     *controlplane.Machine
 	driver      *controlplane.Driver
 	incarnation int
 	isUp        bool
@@ -126,7 +126,7 @@
 	}
 	w.run(10 * time.Second)
 	leader := w.leader()
-	if leader == nil || len(leader.core.Local().Members.Voters) != voters {
+	if leader == nil || len(leader.control.Local().Members.Voters) != voters {
 		t.Fatalf("seed %d: no leader of %d voters after the start", seed, voters)
 	}
 	return w
@@ -167,7 +167,7 @@
 
 func (w *world) leader() *machine {
 	for _, m := range w.machines {
-		if m.isUp && m.core.IsLeading() {
+		if m.isUp && m.control.IsLeading() {
 			return m
 		}
 	}
@@ -206,14 +206,14 @@
 			w.t.Fatal(err)
 		}
 		opened = j
-		options.Hard, options.Snapshot, options.Items = state.HardState, state.Snapshot, state.Entries
+		options.HardState, options.Snapshot, options.Entries = state.HardState, state.Snapshot, state.Entries
 		options.System, options.Restart = state.HardState.System, state.HardState.Id != ""
 		if options.Restart {
 			self.Id = state.HardState.Id
 		}
 	}
-	m.core = controlplane.New(w.now, options)
-	m.driver = &controlplane.Driver{Core: m.core, Journal: opened, Now: func() time.Duration { return w.now }, Send: m.send, Publish: func() {}, Synced: func(time.Duration, error) {}, Write: m.write,
+	m.control = controlplane.New(w.now, options)
+	m.driver = &controlplane.Driver{Machine: m.control, Journal: opened, Now: func() time.Duration { return w.now }, Send: m.send, Publish: func() {}, Synced: func(time.Duration, error) {}, Write: m.write,
 		Leased: func(leader.LeaseCall) {}, Answer: func(o controlplane.LocalResponse) {
 			if answer := m.answers[o.Ticket]; answer != nil {
 				delete(m.answers, o.Ticket)
@@ -232,7 +232,7 @@
 }
 
 func (m *machine) tick() {
-	m.core.Tick(m.w.now)
+	m.control.Tick(m.w.now)
 	m.perform()
 	m.w.on(m, worldTick, m.tick)
 }
@@ -256,17 +256,17 @@
 // check holds what must be true of any two machines at any moment.
 func (m *machine) check() {
 	w := m.w
-	local := m.core.Local()
-	if m.core.IsLeading() {
+	local := m.control.Local()
+	if m.control.IsLeading() {
 		if other := w.leaders[local.Term]; other != "" && other != m.name {
 			w.t.Fatalf("%s and another lead in term %d", m.name, local.Term)
 		}
 		w.leaders[local.Term] = m.name
 	}
-	if !m.core.IsFull() {
+	if !m.control.IsFull() {
 		return
 	}
-	index, digest := m.core.Digest()
+	index, digest := m.control.Digest()
 	if known := w.digests[index]; known != "" && known != digest {
 		w.t.Fatalf("%s differs from another machine in what it applied up to record %d", m.name, index)
 	}
@@ -302,7 +302,7 @@
 	if other.isUp {
 		w.on(other, at-w.now, func() {
 			if !w.cuts[link] {
-				other.core.Receive(w.now, frame)
+				other.control.Receive(w.now, frame)
 				other.performSoon()
 			}
 		})
@@ -349,7 +349,7 @@
 }
 
 // order gives an order to a machine, which may answer later or never.
-func (w *world) order(m *machine, request *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
+func (w *world) operate(m *machine, request *schema.OperatorRequest, take func(*schema.OperatorResponse)) {
 	if !m.isUp {
 		return
 	}
@@ -357,7 +357,7 @@
 	ticket := m.ticket
 	m.answers[ticket] = take
 	w.on(m, time.Millisecond, func() {
-		m.core.Operate(w.now, ticket, proto.Clone(request).(*schema.OperatorRequest))
+		m.control.Operate(w.now, ticket, proto.Clone(request).(*schema.OperatorRequest))
 		m.performSoon()
 	})
 }
--- a/internal/controlplane/zones_test.go
+++ b/internal/controlplane/zones_test.go
@@ -12,26 +12,26 @@
 
 func TestALeaderOfARoutedFleetTakesTheZonesOfTheSizeToDesignFor(t *testing.T) {
 	self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Admin: "a", Zone: "d000", Region: "r00", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
-	core := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+	control := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Routes: &RouteOptions{LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 	for now := time.Hour; now < time.Hour+6*time.Second; now += 20 * time.Millisecond {
-		core.Tick(now)
-		if core.IsLeading() {
+		control.Tick(now)
+		if control.IsLeading() {
 			for i := range 182 {
 				name := fmt.Sprintf("n%03d", i)
-				core.workload.takeOwnHeartbeat(&schema.Heartbeat{Node: &schema.Node{Id: name, Address: name, Proxy: name, Admin: name, Zone: fmt.Sprintf("d%03d", i), Region: fmt.Sprintf("r%02d", i%46), Incarnation: 1, State: schema.NodeState_NODE_READY}})
+				control.workload.takeOwnHeartbeat(&schema.Heartbeat{Node: &schema.Node{Id: name, Address: name, Proxy: name, Admin: name, Zone: fmt.Sprintf("d%03d", i), Region: fmt.Sprintf("r%02d", i%46), Incarnation: 1, State: schema.NodeState_NODE_READY}})
 			}
 		}
 		for range 8 {
-			effects := core.Take()
+			effects := control.Take()
 			if !effects.IsWork {
 				break
 			}
-			core.Synced(now, effects)
+			control.Synced(now, effects)
 		}
 	}
-	if len(core.state.View().Zones) != 182 || len(core.state.View().Regions) != 46 || len(core.state.View().Groups) < 46 || len(core.state.View().DefaultAssignments) != 46 {
-		t.Errorf("%d zones, %d regions, %d groups, %d default assignments, want 182, 46, 46 or more and 46", len(core.state.View().Zones), len(core.state.View().Regions), len(core.state.View().Groups), len(core.state.View().DefaultAssignments))
+	if len(control.state.View().Zones) != 182 || len(control.state.View().Regions) != 46 || len(control.state.View().Groups) < 46 || len(control.state.View().DefaultAssignments) != 46 {
+		t.Errorf("%d zones, %d regions, %d groups, %d default assignments, want 182, 46, 46 or more and 46", len(control.state.View().Zones), len(control.state.View().Regions), len(control.state.View().Groups), len(control.state.View().DefaultAssignments))
 	}
 }
 
@@ -52,29 +52,29 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			self := &schema.Node{Id: "a", Address: "a", Proxy: "a", Admin: "a", Zone: "d1", Region: "r1", Disk: true, Incarnation: 1, State: schema.NodeState_NODE_READY}
-			core := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+			control := New(time.Hour, Options{Self: self, Seeds: []string{"a"}, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 				Routes: &RouteOptions{Zones: c.zones, LongestLease: 10 * time.Second, ColdRate: func(*schema.ServicePolicy) int { return 1 }}})
 			var response *schema.OperatorResponse
 			for now := time.Hour; now < time.Hour+8*time.Second; now += 20 * time.Millisecond {
-				core.Tick(now)
+				control.Tick(now)
 				if now == time.Hour+6*time.Second {
-					core.Operate(now, 1, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_EMPTY, Zone: c.zone})
+					control.Operate(now, 1, &schema.OperatorRequest{Kind: schema.OperatorKind_OPERATOR_EMPTY, Zone: c.zone})
 				}
 				for range 8 {
-					effects := core.Take()
+					effects := control.Take()
 					for _, o := range effects.Responses {
 						response = o.Response
 					}
 					if !effects.IsWork {
 						break
 					}
-					core.Synced(now, effects)
+					control.Synced(now, effects)
 				}
 			}
-			if response == nil || response.Refusal != c.refusal || len(core.state.View().Zones) != c.known {
-				t.Fatalf("response %v, %d zones, want %v and %d", response, len(core.state.View().Zones), c.refusal, c.known)
+			if response == nil || response.Refusal != c.refusal || len(control.state.View().Zones) != c.known {
+				t.Fatalf("response %v, %d zones, want %v and %d", response, len(control.state.View().Zones), c.refusal, c.known)
 			}
-			if got := core.state.View().Zones[c.zone].GetEmptied(); got != (c.refusal == schema.RefusalKind_REFUSAL_NONE) {
+			if got := control.state.View().Zones[c.zone].GetEmptied(); got != (c.refusal == schema.RefusalKind_REFUSAL_NONE) {
 				t.Fatalf("emptied: %v", got)
 			}
 		})
--- a/internal/node/earlier_version_test.go
+++ b/internal/node/earlier_version_test.go
@@ -140,11 +140,11 @@
 func restart(t *testing.T, state *journal.State, routed *controlplane.RouteOptions) *schema.Snapshot {
 	t.Helper()
 	restarted := controlplane.New(time.Hour, controlplane.Options{Self: &schema.Node{Id: state.HardState.Id, Address: "here", Disk: true}, System: state.HardState.System, Restart: true,
-		Hard: state.HardState, Snapshot: state.Snapshot, Items: state.Entries, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.DiscardHandler), Routes: routed})
+		HardState: state.HardState, Snapshot: state.Snapshot, Entries: state.Entries, Draw: func(int64) int64 { return 0 }, Log: slog.New(slog.DiscardHandler), Routes: routed})
 	if err := restarted.Refused(); err != nil {
 		t.Fatal(err)
 	}
-	return restarted.Whole()
+	return restarted.Snapshot()
 }
 
 func ids(members []*schema.Member) []string {
@@ -240,9 +240,9 @@
 	t.Helper()
 	added := &schema.LogItem{Index: before.LogLastIndex + 1, Term: before.Term + 1, Record: &schema.Record{Kind: schema.RecordKind_RECORD_NOTHING}}
 	withJournal(t, path, func(opened *journal.Journal, state *journal.State) {
-		hard := proto.Clone(state.HardState).(*schema.HardState)
-		hard.Term, hard.Vote, hard.Commit = added.Term, "another", added.Index
-		if err := opened.Append(hard, []*schema.LogItem{added}); err != nil {
+		hardState := proto.Clone(state.HardState).(*schema.HardState)
+		hardState.Term, hardState.Vote, hardState.Commit = added.Term, "another", added.Index
+		if err := opened.Append(hardState, []*schema.LogItem{added}); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/node/lease_calls.go
+++ b/internal/node/lease_calls.go
@@ -37,6 +37,6 @@
 	case !wasRefused:
 		s.refusedSince[instance] = now
 	case now-since >= constants.RefusedApart:
-		s.node.machine.SetDead(instance)
+		s.node.machine.BackendEnded(instance)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -138,7 +138,7 @@
 		if err != nil {
 			return err
 		}
-		options.Hard, options.Snapshot, options.Items = state.HardState, state.Snapshot, state.Entries
+		options.HardState, options.Snapshot, options.Entries = state.HardState, state.Snapshot, state.Entries
 		options.System, options.Restart = state.HardState.System, state.HardState.Id != ""
 		if options.Restart {
 			n.self.Id = state.HardState.Id
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -65,7 +65,7 @@
 
 func (n *Node) driver() *controlplane.Driver {
 	return &controlplane.Driver{
-		Core:    n.machine,
+		Machine: n.machine,
 		Journal: n.journal,
 		Now:     n.Now,
 		Send:    n.transport.send,
--- a/internal/sim/invariants.go
+++ b/internal/sim/invariants.go
@@ -104,7 +104,7 @@
 
 // checkFullCopy compares the rows of a machine with a disk with those of others at the same index.
 func (f *Fleet) checkFullCopy(n *Node, local *controlplane.Local) {
-	whole := n.machine.Whole()
+	whole := n.machine.Snapshot()
 	hash := sha256.New()
 	for _, row := range whole.Rows {
 		fmt.Fprintf(hash, "%s\x00%x\x00%d\n", row.Key, row.Value, row.Index)
--- a/internal/sim/node_start.go
+++ b/internal/sim/node_start.go
@@ -92,7 +92,7 @@
 			return nil, false
 		}
 	}
-	options.Hard, options.Snapshot, options.Items = state.HardState, state.Snapshot, state.Entries
+	options.HardState, options.Snapshot, options.Entries = state.HardState, state.Snapshot, state.Entries
 	options.System, options.Restart = state.HardState.System, state.HardState.Id != ""
 	if options.Restart {
 		n.id = state.HardState.Id
@@ -105,7 +105,7 @@
 func (f *Fleet) newDriver(n *Node, openedJournal *journal.Journal) *controlplane.Driver {
 	boot := n.Boot
 	return &controlplane.Driver{
-		Core:    n.machine,
+		Machine: n.machine,
 		Journal: openedJournal,
 		Now:     func() time.Duration { return f.clock(n) },
 		Send:    func(to string, frame *schema.Frame) { f.transmit(n, to, frame) },
