--- a/cmd/testfleet/backend.go
+++ b/cmd/testfleet/backend.go
@@ -35,8 +35,8 @@
 	coldSlowdown = 6
 	// slowSlowdown is how many times as long a back end works in modeSlow.
 	slowSlowdown = 20
-	// A request takes workLeast to workLeast+workSpread milliseconds.
-	workLeast, workSpread = 8, 15
+	// A request takes minWork to minWork+workSpread milliseconds.
+	minWork, workSpread = 8, 15
 	// maxPadding bounds the padding of an answer, oversizeBytes is the size of one that is too large.
 	maxPadding    = 400
 	oversizeBytes = 5 << 20
@@ -193,7 +193,7 @@
 
 // drawSpan draws how long the back end works on a request.
 func (b *Backend) drawSpan(mode Mode) time.Duration {
-	span := time.Duration(workLeast+b.platform.draw(workSpread)) * time.Millisecond
+	span := time.Duration(minWork+b.platform.draw(workSpread)) * time.Millisecond
 	if b.isCold && time.Since(b.started) < checker.ColdPeriod {
 		span *= coldSlowdown
 	}
--- a/cmd/testfleet/routed_backend.go
+++ b/cmd/testfleet/routed_backend.go
@@ -17,8 +17,8 @@
 	grantPath       = "/keys/grant"
 )
 
-// A routed request takes routedWorkLeast to routedWorkLeast+routedWorkSpread milliseconds.
-const routedWorkLeast, routedWorkSpread = 5, 20
+// A routed request takes minRoutedWork to minRoutedWork+routedWorkSpread milliseconds.
+const minRoutedWork, routedWorkSpread = 5, 20
 
 // routedBackend is a stand-in back end of a fleet that carries routes, speaking the product's own interface.
 type routedBackend struct {
@@ -89,7 +89,7 @@
 	if isMine {
 		p.lastRequest[b.zone] = time.Now()
 	}
-	return isMine, time.Duration(routedWorkLeast+p.random.Intn(routedWorkSpread)) * time.Millisecond
+	return isMine, time.Duration(minRoutedWork+p.random.Intn(routedWorkSpread)) * time.Millisecond
 }
 
 // recordRun notes that an attempt runs, which must not be its second time if it must not be repeated.
--- a/cmd/testfleet/routed_load.go
+++ b/cmd/testfleet/routed_load.go
@@ -180,10 +180,10 @@
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
 	isOwn := strings.HasSuffix(string(text), " "+path+" "+attempt)
-	isWhole := err == nil && response.Header.Get(headerDigest) == checker.Digest(text)
+	isComplete := err == nil && response.Header.Get(headerDigest) == checker.Digest(text)
 	switch response.StatusCode {
 	case http.StatusOK:
-		if !isOwn || !isWhole {
+		if !isOwn || !isComplete {
 			r.platform.reportViolation("%s got an answer that is not its own or not whole: %q, %v", attempt, text, err)
 		}
 	case http.StatusServiceUnavailable:
--- a/cmd/topazshed/doctor_clocks.go
+++ b/cmd/topazshed/doctor_clocks.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// clockRateMost is the error of a clock's rate that leases allow.
-	clockRateMost = 0.05
+	// maxClockRate is the error of a clock's rate that leases allow.
+	maxClockRate = 0.05
 	// clockGrain covers that a status tells its clock in whole milliseconds, twice.
 	clockGrain = 2 * time.Millisecond
 )
@@ -68,7 +68,7 @@
 		}
 		later := after[id]
 		own, other := later.own-earlier.own, later.other-earlier.other
-		slack := time.Duration(float64(own)*clockRateMost) + earlier.uncertainty + later.uncertainty + clockGrain
+		slack := time.Duration(float64(own)*maxClockRate) + earlier.uncertainty + later.uncertainty + clockGrain
 		if other > own+slack || other < own-slack {
 			found.add("clock-rate", "check that machine's clock, and that it is not overloaded or just restarted; leases allow 5 per cent",
 				"%s counted %v while this machine counted %v", id, other, own.Round(time.Millisecond))
--- a/internal/adminapi/operators.go
+++ b/internal/adminapi/operators.go
@@ -53,8 +53,8 @@
 			Reply{Kind: kindBadBase, Message: "name the version that the document was based on: ?base=N, 0 for the first"})
 		return
 	}
-	document, isWhole := s.readDocument(w, r)
-	if !isWhole {
+	document, isComplete := s.readDocument(w, r)
+	if !isComplete {
 		return
 	}
 	request := &schema.OperatorRequest{
--- a/internal/catalog/read.go
+++ b/internal/catalog/read.go
@@ -95,8 +95,8 @@
 	c.checkName(index, entry)
 	c.checkMethods(index, entry)
 	c.checkHomeRegions(index, entry)
-	c.checkLimit(entryPath(index, "body_limit"), entry.BodyLimit, constants.BodyLimitMost)
-	c.checkLimit(entryPath(index, "outcome_limit"), entry.ResponseLimit, constants.BodyLimitMost)
+	c.checkLimit(entryPath(index, "body_limit"), entry.BodyLimit, constants.MaxBodyLimit)
+	c.checkLimit(entryPath(index, "outcome_limit"), entry.ResponseLimit, constants.MaxBodyLimit)
 	c.checkLimit(entryPath(index, "bearable"), uint64(entry.ColdRate), maxColdRate)
 }
 
--- a/internal/checker/caller.go
+++ b/internal/checker/caller.go
@@ -44,10 +44,10 @@
 	retryMargin = 50 * time.Millisecond
 	// retryAfterSpread spreads callers that got the same Retry-After.
 	retryAfterSpread = 200
-	// A caller backs off for backoffLeast to backoffLeast+backoffStep*n, n the sends so far, at most backoffMost.
-	backoffLeast = 100
-	backoffStep  = 100
-	backoffMost  = 6
+	// A caller backs off for minBackoff to minBackoff+backoffStep*n, n the sends so far, at most maxBackoff.
+	minBackoff  = 100
+	backoffStep = 100
+	maxBackoff  = 6
 )
 
 // Draw gives a random number from 0 to below n.
@@ -95,7 +95,7 @@
 
 // Backoff draws the pause after a sending that may have run, given the number of sendings so far.
 func Backoff(sends int, draw Draw) time.Duration {
-	return time.Duration(backoffLeast+draw(backoffStep)*min(sends, backoffMost)) * time.Millisecond
+	return time.Duration(minBackoff+draw(backoffStep)*min(sends, maxBackoff)) * time.Millisecond
 }
 
 // RetryPause draws the pause after a refusal: the reply's RetryAfter and a spread.
--- a/internal/constants/balancing.go
+++ b/internal/constants/balancing.go
@@ -23,8 +23,8 @@
 	StrainAbove = 2.0
 	// CostJitter (fraction) is the most that is drawn on top of a cost, so that nodes do not all choose the same.
 	CostJitter = 0.1
-	// SearchesMost (back ends) are tried for one request, connected or not.
-	SearchesMost = 5
+	// MaxSearches (back ends) are tried for one request, connected or not.
+	MaxSearches = 5
 	// TendEvery is how often a gateway drops idle connections and unknown back ends.
 	TendEvery = time.Second
 )
@@ -38,8 +38,8 @@
 	ColdWindow = 1100 * time.Millisecond
 	// ColdAfter is added to what the list says of how long it is warming up: its clock, the way and the replication of a row.
 	ColdAfter = 200 * time.Millisecond
-	// SlowStartSendersMost (nodes) share what it bears: whole requests a second remain for each.
-	SlowStartSendersMost = 4
+	// MaxSlowStartSenders (nodes) share what it bears: whole requests a second remain for each.
+	MaxSlowStartSenders = 4
 )
 
 // Waiting for a key's owner, and the load of keys (internal/gateway).
--- a/internal/constants/connections.go
+++ b/internal/constants/connections.go
@@ -19,15 +19,15 @@
 	IdleDefault = 8 * time.Second
 	// IdleMargin is how long before its back end closes an idle connection it is no longer used.
 	IdleMargin = 1500 * time.Millisecond
-	// IdleMost (connections) to one back end are kept idle.
-	IdleMost = 16
-	// FreshLeast is how long a connection may be idle while a service's back ends forget idle ones: below any time-out worth
+	// MaxIdle (connections) to one back end are kept idle.
+	MaxIdle = 16
+	// MinFresh is how long a connection may be idle while a service's back ends forget idle ones: below any time-out worth
 	// having, above the gap within a few requests in a row.
-	FreshLeast = 100 * time.Millisecond
+	MinFresh = 100 * time.Millisecond
 	// FreshKept is how long it is remembered that a connection was forgotten; each further time is remembered twice as long.
 	FreshKept = 8 * time.Second
-	// FreshKeptMost is the longest such time: new connections cost money.
-	FreshKeptMost = time.Minute
+	// MaxFreshKept is the longest such time: new connections cost money.
+	MaxFreshKept = time.Minute
 	// FreshStep is the length of a step in which that is unlearned: connections may then be idle twice as long.
 	FreshStep = 2 * time.Second
 	// FreshReset is the time within which the reset of a forgotten connection comes back: two ways over a far link and a busy
@@ -38,6 +38,6 @@
 	KeepAnswer = 64 << 10
 	// KeepBody (bytes) of a request are kept so that it can be sent again; longer ones stream and are sent once.
 	KeepBody = 64 << 10
-	// SurplusMost (responses) to other requests are skipped on one connection.
-	SurplusMost = 2
+	// MaxSurplus (responses) to other requests are skipped on one connection.
+	MaxSurplus = 2
 )
--- a/internal/constants/discovery.go
+++ b/internal/constants/discovery.go
@@ -27,9 +27,9 @@
 	ListEvery = 400 * time.Millisecond
 	// ListPageEvery is what each page of a read adds to the pause after it.
 	ListPageEvery = 150 * time.Millisecond
-	// ListEveryMost is the longest such pause: with the read, a commit and its replication, draining back ends are still known
+	// MaxListEvery is the longest such pause: with the read, a commit and its replication, draining back ends are still known
 	// within 2.5 s.
-	ListEveryMost = 1100 * time.Millisecond
+	MaxListEvery = 1100 * time.Millisecond
 	// ListRateShare (fraction) of the allowed calls is used at most; operators and a former leader may need the others.
 	ListRateShare = 0.7
 	// ListRest of the bound on draining back ends is left for the read, its commit, the replication and a connection that is
@@ -49,6 +49,6 @@
 	ListRefusals = 3
 	// ListCall bounds the call for one page.
 	ListCall = 700 * time.Millisecond
-	// ListPagesMost (pages) of one read: more than 78000 back ends in pages of 50, fewer than a list that never ends.
-	ListPagesMost = 2000
+	// MaxListPages (pages) of one read: more than 78000 back ends in pages of 50, fewer than a list that never ends.
+	MaxListPages = 2000
 )
--- a/internal/constants/fleet.go
+++ b/internal/constants/fleet.go
@@ -15,9 +15,9 @@
 	LeaseClockMargin = 500 * time.Millisecond
 	// IsolatedAfter is the age of a proxy's state at which it refuses all requests.
 	IsolatedAfter = 4 * time.Second
-	// BehindMost is how long a machine with a disk serves on although it knows of changes that it can't apply yet: with the way
+	// MaxBehind is how long a machine with a disk serves on although it knows of changes that it can't apply yet: with the way
 	// there that stays below 2.5 s.
-	BehindMost = 1500 * time.Millisecond
+	MaxBehind = 1500 * time.Millisecond
 	// FleetRiseAfter is how long all nodes must have been able to read a version before the fleet uses it: an operator has time
 	// to look at the last node's figures and to go back.
 	FleetRiseAfter = 10 * time.Minute
--- a/internal/constants/journal.go
+++ b/internal/constants/journal.go
@@ -20,8 +20,8 @@
 	SnapshotFileBytes = 16 << 20
 	// FullDiskPause is the time between two tries to write to a full disk.
 	FullDiskPause = 50 * time.Millisecond
-	// FullDiskMost is how long a machine waits for a full disk before it gives up; the others' disks carry the log meanwhile.
-	FullDiskMost = 20 * time.Second
+	// MaxFullDisk is how long a machine waits for a full disk before it gives up; the others' disks carry the log meanwhile.
+	MaxFullDisk = 20 * time.Second
 	// SlowSync is how long one sync may take before a leader hands over.
 	SlowSync = 800 * time.Millisecond
 )
--- a/internal/constants/operators.go
+++ b/internal/constants/operators.go
@@ -29,15 +29,15 @@
 	// RecentConfigs (configurations) of these are known to every node, for programs that know no others: as many requests as
 	// may be in flight at once.
 	RecentConfigs = 8
-	// RouteTimeoutMost is the longest time-out of a route.
-	RouteTimeoutMost = 10 * time.Minute
+	// MaxRouteTimeout is the longest time-out of a route.
+	MaxRouteTimeout = 10 * time.Minute
 	// RouteTargetOver is how far a route's latency target may be above its time-out.
 	RouteTargetOver = time.Minute
 	// ChangesKept (changes) of failover assignments are remembered for operators: an afternoon of faults in a few KiB.
 	ChangesKept = 32
-	// EvidenceMost (zones) are named in the evidence of one change; of more only the count is given, so that a record stays
+	// MaxEvidence (zones) are named in the evidence of one change; of more only the count is given, so that a record stays
 	// small.
-	EvidenceMost = 4
+	MaxEvidence = 4
 	// StaleList is the age of the endpoint list at which doctor reports it.
 	StaleList = 10 * time.Second
 )
--- a/internal/constants/outliers.go
+++ b/internal/constants/outliers.go
@@ -6,10 +6,10 @@
 const (
 	// FailuresToRest (failures) in a row after which a back end gets nothing for a while.
 	FailuresToRest = 2
-	// RestLeast is the first such time, doubled with each further failure.
-	RestLeast = 300 * time.Millisecond
-	// RestMost is the longest one: one attempt then shows whether the back end is back.
-	RestMost = 2 * time.Second
+	// MinRest is the first such time, doubled with each further failure.
+	MinRest = 300 * time.Millisecond
+	// MaxRest is the longest one: one attempt then shows whether the back end is back.
+	MaxRest = 2 * time.Second
 	// RefusedApart is how far apart two refused connections prove that a back end's process has ended.
 	RefusedApart = 150 * time.Millisecond
 	// OutlierHalfLife is the time after which an attempt's result counts half: a node may send each back end one request in two
@@ -25,8 +25,8 @@
 	OutlierRefusals = 1.5
 	// OutlierOut is the time of a first ejection, doubled with each further one: a crashed back end is back in some seconds.
 	OutlierOut = 800 * time.Millisecond
-	// OutlierOutMost is the longest time of an ejection.
-	OutlierOutMost = 4 * time.Second
+	// MaxOutlierOut is the longest time of an ejection.
+	MaxOutlierOut = 4 * time.Second
 	// OutlierTrials (requests) in a row must succeed, one at a time, before an ejected back end counts as healthy; a failure
 	// ejects it again, for twice as long.
 	OutlierTrials = 1
@@ -36,8 +36,8 @@
 	// OutlierOverdue (factor) on the usual time of its service, after which an attempt makes its back end an outlier: above
 	// nearly all that are only long.
 	OutlierOverdue = 4
-	// OutlierOverdueLeast is the least time that counts as overdue: hiccups of links and machines are shorter.
-	OutlierOverdueLeast = 400 * time.Millisecond
+	// MinOutlierOverdue is the least time that counts as overdue: hiccups of links and machines are shorter.
+	MinOutlierOverdue = 400 * time.Millisecond
 	// OutlierUsualWeight (fraction) of the newest response's time in the usual one.
 	OutlierUsualWeight = 0.05
 	// OutlierFloor (percent) of a service's back ends may be ejected at a node, and always one; of more, those whose time ends
--- a/internal/constants/process.go
+++ b/internal/constants/process.go
@@ -7,8 +7,8 @@
 	// StopLinger is how long a stopping proxy still accepts requests: the life of a directory's response, and the replication
 	// of the node's state.
 	StopLinger = MatchTTL + 1200*time.Millisecond
-	// StopMost bounds a planned stop: the linger, and the longest deadline that a caller may name.
-	StopMost = StopLinger + WaitMost
+	// MaxStop bounds a planned stop: the linger, and the longest deadline that a caller may name.
+	MaxStop = StopLinger + MaxWait
 	// DrainShare (fraction) of the grace period of a stop in which requests in flight may still end.
 	DrainShare = 0.9
 	// SettingsEvery is how often a node on the users' platform looks whether its settings file has changed.
@@ -33,8 +33,8 @@
 	// ResolveTTL is how long a caller of a fleet of routes may use a response of the directory: a lost node is soon out of them
 	// all.
 	ResolveTTL = 2 * time.Second
-	// ResolveLeast (nodes) of the caller's zone are enough for a response; with fewer, the region's others are added.
-	ResolveLeast = 2
-	// ResolveMost (nodes) are named in one response.
-	ResolveMost = 64
+	// MinResolve (nodes) of the caller's zone are enough for a response; with fewer, the region's others are added.
+	MinResolve = 2
+	// MaxResolve (nodes) are named in one response.
+	MaxResolve = 64
 )
--- a/internal/constants/proxy.go
+++ b/internal/constants/proxy.go
@@ -8,10 +8,10 @@
 	MatchTTL = 2 * time.Second
 	// MatchProxies (proxies) are named to a caller at most.
 	MatchProxies = 3
-	// WaitMost is the longest deadline that a caller may name.
-	WaitMost = 15 * time.Second
-	// ParkMost is how long a request waits for a failover assignment that is being moved.
-	ParkMost = 1500 * time.Millisecond
+	// MaxWait is the longest deadline that a caller may name.
+	MaxWait = 15 * time.Second
+	// MaxPark is how long a request waits for a failover assignment that is being moved.
+	MaxPark = 1500 * time.Millisecond
 	// ParkShort is how long a request waits for a lease or for replicas; another proxy may have them, so the caller is told
 	// soon.
 	ParkShort = 500 * time.Millisecond
@@ -28,8 +28,8 @@
 	BodyLimit = 1 << 20
 	// ResponseLimit (bytes) is the default limit of a back end's response.
 	ResponseLimit = 4 << 20
-	// BodyLimitMost (bytes) is the highest limit that an entry may ask for.
-	BodyLimitMost = 16 << 20
+	// MaxBodyLimit (bytes) is the highest limit that an entry may ask for.
+	MaxBodyLimit = 16 << 20
 	// RepeatShare (percent) of first attempts may be retried: a fifth, as the users set it.
 	RepeatShare = 20
 	// RepeatAllowance (attempts) are allowed beside that for each service and window, by all proxies together.
@@ -51,14 +51,14 @@
 	KeyShare = 40
 	// ConnectWait bounds a connection with its exchange of identities.
 	ConnectWait = 700 * time.Millisecond
-	// SafeAttemptMost bounds one repeat-safe attempt, so that another back end can still be tried.
-	SafeAttemptMost = 2 * time.Second
+	// MaxSafeAttempt bounds one repeat-safe attempt, so that another back end can still be tried.
+	MaxSafeAttempt = 2 * time.Second
 	// IdleTTL is how long a connection whose identity is known may be idle.
 	IdleTTL = 4 * time.Second
 	// IdlePerBackend (connections) are kept idle at most.
 	IdlePerBackend = 8
-	// AttemptsMost (attempts) of one repeat-safe request.
-	AttemptsMost = 4
+	// MaxAttempts (attempts) of one repeat-safe request.
+	MaxAttempts = 4
 	// KeyedAfterglow is how long a keyed attempt without a whole response counts as running: its back end can't be asked, and
 	// was given no longer deadline.
 	KeyedAfterglow = ReservationWindow
--- a/internal/constants/raft.go
+++ b/internal/constants/raft.go
@@ -9,9 +9,9 @@
 	// RaftHeartbeat is how often a leader sends to its followers: three fit into the shortest election time-out even at 35 ms
 	// one way.
 	RaftHeartbeat = 100 * time.Millisecond
-	// RaftElectionLeast is the shortest election time-out: above four heartbeats and a slow sync.
-	RaftElectionLeast = 600 * time.Millisecond
-	// RaftElectionSpread is the most that is drawn on top of RaftElectionLeast, so that two voters seldom stand at once (Raft
+	// MinRaftElection is the shortest election time-out: above four heartbeats and a slow sync.
+	MinRaftElection = 600 * time.Millisecond
+	// RaftElectionSpread is the most that is drawn on top of MinRaftElection, so that two voters seldom stand at once (Raft
 	// paper, section 5.2).
 	RaftElectionSpread = 600 * time.Millisecond
 	// RaftBatchItems (log entries) bounds one append message so that it fits a frame.
@@ -35,9 +35,9 @@
 	SnapshotPartBytes = 64 << 10
 	// SnapshotWindow (parts) may be unacknowledged: over a far link that is 3.6 MB a second.
 	SnapshotWindow = 4
-	// SnapshotBytesMost (bytes) is the largest snapshot that is received: above any of the design's size (55 MB packed), and
+	// MaxSnapshotBytes (bytes) is the largest snapshot that is received: above any of the design's size (55 MB packed), and
 	// low enough to reject garbage.
-	SnapshotBytesMost = 1 << 30
+	MaxSnapshotBytes = 1 << 30
 	// LearnerGap (log entries) is how far behind the commit index a learner may be to become a voter.
 	LearnerGap = 16
 	// MemberLostAfter is the time-out after which an unresponsive voter is replaced if there is a learner.
@@ -51,9 +51,9 @@
 	RoutedTick = 50 * time.Millisecond
 	// RoutedRaftHeartbeat is how often a leader sends to its followers: four fit into the shortest election time-out.
 	RoutedRaftHeartbeat = 250 * time.Millisecond
-	// RoutedElectionLeast is the shortest election time-out: shard leases last longer, so an election may wait.
-	RoutedElectionLeast = time.Second
-	// RoutedElectionSpread is the most that is drawn on top of RoutedElectionLeast.
+	// MinRoutedElection is the shortest election time-out: shard leases last longer, so an election may wait.
+	MinRoutedElection = time.Second
+	// RoutedElectionSpread is the most that is drawn on top of MinRoutedElection.
 	RoutedElectionSpread = 600 * time.Millisecond
 	// QuietElections (election time-outs) fit into the time after which a fleet without faults must keep every bound again: the
 	// shortest time-out, its spread, and what the new leader does first.
--- a/internal/constants/replication.go
+++ b/internal/constants/replication.go
@@ -15,8 +15,8 @@
 	// SourceTryPause is how much longer a subscriber waits before each further source that it tries, so that a fleet without a
 	// majority does not overload the few machines that have the log.
 	SourceTryPause = 150 * time.Millisecond
-	// SourceTryPauseMost is the longest such pause.
-	SourceTryPauseMost = 2 * SourceTimeout
+	// MaxSourceTryPause is the longest such pause.
+	MaxSourceTryPause = 2 * SourceTimeout
 	// HomeSourceEvery is how often a machine whose source is in another region asks one of its own.
 	HomeSourceEvery = 4 * time.Second
 	// DeltaKeep (rows) that changed stay in memory for deltas; a subscriber further behind gets whole ranges.
--- a/internal/constants/reservations.go
+++ b/internal/constants/reservations.go
@@ -10,10 +10,10 @@
 	// ReservationKept is how long a replica remembers a reservation: a person who tries again within two minutes still gets no
 	// second run. At 300 unsafe requests a second and three replicas of five these are 27000 reservations a replica.
 	ReservationKept = 150 * time.Second
-	// ReservationKeptLeast is how long a reservation is remembered even by a full replica.
-	ReservationKeptLeast = 2 * ReservationWindow
-	// ReservationsMost (reservations) at one replica: 32 MiB; above it the oldest beyond ReservationKeptLeast are forgotten.
-	ReservationsMost = 200000
+	// MinReservationKept is how long a reservation is remembered even by a full replica.
+	MinReservationKept = 2 * ReservationWindow
+	// MaxReservations (reservations) at one replica: 32 MiB; above it the oldest beyond MinReservationKept are forgotten.
+	MaxReservations = 200000
 	// ReservationPage (reservations) are copied to another replica at once, besides the rest of one shard: a quarter of
 	// FrameLimit at most.
 	ReservationPage = 8192
@@ -27,6 +27,6 @@
 	KeptBytes = 16 << 20
 	// KeptResponse (bytes) is the largest response that is kept.
 	KeptResponse = 64 << 10
-	// AgeMost is the oldest first sending that a caller may state.
-	AgeMost = 24 * time.Hour
+	// MaxAge is the oldest first sending that a caller may state.
+	MaxAge = 24 * time.Hour
 )
--- a/internal/constants/sharding.go
+++ b/internal/constants/sharding.go
@@ -6,8 +6,8 @@
 const (
 	// LastKey (key) is the greatest key of a service.
 	LastKey = 65535
-	// KeyLeaseMost is the longest lease: an election fits between two renewals, and a lost owner's keys are back in 6 s.
-	KeyLeaseMost = 4500 * time.Millisecond
+	// MaxKeyLease is the longest lease: an election fits between two renewals, and a lost owner's keys are back in 6 s.
+	MaxKeyLease = 4500 * time.Millisecond
 	// KeyLeaseShare (percent) of the longest lease that back ends take is used, so that a shorter one still leaves a margin.
 	KeyLeaseShare = 60
 	// KeyRenewParts (parts) of a lease after one of which it is renewed: a failed renewal is sent again at once, several times
@@ -61,10 +61,10 @@
 	// KeyLeaveStep is the time between two such parts: all are on their way in 0.75 s of the 2.5 s that a draining back end
 	// serves.
 	KeyLeaveStep = 250 * time.Millisecond
-	// KeyPiecesMost (ranges) are what a freed range is split into at most.
-	KeyPiecesMost = 8
-	// KeyLoadLeast (requests in flight) is the total below which load says nothing.
-	KeyLoadLeast = 2.0
+	// MaxKeyPieces (ranges) are what a freed range is split into at most.
+	MaxKeyPieces = 8
+	// MinKeyLoad (requests in flight) is the total below which load says nothing.
+	MinKeyLoad = 2.0
 	// KeyLoadUneven (requests in flight) is the least difference from the mean that is worth a move.
 	KeyLoadUneven = 0.8
 	// KeyHotShare (factor on the mean) is the load above which a back end gives keys away.
@@ -73,19 +73,19 @@
 	KeyIdleShare = 0.5
 	// KeyUnevenFor is how long the load must be uneven before keys move, and between two rounds of moves: one report of load.
 	KeyUnevenFor = 400 * time.Millisecond
-	// KeyMovesMost (moves) of a service are under way at once to even load out, at least.
-	KeyMovesMost = 2
+	// MaxKeyMoves (moves) of a service are under way at once to even load out, at least.
+	MaxKeyMoves = 2
 	// KeyMovePart (fraction of the mean) is the least load that is worth a move.
 	KeyMovePart = 0.05
 	// KeyMoveDensity (fraction) of the hottest bucket's density that a bucket beside it must have to move with it: others stay,
 	// since moved keys cost money.
 	KeyMoveDensity = 0.5
-	// KeyRangesMost (ranges) of a service above which only an owner far above the mean gives keys away: each range's lease is
+	// MaxKeyRanges (ranges) of a service above which only an owner far above the mean gives keys away: each range's lease is
 	// renewed again and again.
-	KeyRangesMost = 64
+	MaxKeyRanges = 64
 	// KeyFarShare (factor on the mean) is the load above which a back end gives keys away however many ranges there are.
 	KeyFarShare = 2
-	// KeyCoalesceParts (parts) of KeyRangesMost, one of which is kept free while load is even, so that load may move at once.
+	// KeyCoalesceParts (parts) of MaxKeyRanges, one of which is kept free while load is even, so that load may move at once.
 	KeyCoalesceParts = 4
 	// KeyCoalescePause is the time between two ranges that are merged, and after the last move for load: three reports of load.
 	KeyCoalescePause = 1800 * time.Millisecond
--- a/internal/constants/shedding.go
+++ b/internal/constants/shedding.go
@@ -6,8 +6,8 @@
 const (
 	// PressureFresh is the age at which observed delays say nothing of the present.
 	PressureFresh = 3 * time.Second
-	// PressureLeast (attempts) must have ended before their delays are believed.
-	PressureLeast = 3
+	// MinPressure (attempts) must have ended before their delays are believed.
+	MinPressure = 3
 	// PressureWeight (fraction) of the newest delay of a back end: about the last three count, since a node asks each but
 	// seldom.
 	PressureWeight = 0.3
@@ -18,8 +18,8 @@
 	// ShedSlope (share of requests for each part of the latency target) bounds how steeply more are shed: delays are known
 	// late, and a much steeper response oscillates.
 	ShedSlope = 1.5
-	// ShedMost (share of requests) is shed at most, so that the delays stay known.
-	ShedMost = 0.9
+	// MaxShed (share of requests) is shed at most, so that the delays stay known.
+	MaxShed = 0.9
 	// ShedRank (fraction of the latency target) by which each higher priority is shed later.
 	ShedRank = 0.15
 	// ShedRanks (priorities) are told apart: a number from here on is the lowest priority.
@@ -34,8 +34,8 @@
 	RefuseHeeded = 0.33
 	// RefuseUnknown is the time left that is assumed for a caller that says nothing.
 	RefuseUnknown = 2 * time.Second
-	// RefuseLeast is the shortest mean Retry-After.
-	RefuseLeast = 2 * time.Millisecond
+	// MinRefuse is the shortest mean Retry-After.
+	MinRefuse = 2 * time.Millisecond
 	// RefuseAfter is the mean Retry-After while back ends are busy: about one request's work.
 	RefuseAfter = 250 * time.Millisecond
 	// RefuseAfterMove is the same while shards move or back ends warm up.
@@ -49,10 +49,10 @@
 	RequestBytes = 256 << 10
 	// CapacityParts (parts) of the process's memory, one of which requests in flight may take.
 	CapacityParts = 2
-	// CapacityLeast (requests) may be in flight however little memory there is.
-	CapacityLeast = 64
-	// CapacityMost (requests) may be in flight however much memory there is: each takes two file descriptors.
-	CapacityMost = 4096
+	// MinCapacity (requests) may be in flight however little memory there is.
+	MinCapacity = 64
+	// MaxCapacity (requests) may be in flight however much memory there is: each takes two file descriptors.
+	MaxCapacity = 4096
 	// CapacityPriorityParts (parts) of the capacity, one of which each lower priority leaves to the higher ones.
 	CapacityPriorityParts = 8
 )
--- a/internal/controlplane/health_test.go
+++ b/internal/controlplane/health_test.go
@@ -44,7 +44,7 @@
 						id := fmt.Sprint("i-", i)
 						entries = append(entries, discovery.Listed{Service: "copper", Instance: id, Address: id, Zone: "d", Slots: 6})
 					}
-					control.SetListing(now, discovery.Listing{Items: entries, BegunAt: now, IsWhole: true})
+					control.SetListing(now, discovery.Listing{Items: entries, BegunAt: now, IsComplete: true})
 					for i := range 4 {
 						control.workload.takeOwnHeartbeat(&schema.Heartbeat{Node: node(fmt.Sprint("idle-", i))})
 					}
--- a/internal/controlplane/history_test.go
+++ b/internal/controlplane/history_test.go
@@ -73,7 +73,7 @@
 
 const (
 	maxSinceHeard = time.Second
-	triesMost     = 12
+	maxTries      = 12
 )
 
 func (o *operators) give(op putOrRead) {
@@ -99,7 +99,7 @@
 		if isDone {
 			return
 		}
-		if tries++; tries > triesMost {
+		if tries++; tries > maxTries {
 			end(answer{isUnknown: true})
 			return
 		}
@@ -305,7 +305,7 @@
 					}
 					w.run(w.between(20*time.Millisecond, 400*time.Millisecond))
 				}
-				w.run(triesMost * maxSinceHeard)
+				w.run(maxTries * maxSinceHeard)
 				if o.taken < 5 {
 					t.Errorf("seed %d: only %d orders were taken, %d refused", seed, o.taken, o.refused)
 				}
--- a/internal/controlplane/load_bench_test.go
+++ b/internal/controlplane/load_bench_test.go
@@ -25,7 +25,7 @@
 		service := []string{"copper", "nickel", "copper"}[i%3]
 		entries = append(entries, discovery.Listed{Service: service, Instance: fmt.Sprint("i-", i), Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Zone: "z", Slots: 6})
 	}
-	leader.SetListing(f.now, discovery.Listing{BegunAt: f.now, IsWhole: true, Items: entries})
+	leader.SetListing(f.now, discovery.Listing{BegunAt: f.now, IsComplete: true, Items: entries})
 	f.run(5 * time.Second)
 	if known := len(leader.state.View().Services["nickel"].Backends); known < backends/3 || len(leader.state.Table().Rows([]string{store.ServicePrefix("nickel") + "span/"})) == 0 {
 		b.Fatalf("%d back ends known", known)
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -28,7 +28,7 @@
 	host := operatorHost{c}
 	options := operations.Options{Log: host, Proposer: c.proposals, State: host, Fleet: host, Sender: host}
 	if c.options.Routes != nil {
-		options.Routes = &operations.RouteOptions{Fits: c.options.Routes.Fits, FitsWhole: c.options.Routes.FitsWhole}
+		options.Routes = &operations.RouteOptions{Fits: c.options.Routes.Fits, FitsSnapshot: c.options.Routes.FitsSnapshot}
 	}
 	return operations.New(options)
 }
--- a/internal/controlplane/route_workload.go
+++ b/internal/controlplane/route_workload.go
@@ -21,8 +21,8 @@
 	ColdRate func(*schema.ServicePolicy) int
 	// Fits tells whether a record can be logged; nil is always.
 	Fits func(*schema.Record) bool
-	// FitsWhole tells whether a snapshot of the whole state fits the disk; nil is always.
-	FitsWhole func(*schema.Snapshot) bool
+	// FitsSnapshot tells whether a snapshot of the whole state fits the disk; nil is always.
+	FitsSnapshot func(*schema.Snapshot) bool
 	// Load gives the load of shards, by key, since it was last asked; nil is none.
 	Load func(since time.Duration) []*schema.ShardLoad
 	// HealthReports gives the back ends that failed this node's requests, or served them although they are marked as
--- a/internal/controlplane/startup_world_test.go
+++ b/internal/controlplane/startup_world_test.go
@@ -200,7 +200,7 @@
 func (f *startupFleet) list() {
 	if n := f.leader(); n != nil {
 		f.step(n, func() {
-			n.control.SetListing(f.clock(n), discovery.Listing{Items: slices.Clone(f.listing), BegunAt: f.clock(n), IsWhole: true})
+			n.control.SetListing(f.clock(n), discovery.Listing{Items: slices.Clone(f.listing), BegunAt: f.clock(n), IsComplete: true})
 		})
 	}
 	f.after(constants.ListEvery, f.list)
--- a/internal/controlplane/world_test.go
+++ b/internal/controlplane/world_test.go
@@ -192,7 +192,7 @@
 	self := &schema.Node{Id: fmt.Sprintf("%s-%d", m.name, m.incarnation), Address: m.name, Proxy: m.name, Admin: m.name, Zone: m.zone, Region: m.region, Disk: m.isDisk,
 		Incarnation: uint64(w.now.Milliseconds()), State: schema.NodeState_NODE_READY}
 	options := controlplane.Options{Self: self, Seeds: w.seeds(), Draw: w.random.Int63n, Log: w.log.With("machine", m.name), Rejoin: m.isFounded,
-		Routes: &controlplane.RouteOptions{LongestLease: 10 * time.Second, Zones: w.zones(), RecoveryBound: 4 * time.Second, Fits: w.sizes.Fits, FitsWhole: w.sizes.FitsSnapshot, ColdRate: func(*schema.ServicePolicy) int { return 1 }}}
+		Routes: &controlplane.RouteOptions{LongestLease: 10 * time.Second, Zones: w.zones(), RecoveryBound: 4 * time.Second, Fits: w.sizes.Fits, FitsSnapshot: w.sizes.FitsSnapshot, ColdRate: func(*schema.ServicePolicy) int { return 1 }}}
 	m.isFounded = true
 	m.isUp, m.writing, m.frozenUntil = true, nil, 0
 	var opened *journal.Journal
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -45,7 +45,7 @@
 		{"an unknown entry", "north", "ledger", "/secret", 0, "", "", "unknown-entry"},
 		{"an unknown service", "north", "nobody", "/", 0, "", "", "unknown-entry"},
 		{"no assignment yet waits", "north", "ledger", "/new", 0, "", "", ""},
-		{"and then is refused with a time to come back", "north", "ledger", "/new", constants.ParkMost, "", "", "no-standing"},
+		{"and then is refused with a time to come back", "north", "ledger", "/new", constants.MaxPark, "", "", "no-standing"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			match, refusal, _ := Decide(time.Hour, local, c.region, c.service, c.path, c.parked, func(int64) int64 { return 0 })
--- a/internal/directory/match.go
+++ b/internal/directory/match.go
@@ -44,7 +44,7 @@
 	switch {
 	case problem == "":
 		return match, nil, ""
-	case parked < constants.ParkMost:
+	case parked < constants.MaxPark:
 		return nil, nil, ""
 	}
 	return nil, &proxy.RefusalError{
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -143,7 +143,7 @@
 }
 
 func (p *endpointsPlan) isMissing(id backendID) bool {
-	return p.read != nil && p.read.IsWhole && !p.listed[id]
+	return p.read != nil && p.read.IsComplete && !p.listed[id]
 }
 
 // removeIfMissing takes out a back end that enough reads lacked. Where most of a service is missing it takes out only
--- a/internal/discovery/endpoints_test.go
+++ b/internal/discovery/endpoints_test.go
@@ -46,8 +46,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			listRead := Join(c.pages)
-			if listRead.IsWhole != (c.want == "") || !strings.Contains(listRead.Reason, c.want) {
-				t.Fatalf("whole %v, reason %q; want %q", listRead.IsWhole, listRead.Reason, c.want)
+			if listRead.IsComplete != (c.want == "") || !strings.Contains(listRead.Reason, c.want) {
+				t.Fatalf("whole %v, reason %q; want %q", listRead.IsComplete, listRead.Reason, c.want)
 			}
 		})
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -59,17 +59,17 @@
 	Items []Listed
 	// BegunAt is when the first page was asked for.
 	BegunAt time.Duration
-	// IsWhole is true if no page is missing; Reason says why it is not.
-	IsWhole bool
-	Reason  string
+	// IsComplete is true if no page is missing; Reason says why it is not.
+	IsComplete bool
+	Reason     string
 }
 
 // ListRead is one read of the list of a fleet of entries.
 type ListRead struct {
 	Items []Item
-	// IsWhole is true if no page is missing; Reason says why it is not.
-	IsWhole bool
-	Reason  string
+	// IsComplete is true if no page is missing; Reason says why it is not.
+	IsComplete bool
+	Reason     string
 }
 
 // Join checks and joins the pages of one read. Missing, repeated or differing pages, and lines without a name or an
@@ -91,7 +91,7 @@
 	if read.Reason == "" {
 		read.Reason = whyPartial(pages, len(seen), len(read.Items))
 	}
-	read.IsWhole = read.Reason == ""
+	read.IsComplete = read.Reason == ""
 	return read
 }
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -55,7 +55,7 @@
 	}
 	changes := newChanges(facts.Table, "back ends")
 	listed := w.takeListed(facts, changes)
-	if facts.Listing.IsWhole {
+	if facts.Listing.IsComplete {
 		w.removeMissing(facts, changes, listed)
 		w.endSettling(facts, changes)
 	}
@@ -202,5 +202,5 @@
 		senders = inRegion
 	}
 	slices.Sort(senders)
-	return senders[:min(len(senders), max(1, min(coldRate, constants.SlowStartSendersMost)))]
+	return senders[:min(len(senders), max(1, min(coldRate, constants.MaxSlowStartSenders)))]
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -82,7 +82,7 @@
 	return text
 }
 
-func wholeListing(items ...Listed) *Listing { return &Listing{Items: items, IsWhole: true} }
+func wholeListing(items ...Listed) *Listing { return &Listing{Items: items, IsComplete: true} }
 
 func item(instance string) Listed {
 	return Listed{Service: "copper", Instance: instance, Address: instance + ":1", Zone: "kol-a", Slots: 6}
@@ -268,7 +268,7 @@
 			w.plan(nil)
 			at := w.now
 			w.now += 5 * time.Second
-			w.plan(&Listing{Items: []Listed{item("a")}, IsWhole: c.whole, BegunAt: at + c.begun})
+			w.plan(&Listing{Items: []Listed{item("a")}, IsComplete: c.whole, BegunAt: at + c.begun})
 			zone := store.DecodeRow[schema.Zone](w.table.Get(store.ZoneKey("kol-a")))
 			if zone.Settling != c.want || zone.Region != "kol" {
 				t.Fatalf("settling %v, want %v", zone.Settling, c.want)
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -19,8 +19,8 @@
 			facts = append(facts, whyClosed(view, name))
 		}
 	}
-	if surplus := len(facts) - constants.EvidenceMost; surplus > 0 {
-		facts = append(facts[:constants.EvidenceMost], fmt.Sprintf("%d more zones are emptied or unreachable", surplus))
+	if surplus := len(facts) - constants.MaxEvidence; surplus > 0 {
+		facts = append(facts[:constants.MaxEvidence], fmt.Sprintf("%d more zones are emptied or unreachable", surplus))
 	}
 	if len(facts) == 0 {
 		facts = append(facts, "no zone of "+region+" is emptied or unreachable")
--- a/internal/gateway/capacity_test.go
+++ b/internal/gateway/capacity_test.go
@@ -15,11 +15,11 @@
 		memory      int64
 		least, most int
 	}{
-		{0, constants.CapacityLeast, constants.CapacityLeast},
-		{16 << 20, constants.CapacityLeast, constants.CapacityLeast},
+		{0, constants.MinCapacity, constants.MinCapacity},
+		{16 << 20, constants.MinCapacity, constants.MinCapacity},
 		{110 << 20, 200, 250},
 		{170 << 20, 300, 400},
-		{math.MaxInt64, constants.CapacityMost, constants.CapacityMost},
+		{math.MaxInt64, constants.MaxCapacity, constants.MaxCapacity},
 	} {
 		if capacity := Capacity(c.memory); capacity < c.least || capacity > c.most {
 			t.Fatalf("%d bytes: capacity %d, want %d to %d", c.memory, capacity, c.least, c.most)
@@ -36,7 +36,7 @@
 		{1, 100, 0, false}, {100, 100, 0, false}, {101, 100, 0, true},
 		{88, 100, 1, false}, {89, 100, 1, true}, {75, 100, 2, false}, {76, 100, 2, true},
 		{63, 100, 3, false}, {64, 100, 3, true}, {63, 100, math.MaxUint32, false}, {64, 100, math.MaxUint32, true},
-		{1, constants.CapacityLeast, 9, false},
+		{1, constants.MinCapacity, 9, false},
 	} {
 		if got := IsFull(c.inFlight, c.capacity, c.priority); got != c.want {
 			t.Fatalf("%+v: %v", c, got)
--- a/internal/gateway/choose_free.go
+++ b/internal/gateway/choose_free.go
@@ -137,7 +137,7 @@
 // ejectedUntil tells whether the fleet or this node ejects a back end, and until when. A few nodes go on trying one that the fleet ejects.
 func (f *freeSearch) ejectedUntil(backend *schema.Backend) (until time.Duration, isEjected bool) {
 	if backend.Failing && !slices.Contains(backend.SlowStartSenders, f.Self.Id) {
-		return f.Now + constants.OutlierOutMost, true
+		return f.Now + constants.MaxOutlierOut, true
 	}
 	status, until := f.Loads.OutlierStatus(f.Now, f.Service, backend.Instance)
 	return until, status == OutlierEjected
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -161,7 +161,7 @@
 		}
 		isLast := response.Close || hasNoLength(response)
 		if response.Header.Get(x.names.Attempt) != x.id {
-			if isLonger || isLast || skipped >= constants.SurplusMost {
+			if isLonger || isLast || skipped >= constants.MaxSurplus {
 				return nil, false, &BrokenError{Reason: "an answer of another request came"}
 			}
 			skipped++
--- a/internal/gateway/freshness.go
+++ b/internal/gateway/freshness.go
@@ -31,7 +31,7 @@
 // If the bound in force would not have let it through, it had not: a back end that resets what it should answer is not taken for one that
 // drops idle connections.
 func (f *Freshness) Forgot(now time.Duration, service string, idle time.Duration) bool {
-	if idle <= constants.FreshLeast || idle > f.Bound(now, service, true) {
+	if idle <= constants.MinFresh || idle > f.Bound(now, service, true) {
 		return false
 	}
 	b := f.bounds[service]
@@ -39,8 +39,8 @@
 		b = &idleBound{keptFor: constants.FreshKept / 2}
 		f.bounds[service] = b
 	}
-	b.keptFor = min(2*b.keptFor, constants.FreshKeptMost)
-	b.bound = constants.FreshLeast
+	b.keptFor = min(2*b.keptFor, constants.MaxFreshKept)
+	b.bound = constants.MinFresh
 	b.until = now + b.keptFor
 	return true
 }
@@ -58,7 +58,7 @@
 			steps := min(int((now-b.until)/constants.FreshStep)+1, mostSteps)
 			allowed <<= steps
 		}
-		if allowed >= constants.IdleDefault && now-b.until > constants.FreshKeptMost {
+		if allowed >= constants.IdleDefault && now-b.until > constants.MaxFreshKept {
 			delete(f.bounds, name)
 			continue
 		}
--- a/internal/gateway/freshness_test.go
+++ b/internal/gateway/freshness_test.go
@@ -17,7 +17,7 @@
 		idle    time.Duration
 		isNoted bool
 	}
-	const whole, least = constants.IdleDefault, constants.FreshLeast
+	const whole, least = constants.IdleDefault, constants.MinFresh
 	kept, step := constants.FreshKept, constants.FreshStep
 	for _, c := range []struct {
 		name    string
@@ -37,7 +37,7 @@
 		{"one that was too old already teaches nothing", []forgotten{{0, "copper", time.Second, true}, {kept - 1, "copper", time.Second, false}}, kept + step/2, 2 * least, 2 * least},
 		{"a second lesson is kept twice as long", []forgotten{{0, "copper", time.Second, true}, {kept + step/2, "copper", 2 * least, true}}, kept + step/2 + 2*kept, least, least},
 		{"the longest time is bounded", []forgotten{{0, "copper", time.Second, true}, {time.Minute, "copper", time.Second, true}, {2 * time.Minute, "copper", time.Second, true}, {3 * time.Minute, "copper", time.Second, true}},
-			3*time.Minute + constants.FreshKeptMost + step/2, 2 * least, 2 * least},
+			3*time.Minute + constants.MaxFreshKept + step/2, 2 * least, 2 * least},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := NewFreshness()
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -118,7 +118,7 @@
 	i.failures++
 	if i.failures >= constants.FailuresToRest {
 		doublings := min(i.failures-constants.FailuresToRest, restDoublings)
-		i.restUntil = now + min(constants.RestMost, constants.RestLeast<<doublings)
+		i.restUntil = now + min(constants.MaxRest, constants.MinRest<<doublings)
 	}
 }
 
--- a/internal/gateway/outliers.go
+++ b/internal/gateway/outliers.go
@@ -187,7 +187,7 @@
 	b.hasFailed = true
 	b.status = OutlierEjected
 	b.trials = 0
-	b.ejectedUntil = now + min(constants.OutlierOutMost, constants.OutlierOut<<min(b.ejections, ejectionDoublings))
+	b.ejectedUntil = now + min(constants.MaxOutlierOut, constants.OutlierOut<<min(b.ejections, ejectionDoublings))
 	b.ejections++
 }
 
@@ -221,7 +221,7 @@
 // IsOverdue tells that an attempt at a service which has taken so long takes much longer than is usual there.
 func (o *Outliers) IsOverdue(service string, took time.Duration) bool {
 	s := o.services[service]
-	return s != nil && s.usual > 0 && took > max(constants.OutlierOverdueLeast, constants.OutlierOverdue*s.usual)
+	return s != nil && s.usual > 0 && took > max(constants.MinOutlierOverdue, constants.OutlierOverdue*s.usual)
 }
 
 func (o *Outliers) isOverdue(now time.Duration, service string, b *backendRecord) bool {
--- a/internal/gateway/outliers_test.go
+++ b/internal/gateway/outliers_test.go
@@ -66,7 +66,7 @@
 					}
 				}
 			}
-			if out != 800*time.Millisecond || constants.OutlierOutMost != 4*time.Second || constants.OutlierForgiven != 15*time.Second {
+			if out != 800*time.Millisecond || constants.MaxOutlierOut != 4*time.Second || constants.OutlierForgiven != 15*time.Second {
 				t.Fatal("the steps are written for other constants")
 			}
 		})
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -53,7 +53,7 @@
 // NewPool makes a pool that dials from the IP of a listening address, and counts its connections in stats.
 func NewPool(listen string, stats *Stats) *Pool {
 	return &Pool{
-		idle: connpool.New[string, *Conn](constants.IdleMost, func(instance string) string { return instance }),
+		idle: connpool.New[string, *Conn](constants.MaxIdle, func(instance string) string { return instance }),
 		dialer: net.Dialer{
 			KeepAliveConfig: net.KeepAliveConfig{
 				Enable:   true,
--- a/internal/gateway/pressure.go
+++ b/internal/gateway/pressure.go
@@ -25,7 +25,7 @@
 }
 
 func (d *movingDelay) isFresh(now time.Duration) bool {
-	return d != nil && d.count >= constants.PressureLeast && now-d.at <= constants.PressureFresh
+	return d != nil && d.count >= constants.MinPressure && now-d.at <= constants.PressureFresh
 }
 
 // Pressure tells how long back ends take now, waits in their queues included: what a new request must expect. Its methods may be called
@@ -87,7 +87,7 @@
 func Shed(expect, target time.Duration, priority uint32, isBack bool) float64 {
 	above := constants.ShedRanks - min(int(priority), constants.ShedRanks)
 	share := constants.ShedSlope * (float64(expect)/float64(target) - constants.ShedFrom - constants.ShedRank*float64(above))
-	share = max(0, min(share, constants.ShedMost))
+	share = max(0, min(share, constants.MaxShed))
 	if isBack {
 		return share * share
 	}
@@ -98,6 +98,6 @@
 // return together, and within the part of the time that the caller has left which callers heed.
 func ComeBack(mean, left time.Duration, draw func(int64) int64) time.Duration {
 	heeded := time.Duration(float64(left) * constants.RefuseHeeded / 1.5)
-	mean = max(constants.RefuseLeast, min(mean, heeded))
+	mean = max(constants.MinRefuse, min(mean, heeded))
 	return mean/2 + time.Duration(draw(int64(mean)))
 }
--- a/internal/gateway/pressure_test.go
+++ b/internal/gateway/pressure_test.go
@@ -74,7 +74,7 @@
 		{"just inside the aim, the highest rank", aim * 9 / 10, 0, false, 0, 0},
 		{"above the aim, the highest rank", aim * 5 / 4, 0, false, 0.01, 0.3},
 		{"above the aim, the lowest rank", aim * 5 / 4, 9, false, 0.6, 0.9},
-		{"far above, never all, so that the delays stay known", 20 * aim, 9, false, constants.ShedMost, constants.ShedMost},
+		{"far above, never all, so that the delays stay known", 20 * aim, 9, false, constants.MaxShed, constants.MaxShed},
 		{"who comes back is shed less", aim * 9 / 10, 9, true, 0.01, 0.2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/gateway/request_machine.go
+++ b/internal/gateway/request_machine.go
@@ -129,7 +129,7 @@
 		return m.expire(now)
 	}
 	m.searches++
-	if m.searches > constants.SearchesMost || !m.IsReplayable && m.sent > 0 {
+	if m.searches > constants.MaxSearches || !m.IsReplayable && m.sent > 0 {
 		return m.end(now, RefusalBusy)
 	}
 	choice := m.choose(now, view)
--- a/internal/heartbeat/sender.go
+++ b/internal/heartbeat/sender.go
@@ -24,7 +24,7 @@
 
 // leaderDoubtedAfter is how long after the last sign of the leader a node sends every second heartbeat to another member of the log, which
 // knows a newer leader.
-const leaderDoubtedAfter = 2 * constants.RaftElectionLeast
+const leaderDoubtedAfter = 2 * constants.MinRaftElection
 
 // Fleet is what a Sender must know of the nodes around its own.
 type Fleet interface {
--- a/internal/idempotency/replica_test.go
+++ b/internal/idempotency/replica_test.go
@@ -68,12 +68,12 @@
 			t.Fatalf("reservation %d is %v after the copy", i, state)
 		}
 	}
-	for i := total; i < total+2*constants.ReservationsMost; i++ {
+	for i := total; i < total+2*constants.MaxReservations; i++ {
 		now += time.Second / 20000
 		source.Reserve(now, reservationOf(i, "p/3", 2), true)
 	}
 	held := source.Status().Reservations
-	if held > constants.ReservationsMost {
+	if held > constants.MaxReservations {
 		t.Errorf("%d reservations are remembered", held)
 	}
 	if state := source.Reserve(now, sentBefore(reservationOf(-1, "p/4", 2), constants.ReservationKept),
@@ -88,7 +88,7 @@
 	reservationOf := func(i int) *schema.ReservationRequest {
 		return &schema.ReservationRequest{Attempt: fmt.Sprintf("attempt-%07d", i), Owner: "p/1", ReplicaSet: 1, Region: "r"}
 	}
-	for i := range 2 * constants.ReservationsMost {
+	for i := range 2 * constants.MaxReservations {
 		replica.Reserve(0, reservationOf(i), true)
 	}
 	evictions := func() int {
@@ -104,7 +104,7 @@
 		true).State; state != schema.ReservationState_RESERVATION_UNAVAILABLE || evictions() != 0 {
 		t.Errorf("half a second later it is %v after %d evictions", state, evictions())
 	}
-	if state := replica.Reserve(constants.ReservationKeptLeast, reservationOf(-1),
+	if state := replica.Reserve(constants.MinReservationKept, reservationOf(-1),
 		true).State; state != schema.ReservationState_RESERVATION_TAKEN || evictions() != 1 {
 		t.Errorf("when the oldest may go it is %v after %d evictions", state, evictions())
 	}
--- a/internal/idempotency/reservation.go
+++ b/internal/idempotency/reservation.go
@@ -14,7 +14,7 @@
 	// shardCount divides the reservations by attempt id, so that proxies seldom wait for each other's locks.
 	shardCount = 32
 	// shardLimit bounds the reservations of one shard.
-	shardLimit = constants.ReservationsMost / shardCount
+	shardLimit = constants.MaxReservations / shardCount
 	// fullEvictEvery is how often a full shard looks for reservations to evict early.
 	fullEvictEvery = time.Second
 )
@@ -119,7 +119,7 @@
 func (s *shard) evictIfDue(now time.Duration) {
 	kept, pause := constants.ReservationKept, constants.ReservationWindow
 	if len(s.reservations) >= shardLimit {
-		kept, pause = constants.ReservationKeptLeast, fullEvictEvery
+		kept, pause = constants.MinReservationKept, fullEvictEvery
 	}
 	if now-s.evictedAt >= pause {
 		s.evict(now, kept)
--- a/internal/journal/folder.go
+++ b/internal/journal/folder.go
@@ -114,7 +114,7 @@
 // Size returns the size that the area was opened with, in bytes.
 func (a fileArea) Size() int64 { return a.size }
 
-// WriteAt retries while the disk is full, for up to constants.FullDiskMost.
+// WriteAt retries while the disk is full, for up to constants.MaxFullDisk.
 func (a fileArea) WriteAt(p []byte, offset int64) (int, error) {
 	return writeWhileFull(a.File, p, offset, func() { time.Sleep(constants.FullDiskPause) })
 }
@@ -126,7 +126,7 @@
 	for waited := time.Duration(0); ; waited += constants.FullDiskPause {
 		n, err := file.WriteAt(p[written:], offset+int64(written))
 		written += n
-		if !isDiskFull(err) || waited >= constants.FullDiskMost {
+		if !isDiskFull(err) || waited >= constants.MaxFullDisk {
 			return written, err
 		}
 		pause()
--- a/internal/journal/folder_test.go
+++ b/internal/journal/folder_test.go
@@ -30,7 +30,7 @@
 }
 
 func TestWritesRetryWhileTheDiskIsFull(t *testing.T) {
-	forever := int(constants.FullDiskMost/constants.FullDiskPause) + 2
+	forever := int(constants.MaxFullDisk/constants.FullDiskPause) + 2
 	full := func(count int) []error {
 		faults := make([]error, count)
 		for i := range faults {
--- a/internal/journal/recovery.go
+++ b/internal/journal/recovery.go
@@ -132,8 +132,8 @@
 		if _, err := s.area.ReadAt(header, 0); err != nil {
 			return nil, fmt.Errorf("read %s: %w", s.name, err)
 		}
-		generation, isWhole := parseSegmentHeader(header)
-		if !isWhole {
+		generation, isComplete := parseSegmentHeader(header)
+		if !isComplete {
 			r.state.Torn = r.state.Torn || !isZero(header)
 			continue
 		}
@@ -159,7 +159,7 @@
 		if err != nil {
 			return err
 		}
-		if _, isWhole := parseRecord(data, segmentHeaderBytes, next); isWhole {
+		if _, isComplete := parseRecord(data, segmentHeaderBytes, next); isComplete {
 			return &CorruptError{s.name, 0}
 		}
 	}
@@ -170,8 +170,8 @@
 func (r *recovery) readRecords(s *segment, data []byte) error {
 	s.end = segmentHeaderBytes
 	for {
-		record, isWhole := parseRecord(data, s.end, s.generation)
-		if !isWhole || r.hasLast && record.serial != r.last+1 {
+		record, isComplete := parseRecord(data, s.end, s.generation)
+		if !isComplete || r.hasLast && record.serial != r.last+1 {
 			return nil
 		}
 		r.last, r.hasLast = record.serial, true
@@ -194,7 +194,7 @@
 	if err != nil {
 		return err
 	}
-	if first, isWhole := parseRecord(data, segmentHeaderBytes, next.generation); isWhole && first.serial != r.last+1 {
+	if first, isComplete := parseRecord(data, segmentHeaderBytes, next.generation); isComplete && first.serial != r.last+1 {
 		return &CorruptError{s.name, s.end}
 	}
 	return nil
@@ -217,8 +217,8 @@
 func (r *recovery) cutTail(s *segment, data []byte) (isCut bool, err error) {
 	var leftover []int64
 	for offset := s.end; offset+recordHeaderBytes <= int64(len(data)); offset++ {
-		record, isWhole := parseRecord(data, offset, s.generation)
-		if !isWhole || record.serial <= r.last {
+		record, isComplete := parseRecord(data, offset, s.generation)
+		if !isComplete || record.serial <= r.last {
 			continue
 		}
 		if record.serial-serial(record.batchPosition) > r.last+1 {
--- a/internal/leader/endpoints_test.go
+++ b/internal/leader/endpoints_test.go
@@ -24,7 +24,7 @@
 			r := newRoutes(&RouteOptions{ColdRate: func(*schema.ServicePolicy) int { return 1 }}, signer{})
 			proposer := &fakeProposer{isRefusing: c.isRefusing}
 			state := newState(t, startedAt, regionRow, zoneRow)
-			if !r.take(startedAt, Listing{discovery.Listing{Items: c.items, BegunAt: startedAt, IsWhole: true}}) {
+			if !r.take(startedAt, Listing{discovery.Listing{Items: c.items, BegunAt: startedAt, IsComplete: true}}) {
 				t.Error("a listing should be planned on at once")
 			}
 			r.endpoints.plan(&turn{State: state, fleet: NewFleet(), proposer: proposer, logger: slog.New(slog.DiscardHandler)})
--- a/internal/node/entry_service.go
+++ b/internal/node/entry_service.go
@@ -201,5 +201,5 @@
 
 // drain accepts requests until callers have had time to learn that this node stops, then finishes those in flight.
 func (s *entryService) drain() error {
-	return s.node.drain(constants.StopLinger, constants.StopMost-constants.StopLinger)
+	return s.node.drain(constants.StopLinger, constants.MaxStop-constants.StopLinger)
 }
--- a/internal/node/list_page.go
+++ b/internal/node/list_page.go
@@ -16,8 +16,8 @@
 const (
 	// listPageLimit (bytes) bounds one page of the endpoint list.
 	listPageLimit = 4 << 20
-	// listRetryMost (time) bounds the pause that a refused page may ask for.
-	listRetryMost = 5 * time.Second
+	// maxListRetry (time) bounds the pause that a refused page may ask for.
+	maxListRetry = 5 * time.Second
 	// roleLeader is the role under which a node reads the endpoint list.
 	roleLeader = "leader"
 )
@@ -70,7 +70,7 @@
 	if err != nil {
 		return 0
 	}
-	return min(seconds, listRetryMost)
+	return min(seconds, maxListRetry)
 }
 
 // readList reads the platform's list while this node leads a fleet of entries, until ctx ends.
@@ -90,7 +90,7 @@
 		pages, err := readEntryPages(ctx, client, s.node.settings.Platform)
 		read := discovery.Join(pages)
 		if err != nil {
-			read.IsWhole, read.Reason = false, err.Error()
+			read.IsComplete, read.Reason = false, err.Error()
 		}
 		var refused *ListStatusError
 		if errors.As(err, &refused) {
--- a/internal/node/list_reader.go
+++ b/internal/node/list_reader.go
@@ -33,12 +33,12 @@
 		if r.node.local.Load().Role != roleLeader {
 			continue
 		}
-		listing := discovery.Listing{BegunAt: r.pace.BeginRead(r.node.Now()), IsWhole: true}
+		listing := discovery.Listing{BegunAt: r.pace.BeginRead(r.node.Now()), IsComplete: true}
 		items, calls, err := r.read(ctx, r.turn)
 		took := r.node.Now() - listing.BegunAt
 		pause = max(r.shortestPause(), r.pauseAfter(calls)-took)
 		if err != nil {
-			listing.IsWhole, listing.Reason = false, err.Error()
+			listing.IsComplete, listing.Reason = false, err.Error()
 		}
 		listing.Items = items
 		r.report(listing)
@@ -78,7 +78,7 @@
 // pauseAfter is the time from the begin of a read that took so many calls to the next one: a long list is read less often,
 // since calls are paid for and bounded.
 func (r *listReader) pauseAfter(calls int) time.Duration {
-	most := constants.ListEveryMost
+	most := constants.MaxListEvery
 	if within := r.bounds.DrainWithin; within > 0 {
 		most = min(most, within-constants.ListRest)
 	}
--- a/internal/node/list_reader_test.go
+++ b/internal/node/list_reader_test.go
@@ -17,11 +17,11 @@
 	}{
 		{"one page", 1, 43, constants.ListEvery, 0},
 		{"six pages", 6, 43, 6 * constants.ListPageEvery, 0},
-		{"very many pages without a bound", 200, 0, constants.ListEveryMost, 0},
+		{"very many pages without a bound", 200, 0, constants.MaxListEvery, 0},
 		{"as many as a slow list allows", 14, 10, 2 * time.Second, 0},
 		{"one page, draining ones at the usual bound", 1, 43, constants.ListEvery, 2500 * time.Millisecond},
-		{"many pages, at the usual bound", 90, 0, constants.ListEveryMost, 2500 * time.Millisecond},
-		{"many pages, at a wide bound", 90, 0, constants.ListEveryMost, 9 * time.Second},
+		{"many pages, at the usual bound", 90, 0, constants.MaxListEvery, 2500 * time.Millisecond},
+		{"many pages, at a wide bound", 90, 0, constants.MaxListEvery, 9 * time.Second},
 		{"one page, at half of it", 1, 43, 200 * time.Millisecond, 1200 * time.Millisecond},
 		{"many pages, at half of it", 90, 0, 200 * time.Millisecond, 1200 * time.Millisecond},
 	} {
--- a/internal/node/native_list.go
+++ b/internal/node/native_list.go
@@ -50,7 +50,7 @@
 // readRoutedPages reads pages up to the last or the first that fails.
 func readRoutedPages(ctx context.Context, client *http.Client, list string, turn Turn) ([]discovery.RoutedPage, error) {
 	var pages []discovery.RoutedPage
-	for number := 0; number < constants.ListPagesMost; number++ {
+	for number := 0; number < constants.MaxListPages; number++ {
 		if err := turn(ctx, 0, nil); err != nil {
 			return pages, err
 		}
--- a/internal/node/native_platform.go
+++ b/internal/node/native_platform.go
@@ -43,11 +43,11 @@
 			ColdExcess:  routes.ColdExcess,
 			ColdMargin:  routes.ColdMargin,
 		},
-		HoldMost:    milliseconds(routes.HoldMostMS),
-		ListLag:     milliseconds(routes.ListLagMS),
-		ListRate:    routes.ListRate,
-		StopGrace:   milliseconds(routes.StopGraceMS),
-		ResolveMost: milliseconds(routes.MatchLifeMS),
+		MaxHold:    milliseconds(routes.HoldMostMS),
+		ListLag:    milliseconds(routes.ListLagMS),
+		ListRate:   routes.ListRate,
+		StopGrace:  milliseconds(routes.StopGraceMS),
+		MaxResolve: milliseconds(routes.MatchLifeMS),
 	}
 }
 
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -14,16 +14,16 @@
 // Bounds are a deployment's figures that a fleet of routes must keep.
 type Bounds struct {
 	gateway.Bounds
-	// HoldMost is the longest shard lease that back ends take.
-	HoldMost time.Duration
+	// MaxHold is the longest shard lease that back ends take.
+	MaxHold time.Duration
 	// ListLag is how far the platform's list is behind.
 	ListLag time.Duration
 	// ListRate is how many calls a second the list takes from all nodes together; 0 is no bound.
 	ListRate float64
 	// StopGrace is the time that a stopping process has.
 	StopGrace time.Duration
-	// ResolveMost is the longest time that callers use a response of the directory.
-	ResolveMost time.Duration
+	// MaxResolve is the longest time that callers use a response of the directory.
+	MaxResolve time.Duration
 	// Quiet is how long after a fault an undisturbed machine must keep every bound again; 0 is unknown.
 	Quiet time.Duration
 	// DrainWithin is how long after the list showed it as draining a back end may still get requests; 0 is unknown.
--- a/internal/node/route_service.go
+++ b/internal/node/route_service.go
@@ -40,8 +40,8 @@
 	sizes := journal.OptionsForDisk(s.node.settings.DiskBytes)
 	return &controlplane.RouteOptions{
 		Fits:          sizes.Fits,
-		FitsWhole:     sizes.FitsSnapshot,
-		LongestLease:  bounds.HoldMost,
+		FitsSnapshot:  sizes.FitsSnapshot,
+		LongestLease:  bounds.MaxHold,
 		ListLag:       bounds.ListLag,
 		Zones:         s.platform.Zones,
 		RecoveryBound: bounds.Quiet,
@@ -155,15 +155,15 @@
 		}
 	}
 	addresses := sameZone
-	if len(addresses) < constants.ResolveLeast {
+	if len(addresses) < constants.MinResolve {
 		addresses = append(addresses, sameRegion...)
 	}
 	if len(addresses) == 0 {
 		addresses = elsewhere
 	}
 	slices.Sort(addresses)
-	lifetime := min(constants.ResolveTTL, s.platform.Bounds.ResolveMost)
-	return addresses[:min(len(addresses), constants.ResolveMost)], lifetime
+	lifetime := min(constants.ResolveTTL, s.platform.Bounds.MaxResolve)
+	return addresses[:min(len(addresses), constants.MaxResolve)], lifetime
 }
 
 // maintain does the gateway's regular upkeep until ctx ends.
--- a/internal/node/routed_test.go
+++ b/internal/node/routed_test.go
@@ -170,7 +170,7 @@
 		m.outside = o
 		return map[string]http.Handler{s.Proxy: o.Requests}
 	}, Bounds: node.Bounds{Bounds: gateway.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 60, ColdExcess: 1.5, ColdMargin: 5},
-		HoldMost: 10 * time.Second, ListLag: 100 * time.Millisecond, StopGrace: 1500 * time.Millisecond, ResolveMost: 5 * time.Second}}
+		MaxHold: 10 * time.Second, ListLag: 100 * time.Millisecond, StopGrace: 1500 * time.Millisecond, MaxResolve: 5 * time.Second}}
 	if s.Data != "" {
 		platform.List = p.list
 	}
--- a/internal/operations/decide_test.go
+++ b/internal/operations/decide_test.go
@@ -40,7 +40,7 @@
 		{name: "a record that doesn't fit", request: putRoutes(1, 0, "{}"),
 			options: RouteOptions{Fits: func(*schema.Record) bool { return false }}, want: "answer REFUSAL_OVERSIZE"},
 		{name: "a state that doesn't fit", request: putRoutes(1, 0, "{}"),
-			options: RouteOptions{FitsWhole: func(*schema.Snapshot) bool { return false }}, want: "answer REFUSAL_OVERSIZE"},
+			options: RouteOptions{FitsSnapshot: func(*schema.Snapshot) bool { return false }}, want: "answer REFUSAL_OVERSIZE"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHost(t, &c.options)
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -82,8 +82,8 @@
 type RouteOptions struct {
 	// Fits tells whether a record can be logged; nil is always.
 	Fits func(*schema.Record) bool
-	// FitsWhole tells whether a snapshot of the whole state fits the disk; nil is always.
-	FitsWhole func(*schema.Snapshot) bool
+	// FitsSnapshot tells whether a snapshot of the whole state fits the disk; nil is always.
+	FitsSnapshot func(*schema.Snapshot) bool
 }
 
 // Manager holds the pending requests of one node.
--- a/internal/operations/routes.go
+++ b/internal/operations/routes.go
@@ -49,7 +49,7 @@
 	if d.options.Fits != nil && !d.options.Fits(record) {
 		return false
 	}
-	return d.options.FitsWhole == nil || d.options.FitsWhole(d.snapshotWith(record))
+	return d.options.FitsSnapshot == nil || d.options.FitsSnapshot(d.snapshotWith(record))
 }
 
 // snapshotWith is the snapshot of the state once a record is applied.
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -125,7 +125,7 @@
 	if at, isKnown := s.Local.Fences[d.Owner.Fence]; isKnown {
 		age = s.Now - at
 	}
-	if age < constants.ParkMost && s.Left > 0 {
+	if age < constants.MaxPark && s.Left > 0 {
 		return s.park(d, kindFenced, "number %d waits for the former group's leases to lapse; send again", d.Owner.Number)
 	}
 	left := constants.LeaseDuration + constants.LeaseClockMargin - age
--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -12,8 +12,8 @@
 const (
 	// hotKeyAttempts is how many attempts in flight a key may always have but one.
 	hotKeyAttempts = 2
-	// hotKeyLeast is the least count of a service's attempts in flight that a key's share is taken of.
-	hotKeyLeast = 6
+	// minHotKey is the least count of a service's attempts in flight that a key's share is taken of.
+	minHotKey = 6
 	// fewestFree is how many attempts in flight a back end without keys may always have from one proxy.
 	fewestFree = 2
 )
@@ -36,7 +36,7 @@
 		return false
 	}
 	ofKey, ofService := s.Load.KeyInFlight(service, s.Request.Key)
-	return ofKey >= hotKeyAttempts && ofKey*100 >= max(ofService, hotKeyLeast)*constants.KeyShare
+	return ofKey >= hotKeyAttempts && ofKey*100 >= max(ofService, minHotKey)*constants.KeyShare
 }
 
 // chooseOwner picks the one back end that owns the key's slot.
--- a/internal/proxy/decision.go
+++ b/internal/proxy/decision.go
@@ -92,7 +92,7 @@
 // park lets the request wait, and refuses it once it has waited for long enough. Without a lease that is sooner: leases are renewed often,
 // and one that is late will not come.
 func (s *Situation) park(d Decision, kind, format string, args ...any) Decision {
-	limit := constants.ParkMost
+	limit := constants.MaxPark
 	if kind == kindNoLease {
 		limit = constants.ParkShort
 	}
--- a/internal/proxy/decision_test.go
+++ b/internal/proxy/decision_test.go
@@ -40,8 +40,8 @@
 			s.Now += constants.IsolatedAfter
 			s.Local.TickAt, s.Local.PeersAt = s.Now, s.Now
 		}, safe(), ActionAttempt, "", "l-1"},
-		{"one that was notified of changes which it lacks refuses", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.BehindMost - time.Millisecond }, safe(), ActionRefuse, "isolated", ""},
-		{"but not at once", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.BehindMost }, safe(), ActionAttempt, "", "l-1"},
+		{"one that was notified of changes which it lacks refuses", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.MaxBehind - time.Millisecond }, safe(), ActionRefuse, "isolated", ""},
+		{"but not at once", base(all...), func(s *Situation) { s.Local.BehindAt = noon - constants.MaxBehind }, safe(), ActionAttempt, "", "l-1"},
 		{"a thawed proxy refreshes first", base(all...), func(s *Situation) { s.Local.ThawedAt = noon }, safe(), ActionPark, "", ""},
 		{"one that has not ticked is taken as frozen", base(all...), func(s *Situation) { s.Local.TickAt = noon - 2*time.Second }, safe(), ActionPark, "", ""},
 		{"an unknown service", base(all...), func(s *Situation) { s.Request.Service = "nobody" }, safe(), ActionRefuse, "unknown-entry", ""},
@@ -59,7 +59,7 @@
 			w := base(all...)
 			w.put("", store.EncodeRow(store.AssignmentKey("ledger", "/balances", "north"), &schema.FailoverAssignment{Service: "ledger", Path: "/balances", Region: "north", Number: 102}))
 			return w
-		}(), func(s *Situation) { s.Request.Forwarded = failover.Trail{100}; s.Parked = constants.ParkMost }, safe(), ActionRefuse, "moved", ""},
+		}(), func(s *Situation) { s.Request.Forwarded = failover.Trail{100}; s.Parked = constants.MaxPark }, safe(), ActionRefuse, "moved", ""},
 		{"a higher forwarded number waits for the snapshot", base(all...), func(s *Situation) { s.Request.Forwarded = failover.Trail{200} }, safe(), ActionPark, "", ""},
 		{"an unsafe request is reserved first", base(all...), nil, unsafe(), ActionReserve, "", ""},
 		{"and then has its attempt", base(all...), func(s *Situation) { s.IsReserved = true }, unsafe(), ActionAttempt, "", "l-1"},
--- a/internal/proxy/fitness.go
+++ b/internal/proxy/fitness.go
@@ -18,7 +18,7 @@
 	if local == nil || now-local.TickAt > tickLimit || local.ThawedAt > 0 && local.FreshAt <= local.ThawedAt {
 		return false
 	}
-	if local.View.Version == 0 || local.BehindAt > 0 && now-local.BehindAt > constants.BehindMost {
+	if local.View.Version == 0 || local.BehindAt > 0 && now-local.BehindAt > constants.MaxBehind {
 		return false
 	}
 	return now-local.FreshAt < constants.IsolatedAfter || now-local.PeersAt < constants.IsolatedAfter
@@ -59,7 +59,7 @@
 
 // parkEarly lets a request wait for state that this proxy lacks.
 func parkEarly(parked time.Duration, message, wanted string) *Decision {
-	if parked >= constants.ParkMost {
+	if parked >= constants.MaxPark {
 		return refusedEarly(newRefusalLater(kindUnready, "%s", message))
 	}
 	return &Decision{Action: ActionPark, Wanted: wanted}
--- a/internal/proxy/machine_attempt.go
+++ b/internal/proxy/machine_attempt.go
@@ -12,7 +12,7 @@
 // attempt begins an attempt at the back end that was decided on.
 func (m *RequestMachine) attempt() Order {
 	backend := m.decision.Backend
-	if m.attempts > 0 && (m.attempts >= constants.AttemptsMost || !m.Loads.MayRepeat(m.now, backend.Service, m.part())) {
+	if m.attempts > 0 && (m.attempts >= constants.MaxAttempts || !m.Loads.MayRepeat(m.now, backend.Service, m.part())) {
 		return m.giveUp(newRefusalLater(kindNoRepeat, "the repeat budget of %s is spent; send again later", backend.Service))
 	}
 	m.Loads.Begin(backend.Instance)
@@ -77,7 +77,7 @@
 	d := &m.decision
 	left := m.until - m.now
 	if d.IsSafe {
-		left = min(left, constants.SafeAttemptMost)
+		left = min(left, constants.MaxSafeAttempt)
 	}
 	header := m.Request.attemptHeader(left)
 	header.Set(HeaderService, d.Backend.Service)
--- a/internal/proxy/machine_forward.go
+++ b/internal/proxy/machine_forward.go
@@ -15,8 +15,8 @@
 const (
 	// proxyService is the service that proxies prove.
 	proxyService = "topazshed"
-	// forwardsMost bounds how often a request is forwarded.
-	forwardsMost = 3
+	// maxForwards bounds how often a request is forwarded.
+	maxForwards = 3
 	// forwardPause is how long a request waits before it is forwarded again.
 	forwardPause = 5 * constants.ParkStep
 	// forwardOverhead is how much longer than a back end's response another proxy's may be, in bytes.
@@ -156,7 +156,7 @@
 // endForward ends the request with a refusal, or forwards it again after a pause. One that may have run needs the repeat budget for that.
 func (m *RequestMachine) endForward(refusal *RefusalError, mayRepeat bool) Order {
 	m.forwards.count++
-	if !mayRepeat || m.forwards.count >= forwardsMost {
+	if !mayRepeat || m.forwards.count >= maxForwards {
 		return m.reply(refusal)
 	}
 	if refusal.Result == ResultAmbiguous && !m.Loads.MayRepeat(m.now, m.Request.Service, m.part()) {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -96,9 +96,9 @@
 
 func (q *Request) readTimes() *RefusalError {
 	wait, err := strconv.Atoi(q.Header.Get(HeaderWait))
-	if err != nil || wait < 1 || time.Duration(wait)*time.Millisecond > constants.WaitMost {
+	if err != nil || wait < 1 || time.Duration(wait)*time.Millisecond > constants.MaxWait {
 		return newRefusal(http.StatusBadRequest, kindBadWait,
-			"send %s in milliseconds, from 1 to %d", HeaderWait, constants.WaitMost.Milliseconds())
+			"send %s in milliseconds, from 1 to %d", HeaderWait, constants.MaxWait.Milliseconds())
 	}
 	q.Wait = time.Duration(wait) * time.Millisecond
 	text := q.Header.Get(HeaderAge)
@@ -106,10 +106,10 @@
 		return nil
 	}
 	age, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || age < 0 || age > constants.AgeMost.Milliseconds() {
+	if err != nil || age < 0 || age > constants.MaxAge.Milliseconds() {
 		return newRefusal(http.StatusBadRequest, kindBadAge,
 			"send %s in milliseconds since the first sending whose result you do not know, at most %d, or leave it out",
-			HeaderAge, constants.AgeMost.Milliseconds())
+			HeaderAge, constants.MaxAge.Milliseconds())
 	}
 	q.Age = time.Duration(age) * time.Millisecond
 	return nil
--- a/internal/proxy/request_machine.go
+++ b/internal/proxy/request_machine.go
@@ -94,7 +94,7 @@
 	case phaseForward:
 		return m.forwardAnswered(e)
 	case phaseForwardPause:
-		if m.parked() >= constants.ParkMost {
+		if m.parked() >= constants.MaxPark {
 			return m.reply(m.refusal)
 		}
 	case phaseReserve:
--- a/internal/raft/node_test.go
+++ b/internal/raft/node_test.go
@@ -139,7 +139,7 @@
 func electLeader(t *testing.T) *Node {
 	t.Helper()
 	node := restore("a", &schema.HardState{Term: 2}, testLog(1, 2))
-	node.Tick(time.Hour + constants.RaftElectionLeast)
+	node.Tick(time.Hour + constants.MinRaftElection)
 	takeLastMessage(node)
 	node.Step(node.now, &schema.Raft{Kind: schema.RaftKind_RAFT_PREVOTE_RESPONSE, From: "b", To: "a", Term: 2})
 	takeLastMessage(node)
@@ -171,7 +171,7 @@
 	})
 	t.Run("it steps down when no member answers", func(t *testing.T) {
 		node := electLeader(t)
-		node.Tick(node.now + 2*constants.RaftElectionLeast)
+		node.Tick(node.now + 2*constants.MinRaftElection)
 		if node.Role() == Leader {
 			t.Fatal("it still leads")
 		}
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -89,7 +89,7 @@
 // sendSnapshot sends the next parts of a snapshot to a follower that needs entries which the log no longer has.
 func (n *Node) sendSnapshot(id string, p *progress) {
 	if !p.acceptsParts {
-		n.sendWholeSnapshot(id, p)
+		n.sendUnsplitSnapshot(id, p)
 		return
 	}
 	if p.transfer == nil || p.transfer.snapshot.index < n.log.snapshotIndex {
@@ -124,8 +124,8 @@
 	n.send(&schema.Raft{Kind: schema.RaftKind_RAFT_SNAPSHOT_PART, To: id, Round: n.round, Part: part})
 }
 
-// sendWholeSnapshot sends a snapshot in one message, to a member of a program version that takes no parts.
-func (n *Node) sendWholeSnapshot(id string, p *progress) {
+// sendUnsplitSnapshot sends a snapshot in one message, to a member of a program version that takes no parts.
+func (n *Node) sendUnsplitSnapshot(id string, p *progress) {
 	if n.now-p.snapshotSentAt < n.timing.ElectionTimeout && p.snapshotSentAt > 0 {
 		return
 	}
@@ -200,7 +200,7 @@
 func (n *Node) stepSnapshotPart(m *schema.Raft) {
 	n.followSender(m)
 	part := m.GetPart()
-	if part == nil || part.Size > constants.SnapshotBytesMost || part.Offset+uint64(len(part.Payload)) > part.Size {
+	if part == nil || part.Size > constants.MaxSnapshotBytes || part.Offset+uint64(len(part.Payload)) > part.Size {
 		return
 	}
 	if Index(part.Index) <= n.log.committed {
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -40,7 +40,7 @@
 func DefaultTiming() Timing {
 	return Timing{
 		HeartbeatInterval: constants.RaftHeartbeat,
-		ElectionTimeout:   constants.RaftElectionLeast,
+		ElectionTimeout:   constants.MinRaftElection,
 		ElectionJitter:    constants.RaftElectionSpread,
 	}
 }
--- a/internal/replication/source.go
+++ b/internal/replication/source.go
@@ -74,7 +74,7 @@
 
 // isTryDue bounds how often members are tried in turn while all of them are silent or have old rows.
 func (s *source) isTryDue(now time.Duration) bool {
-	pause := min(time.Duration(s.tries)*constants.SourceTryPause, constants.SourceTryPauseMost)
+	pause := min(time.Duration(s.tries)*constants.SourceTryPause, constants.MaxSourceTryPause)
 	return now-s.triedAt >= pause
 }
 
--- a/internal/replication/subscription_test.go
+++ b/internal/replication/subscription_test.go
@@ -118,8 +118,8 @@
 		}
 	}
 	for i := 14; i < len(chosenAt); i++ {
-		if pause := chosenAt[i] - chosenAt[i-1]; pause < constants.SourceTryPauseMost {
-			t.Fatalf("try %d came %v after the one before, want at least %v", i, pause, constants.SourceTryPauseMost)
+		if pause := chosenAt[i] - chosenAt[i-1]; pause < constants.MaxSourceTryPause {
+			t.Fatalf("try %d came %v after the one before, want at least %v", i, pause, constants.MaxSourceTryPause)
 		}
 	}
 }
--- a/internal/routes/check.go
+++ b/internal/routes/check.go
@@ -75,8 +75,8 @@
 func (c *checker) checkTimes(index int, route *schema.Route) {
 	timeout := time.Duration(route.TimeoutMs) * time.Millisecond
 	target := time.Duration(route.TargetMs) * time.Millisecond
-	if timeout <= 0 || timeout > constants.RouteTimeoutMost {
-		c.faults.Add(routePath(index, "timeout_ms"), "%v is not above 0 and within %v; mend it", timeout, constants.RouteTimeoutMost)
+	if timeout <= 0 || timeout > constants.MaxRouteTimeout {
+		c.faults.Add(routePath(index, "timeout_ms"), "%v is not above 0 and within %v; mend it", timeout, constants.MaxRouteTimeout)
 	}
 	if target >= timeout+constants.RouteTargetOver {
 		c.faults.Add(routePath(index, "target_ms"), "%v is %v or more above the time-out; lower it", target, constants.RouteTargetOver)
--- a/internal/routes/shape.go
+++ b/internal/routes/shape.go
@@ -77,7 +77,7 @@
 
 func (k kind) fits(value any) bool {
 	number, isNumber := value.(float64)
-	isWhole := isNumber && number >= 0 && number == math.Trunc(number)
+	isComplete := isNumber && number >= 0 && number == math.Trunc(number)
 	switch k {
 	case kindText:
 		_, isText := value.(string)
@@ -86,9 +86,9 @@
 		_, isFlag := value.(bool)
 		return isFlag
 	case kindCount:
-		return isWhole && number <= math.MaxUint32
+		return isComplete && number <= math.MaxUint32
 	case kindSize:
-		return isWhole && number <= maxExactInteger
+		return isComplete && number <= maxExactInteger
 	default:
 		return isNumber && number >= 0
 	}
--- a/internal/sharding/balance.go
+++ b/internal/sharding/balance.go
@@ -23,7 +23,7 @@
 // balance moves the hottest small ranges from the most to the least loaded owners, several at a time, once the load
 // has been uneven for a while. In the calm it makes shards fewer.
 func (p *planner) balance() {
-	if p.keyLoad.total < constants.KeyLoadLeast || len(p.eligible) < 2 {
+	if p.keyLoad.total < constants.MinKeyLoad || len(p.eligible) < 2 {
 		p.state.isUneven = false
 		return
 	}
@@ -83,7 +83,7 @@
 
 // plan divides shards of the most loaded instances until the load is even or enough moves are under way.
 func (b *balancer) plan() {
-	for ; b.moves < max(constants.KeyMovesMost, len(b.eligible)); b.moves++ {
+	for ; b.moves < max(constants.MaxKeyMoves, len(b.eligible)); b.moves++ {
 		least, most, isUneven := b.extremes()
 		if !isUneven {
 			return
--- a/internal/sharding/balance_test.go
+++ b/internal/sharding/balance_test.go
@@ -58,7 +58,7 @@
 }
 
 func TestRangesAreCoalescedInTheCalm(t *testing.T) {
-	limit := constants.KeyRangesMost
+	limit := constants.MaxKeyRanges
 	for _, c := range []struct {
 		name    string
 		ranges  int
--- a/internal/sharding/lease_duration_test.go
+++ b/internal/sharding/lease_duration_test.go
@@ -13,7 +13,7 @@
 		t.Run(most.String(), func(t *testing.T) {
 			t.Parallel()
 			duration := New(Options{MaxLease: most}).leaseDuration
-			if most > 0 && duration > most || duration > constants.KeyLeaseMost || duration <= 0 {
+			if most > 0 && duration > most || duration > constants.MaxKeyLease || duration <= 0 {
 				t.Fatalf("leases of %v where %v are allowed", duration, most)
 			}
 			w := newWorld(t, 1, 5, "a")
--- a/internal/sharding/load.go
+++ b/internal/sharding/load.go
@@ -48,7 +48,7 @@
 // weight is a range's share of the load and of the keys; 1 is the whole service. With little load only the keys count.
 func (l keyLoad) weight(keys keyRange) float64 {
 	share := float64(keys.width()) / keyCount
-	if l.total < constants.KeyLoadLeast {
+	if l.total < constants.MinKeyLoad {
 		return share
 	}
 	return (1-constants.KeyWidthPart)*l.sum(keys)/l.total + constants.KeyWidthPart*share
--- a/internal/sharding/moves.go
+++ b/internal/sharding/moves.go
@@ -21,7 +21,7 @@
 		fresh = p.assignParts(s, 1, release.handover)
 	} else {
 		count := 1 + int(weight*float64(len(p.eligible))*constants.KeyLeaveParts)
-		fresh = p.assignParts(s, min(count, len(p.eligible), constants.KeyPiecesMost, int(s.width())), "")
+		fresh = p.assignParts(s, min(count, len(p.eligible), constants.MaxKeyPieces, int(s.width())), "")
 	}
 	p.manager.withdrawn[s.rowKey] = s.rowIndex
 	p.propose("assign keys", 0, []shard{s}, fresh)
--- a/internal/sharding/planner.go
+++ b/internal/sharding/planner.go
@@ -93,7 +93,7 @@
 
 // maxShards is the number of shards above which only a great difference of load divides further ones.
 func (p *planner) maxShards() int {
-	return max(constants.KeyRangesMost, constants.KeyRangesPerOwner*len(p.eligible))
+	return max(constants.MaxKeyRanges, constants.KeyRangesPerOwner*len(p.eligible))
 }
 
 // lightest returns the eligible instance with the least weight other than one, or "" if there is none.
--- a/internal/sharding/sharding.go
+++ b/internal/sharding/sharding.go
@@ -52,7 +52,7 @@
 
 // New returns a LeaseManager that does not lead.
 func New(options Options) *LeaseManager {
-	duration := constants.KeyLeaseMost
+	duration := constants.MaxKeyLease
 	if share := options.MaxLease * constants.KeyLeaseShare / 100; options.MaxLease > 0 && share < duration {
 		duration = share
 	}
--- a/internal/sharding/sharding_test.go
+++ b/internal/sharding/sharding_test.go
@@ -224,8 +224,8 @@
 }
 
 func TestLeaseDurationIsBounded(t *testing.T) {
-	for _, c := range []struct{ most, hold time.Duration }{{0, constants.KeyLeaseMost}, {time.Minute, constants.KeyLeaseMost},
-		{10 * time.Second, constants.KeyLeaseMost}, {5 * time.Second, 3 * time.Second}} {
+	for _, c := range []struct{ most, hold time.Duration }{{0, constants.MaxKeyLease}, {time.Minute, constants.MaxKeyLease},
+		{10 * time.Second, constants.MaxKeyLease}, {5 * time.Second, 3 * time.Second}} {
 		if g := New(Options{MaxLease: c.most}); g.leaseDuration != c.hold {
 			t.Fatalf("the lease duration is %v of %v", g.leaseDuration, c.most)
 		}
@@ -235,8 +235,8 @@
 func TestCheckLayout(t *testing.T) {
 	keys := func(first, last uint32) *schema.ShardRange { return &schema.ShardRange{First: first, Last: last} }
 	for _, c := range []struct {
-		ranges  []*schema.ShardRange
-		isWhole bool
+		ranges     []*schema.ShardRange
+		isComplete bool
 	}{
 		{nil, false},
 		{[]*schema.ShardRange{keys(0, constants.LastKey)}, true},
@@ -245,7 +245,7 @@
 		{[]*schema.ShardRange{keys(0, 9), keys(9, constants.LastKey)}, false},
 		{[]*schema.ShardRange{keys(0, 9)}, false},
 	} {
-		if err := checkLayout(&store.Service{ShardRanges: c.ranges}); (err == nil) != c.isWhole {
+		if err := checkLayout(&store.Service{ShardRanges: c.ranges}); (err == nil) != c.isComplete {
 			t.Fatalf("%v: %v", c.ranges, err)
 		}
 	}
--- a/internal/sim/backend_work.go
+++ b/internal/sim/backend_work.go
@@ -17,11 +17,11 @@
 	headerSend = "X-Send"
 	// otherAttempt is the attempt id of an answer that belongs to another request.
 	otherAttempt = "someone-elses"
-	// A request takes workLeast to workLeast+workSpread milliseconds, one keyed request in longWorkOneIn
-	// longWorkLeast to longWorkLeast+longWorkSpread.
-	workLeast, workSpread         = 8, 15
-	longWorkOneIn                 = 30
-	longWorkLeast, longWorkSpread = 500, 5000
+	// A request takes minWork to minWork+workSpread milliseconds, one keyed request in longWorkOneIn
+	// minLongWork to minLongWork+longWorkSpread.
+	minWork, workSpread         = 8, 15
+	longWorkOneIn               = 30
+	minLongWork, longWorkSpread = 500, 5000
 )
 
 // noDeadline is later than every virtual time.
@@ -117,9 +117,9 @@
 // drawSpan draws how long the back end works on the request.
 func (r *backendRequest) drawSpan() time.Duration {
 	f, b := r.fleet, r.backend
-	span := time.Duration(workLeast+f.random.Intn(workSpread)) * time.Millisecond
+	span := time.Duration(minWork+f.random.Intn(workSpread)) * time.Millisecond
 	if r.arrival.Key != "" && f.random.Intn(longWorkOneIn) == 0 {
-		span = time.Duration(longWorkLeast+f.random.Intn(longWorkSpread)) * time.Millisecond
+		span = time.Duration(minLongWork+f.random.Intn(longWorkSpread)) * time.Millisecond
 	}
 	if f.Now < b.coldUntil {
 		span *= coldSlowdown
--- a/internal/sim/load.go
+++ b/internal/sim/load.go
@@ -16,9 +16,9 @@
 	// lateOneIn and twinOneIn tell which payments are sent again late, and twice at once.
 	lateOneIn = 9
 	twinOneIn = 7
-	// A late repeat comes after lateLeast to lateLeast+lateSpread seconds, a twin within twinSpread milliseconds.
-	lateLeast, lateSpread = 8, 24
-	twinSpread            = 400
+	// A late repeat comes after minLate to minLate+lateSpread seconds, a twin within twinSpread milliseconds.
+	minLate, lateSpread = 8, 24
+	twinSpread          = 400
 	// lateSerial and twinSerial number those sendings.
 	lateSerial = 92
 	twinSerial = 91
@@ -76,7 +76,7 @@
 	if number%lateOneIn == 0 {
 		request.IsSentTwice = true
 		late := *request
-		late.Age = time.Duration(lateLeast+f.random.Intn(lateSpread)) * time.Second
+		late.Age = time.Duration(minLate+f.random.Intn(lateSpread)) * time.Second
 		f.after(late.Age, func() { f.send(late, lateSerial, f.countResult("late repeat ")) })
 	}
 	if number%twinOneIn == 0 {
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -156,7 +156,7 @@
 	}
 	f.after(linger, func() {
 		n.isShut = n.Boot == boot
-		f.awaitDrained(n, boot, begun, f.Now+constants.StopMost-constants.StopLinger)
+		f.awaitDrained(n, boot, begun, f.Now+constants.MaxStop-constants.StopLinger)
 	})
 }
 
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -72,13 +72,13 @@
 func raftForRoutes(recoveryBound time.Duration) raft.Timing {
 	pace := raft.Timing{
 		HeartbeatInterval: constants.RoutedRaftHeartbeat,
-		ElectionTimeout:   constants.RoutedElectionLeast,
+		ElectionTimeout:   constants.MinRoutedElection,
 		ElectionJitter:    constants.RoutedElectionSpread,
 	}
 	if recoveryBound <= 0 {
 		return pace
 	}
-	shortest := max(constants.RaftElectionLeast, recoveryBound/constants.QuietElections)
+	shortest := max(constants.MinRaftElection, recoveryBound/constants.QuietElections)
 	if shortest >= pace.ElectionTimeout {
 		return pace
 	}
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -12,21 +12,21 @@
 func TestTimingForRoutesFollowsTheRecoveryBound(t *testing.T) {
 	for _, c := range []struct {
 		bound             time.Duration
-		electionLeast     time.Duration
+		minElection       time.Duration
 		remoteSourceAfter time.Duration
 	}{
-		{0, constants.RoutedElectionLeast, constants.FarSourceAfter},
-		{9 * time.Second, constants.RoutedElectionLeast, constants.FarSourceAfter},
-		{4 * time.Second, constants.RoutedElectionLeast, constants.FarSourceAfter},
-		{3 * time.Second, constants.RoutedElectionLeast, 1500 * time.Millisecond},
+		{0, constants.MinRoutedElection, constants.FarSourceAfter},
+		{9 * time.Second, constants.MinRoutedElection, constants.FarSourceAfter},
+		{4 * time.Second, constants.MinRoutedElection, constants.FarSourceAfter},
+		{3 * time.Second, constants.MinRoutedElection, 1500 * time.Millisecond},
 		{2 * time.Second, 2 * time.Second / 3, 500 * time.Millisecond},
-		{time.Second, constants.RaftElectionLeast, 0},
+		{time.Second, constants.MinRaftElection, 0},
 	} {
 		t.Run(c.bound.String(), func(t *testing.T) {
 			spans := timing.ForRoutes(c.bound)
 			pace := spans.Raft
-			if pace.ElectionTimeout != c.electionLeast || 4*pace.HeartbeatInterval > pace.ElectionTimeout || pace.ElectionTimeout <= constants.KeyLeaseTime {
-				t.Errorf("%+v, want a shortest election time-out of %v", pace, c.electionLeast)
+			if pace.ElectionTimeout != c.minElection || 4*pace.HeartbeatInterval > pace.ElectionTimeout || pace.ElectionTimeout <= constants.KeyLeaseTime {
+				t.Errorf("%+v, want a shortest election time-out of %v", pace, c.minElection)
 			}
 			if longest := pace.ElectionTimeout + pace.ElectionJitter; c.bound >= 2*time.Second && longest > c.bound*6/10 {
 				t.Errorf("an election may begin only after %v", longest)
