--- a/internal/controlplane/effects.go
+++ b/internal/controlplane/effects.go
@@ -93,7 +93,7 @@
 	return len(e.Sends) > 0 || len(e.Responses) > 0 || len(e.Calls) > 0
 }
 
-// TakeUnbound applies what a majority has on disk and gives the effects that rest on nothing unwritten, while this disk is busy.
+// TakeIndependent applies what a majority has on disk and gives the effects that rest on nothing unwritten, while this disk is busy.
 func (c *Machine) TakeIndependent() Effects {
 	if c.raft != nil {
 		c.apply()
--- a/internal/controlplane/platform.go
+++ b/internal/controlplane/platform.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// SetDead tells that a back end's process has surely ended, so that it owns no shards any more.
+// BackendEnded tells that a back end's process has surely ended, so that it owns no shards any more.
 func (c *Machine) BackendEnded(instance string) {
 	c.duties.Take(c.now, leader.BackendEnded{Instance: instance})
 }
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -7,7 +7,7 @@
 	"topazshed/internal/statemachine"
 )
 
-// Whole gives the snapshot at the applied index, for a follower or for the disk.
+// Snapshot gives the snapshot at the applied index, for a follower or for the disk.
 func (c *Machine) Snapshot() *schema.Snapshot {
 	snapshot := c.state.Table().Snapshot()
 	c.raft.DescribeSnapshot(snapshot)
@@ -71,12 +71,12 @@
 	c.duties.RowsApplied(applied.Rows)
 }
 
-// Compactable tells whether a new snapshot should be written.
+// NeedsSnapshot tells whether a new snapshot should be written.
 func (c *Machine) NeedsSnapshot() bool {
 	return c.raft != nil && c.state.NeedsSnapshot(c.raft.LogBytes())
 }
 
-// Compacted tells that a snapshot of that index is on disk.
+// SnapshotWritten tells that a snapshot of that index is on disk.
 func (c *Machine) SnapshotWritten(index raft.Index) {
 	c.state.SnapshotWritten(index)
 	c.raft.Compact(index)
