--- a/internal/controlplane/cut_off_test.go
+++ b/internal/controlplane/cut_off_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// A machine without a disk that can reach a majority of the core must have its state from there, however long the machines of its own region
+// A machine without a disk that can reach a majority of the voters must have its state from there, however long the machines of its own region
 // with a disk are cut off from the others, and whether or not it was cut off with them for a while.
 func TestAReaderLeavesSourcesThatAreCutOff(t *testing.T) {
 	const (
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -40,7 +40,7 @@
 	// workload is what depends on whether the fleet carries entries or routes.
 	workload workload
 
-	// quorum and proposals are nil on a reader, which keeps no log.
+	// raft and proposals are nil on a reader, which keeps no log.
 	raft         *raft.Node
 	proposals    *proposals.Proposer
 	state        *statemachine.Machine
@@ -63,7 +63,7 @@
 	// the log sent from.
 	peers     map[string]time.Duration
 	addresses map[string]string
-	// listAt is when the platform's list was last read whole, listFault why the last read was not.
+	// listAt is when the platform's list was last read completely, listFault why the last read was not.
 	listAt    time.Duration
 	listFault string
 	// staleResponses counts responses that no part waits for.
